--- a/crates/node/src/duties/ledger/mod.rs
+++ b/crates/node/src/duties/ledger/mod.rs
@@ -127,22 +127,22 @@
         let now = self.clock.now();
         match input {
             Input::Request { request, events } => {
-                self.holders.insert(request.ticket, events);
-                self.ledger.request(request, now)
+                self.holders.insert(request.attempt_id, events);
+                self.ledger.handle_request(request, now)
             }
             Input::Cancel { ticket } => {
                 self.holders.remove(&ticket);
                 self.ledger.cancel(ticket, now)
             }
-            Input::Finished { key, outcome } => self.ledger.finished(&key, outcome, now),
-            Input::Hear { from, message } => self.ledger.hear(from, message, now),
+            Input::Finished { key, outcome } => self.ledger.handle_outcome(&key, outcome, now),
+            Input::Hear { from, message } => self.ledger.handle_message(from, message, now),
             Input::Gone(incarnation) => self.ledger.peer_gone(incarnation, now),
             Input::HandOver { peers, time } => self.ledger.stop(&peers, now + time, now),
             Input::Ask(reply) => {
                 let report = LedgerReport {
-                    counts: self.ledger.counts(),
+                    counts: self.ledger.stats(),
                     epoch: self.ledger.epoch(now),
-                    stopped: self.ledger.stopped(),
+                    stopped: self.ledger.is_stopped(),
                 };
                 // Whoever asked may have given up waiting.
                 let _ = reply.send(report);
@@ -156,29 +156,31 @@
         for action in actions {
             match action {
                 Action::SendMessage { to, message } => self.post(to, &message, client),
-                Action::Dispatch { key, ticket } => {
+                Action::Dispatch { key, attempt_id } => {
                     let told = self
                         .holders
-                        .get(&ticket)
+                        .get(&attempt_id)
                         .is_some_and(|h| h.tell(Event::Run));
                     if !told {
                         // The caller went between its request and the claim. Nothing was sent.
                         let outcome = Outcome::NotRun { retry_after: None };
-                        let more = self.ledger.finished(&key, outcome, self.clock.now());
+                        let more = self.ledger.handle_outcome(&key, outcome, self.clock.now());
                         self.perform(more, client);
                     }
                 }
                 // The run goes on: a retry with the same key then finds its answer.
                 Action::Cancel { .. } => {}
-                Action::Answer { ticket, answer } => self.end(ticket, Event::Answer(answer)),
+                Action::Answer { attempt_id, answer } => {
+                    self.end(attempt_id, Event::Answer(answer))
+                }
                 Action::Refuse {
-                    ticket,
+                    attempt_id,
                     run,
                     reason,
                     retry_after,
                 } => {
                     self.end(
-                        ticket,
+                        attempt_id,
                         Event::Refused {
                             run,
                             reason,
--- a/crates/node/src/run/keyed.rs
+++ b/crates/node/src/run/keyed.rs
@@ -47,12 +47,12 @@
     key: Key,
 ) -> Result<Answer, Trouble> {
     let (events, mut ear) = Events::open();
-    let ticket = shared.ticket();
+    let attempt_id = shared.ticket();
     let request = Request {
         key: key.clone(),
-        caller: call.identity,
+        fingerprint: call.identity,
         attempts: attempts(call)?,
-        ticket,
+        attempt_id,
     };
     if let Err(Full(_)) = shared.ledger.push(Input::Request { request, events }) {
         // This attempt did nothing, but an earlier one may have run.
@@ -61,7 +61,7 @@
     }
     let mut ticket = Ticket {
         shared,
-        number: ticket,
+        number: attempt_id,
         open: true,
     };
     loop {
--- a/crates/once/src/action.rs
+++ b/crates/once/src/action.rs
@@ -12,11 +12,11 @@
     /// Key that the caller gave.
     pub key: Key,
     /// Fingerprint of the caller's identity and of the request: who may see the answer.
-    pub caller: u64,
+    pub fingerprint: u64,
     /// What the caller says of its earlier attempts.
     pub attempts: PriorAttempts,
     /// Names this attempt in actions; unique among the attempts that wait.
-    pub ticket: u64,
+    pub attempt_id: u64,
 }
 
 /// How a request that was sent to a target ended.
@@ -84,14 +84,14 @@
         /// The message.
         message: Message,
     },
-    /// Send the request of this ticket to a target now, and report with
+    /// Send the request of this attempt to a target now, and report with
     /// [`Ledger::finished`](crate::Ledger::finished). This comes once for a key. Another target may
     /// be tried only after a definite sign that the one before did not run it.
     Dispatch {
         /// Key of the request.
         key: Key,
         /// Attempt whose request to send.
-        ticket: u64,
+        attempt_id: u64,
     },
     /// Nobody waits for this key any more; the request may be cancelled at the target.
     /// [`Ledger::finished`](crate::Ledger::finished) is still due.
@@ -102,14 +102,14 @@
     /// Give the answer to the caller of this attempt.
     Answer {
         /// The attempt.
-        ticket: u64,
+        attempt_id: u64,
         /// The answer, as it was given to [`Ledger::finished`](crate::Ledger::finished).
         answer: Arc<[u8]>,
     },
     /// Refuse the attempt.
     Refuse {
         /// The attempt.
-        ticket: u64,
+        attempt_id: u64,
         /// Whether the request ran.
         run: RunStatus,
         /// Why.
@@ -123,7 +123,9 @@
     /// Attempt that this action tells something.
     pub(crate) fn told(&self) -> Option<u64> {
         match self {
-            Action::Answer { ticket, .. } | Action::Refuse { ticket, .. } => Some(*ticket),
+            Action::Answer { attempt_id, .. } | Action::Refuse { attempt_id, .. } => {
+                Some(*attempt_id)
+            }
             Action::SendMessage { .. } | Action::Dispatch { .. } | Action::Cancel { .. } => None,
         }
     }
--- a/crates/once/src/ledger/handover.rs
+++ b/crates/once/src/ledger/handover.rs
@@ -129,7 +129,7 @@
         stop.frozen = Some(Frozen {
             at: self.clock,
             until: self.clock + self.limits.handover_timeout,
-            again: self.clock + self.limits.resend_interval(),
+            again: self.clock + self.limits.nonzero_resend_interval(),
             epochs,
             totals,
             parts,
@@ -217,14 +217,14 @@
         // A request that is still at a target when the deadline comes may have run.
         let end = end_of(&record.state).unwrap_or_else(|| bare(EndKind::Unknown));
         Some(Handed {
-            caller: record.caller,
+            caller: record.fingerprint,
             end,
             key: key.to_string().into(),
         })
     }
 
     fn offer_again(&mut self, out: &mut Vec<Action>) {
-        let again = self.clock + self.limits.resend_interval();
+        let again = self.clock + self.limits.nonzero_resend_interval();
         let clock = self.clock;
         let Some(frozen) = self.stop.as_mut().and_then(|stop| stop.frozen.as_mut()) else {
             return;
@@ -323,7 +323,7 @@
         out: &mut Vec<Action>,
     ) {
         if record.state == State::Claiming || learns(&record.state) {
-            let mismatch = record.caller != handed.caller;
+            let mismatch = record.fingerprint != handed.caller;
             let end = if mismatch {
                 bare(EndKind::Mismatch)
             } else {
--- a/crates/once/src/ledger/mod.rs
+++ b/crates/once/src/ledger/mod.rs
@@ -122,7 +122,7 @@
 
     /// This host's side of a binding that a look-up gives at `now`.
     #[must_use]
-    pub fn seat(&self, now: Duration) -> Participant {
+    pub fn participant(&self, now: Duration) -> Participant {
         Participant {
             incarnation: self.me,
             epoch: self.epoch(now),
@@ -130,25 +130,25 @@
     }
 
     /// Takes a caller's request in.
-    pub fn request(&mut self, request: Request, now: Duration) -> Vec<Action> {
+    pub fn handle_request(&mut self, request: Request, now: Duration) -> Vec<Action> {
         self.input(now, |ledger, out| ledger.on_request(request, out))
     }
 
     /// Takes a message of another incarnation in. `from` is what the transport knows of the sender.
     ///
     /// A message that names no key of these two incarnations is ignored.
-    pub fn hear(&mut self, from: u64, message: Message, now: Duration) -> Vec<Action> {
+    pub fn handle_message(&mut self, from: u64, message: Message, now: Duration) -> Vec<Action> {
         self.input(now, |ledger, out| ledger.on_message(from, message, out))
     }
 
     /// Takes the end of a request in that [`Action::Dispatch`] gave out.
-    pub fn finished(&mut self, key: &Key, outcome: Outcome, now: Duration) -> Vec<Action> {
+    pub fn handle_outcome(&mut self, key: &Key, outcome: Outcome, now: Duration) -> Vec<Action> {
         self.input(now, |ledger, out| ledger.on_finished(key, outcome, out))
     }
 
     /// Forgets an attempt whose caller is gone; nothing that comes out from now on names it.
-    pub fn cancel(&mut self, ticket: u64, now: Duration) -> Vec<Action> {
-        self.input(now, |ledger, out| ledger.on_cancel(ticket, out))
+    pub fn cancel(&mut self, attempt_id: u64, now: Duration) -> Vec<Action> {
+        self.input(now, |ledger, out| ledger.on_cancel(attempt_id, out))
     }
 
     /// Notes that an incarnation is gone for good, or seems to be: what waits for it is answered
@@ -169,7 +169,7 @@
 
     /// Whether a planned stop has come to its end: the process may exit.
     #[must_use]
-    pub fn stopped(&self) -> bool {
+    pub fn is_stopped(&self) -> bool {
         self.stop.as_ref().is_some_and(Stop::is_over)
     }
 
@@ -189,7 +189,7 @@
 
     /// What the ledger holds.
     #[must_use]
-    pub fn counts(&self) -> LedgerStats {
+    pub fn stats(&self) -> LedgerStats {
         LedgerStats {
             records: self.table.records(),
             open: self.table.open_records(),
@@ -286,7 +286,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.table.records() >= self.limits.records
+        self.table.records() >= self.limits.max_records
     }
 
     /// Puts a record back, unless its epoch has ended and nobody waits for it any more.
@@ -302,7 +302,7 @@
 
     /// Adds an attempt that waits for the key's end.
     fn join(&mut self, key: &Key, record: &mut Record, waiter: Waiter) {
-        self.table.add_ticket(waiter.ticket, key.clone());
+        self.table.add_ticket(waiter.attempt_id, key.clone());
         record.waiters.push(waiter);
     }
 }
--- a/crates/once/src/ledger/request.rs
+++ b/crates/once/src/ledger/request.rs
@@ -15,7 +15,7 @@
             // A client library may send an attempt again by itself, on a new connection to the same
             // address: the process that ran the first copy may be the one whose place this is.
             self.refuse(
-                request.ticket,
+                request.attempt_id,
                 RunStatus::Unknown,
                 RefusalReason::WrongIncarnation,
                 None,
@@ -48,28 +48,35 @@
     ) {
         let key = &request.key;
         let elsewhere = self.elsewhere(role, request);
-        let ticket = request.ticket;
-        if record.caller != request.caller && !self.limits.faults.any_caller {
+        let attempt_id = request.attempt_id;
+        if record.fingerprint != request.fingerprint && !self.limits.faults.any_caller {
             // Whoever came first with the key holds it on this side for as long as the epoch is
             // held, so no attempt of this caller's runs here.
             self.refuse(
-                ticket,
+                attempt_id,
                 no_if(!elsewhere),
                 RefusalReason::Mismatch,
                 None,
                 out,
             );
-        } else if record.waiters.len() >= self.limits.waiters {
-            let retry_after = Some(self.limits.ask_timeout);
+        } else if record.waiters.len() >= self.limits.max_waiters {
+            let retry_after = Some(self.limits.answer_timeout);
             self.refuse(
-                ticket,
+                attempt_id,
                 RunStatus::Unknown,
                 RefusalReason::TooManyWaiters,
                 retry_after,
                 out,
             );
         } else {
-            self.join(key, &mut record, Waiter { ticket, elsewhere });
+            self.join(
+                key,
+                &mut record,
+                Waiter {
+                    attempt_id,
+                    elsewhere,
+                },
+            );
             self.serve_known(key, &mut record, out);
         }
         self.put(key.clone(), record);
@@ -93,14 +100,21 @@
             if reason == RefusalReason::LedgerFull && self.is_full() {
                 self.shut();
             }
-            self.refuse(request.ticket, run, reason, retry_after, out);
+            self.refuse(request.attempt_id, run, reason, retry_after, out);
             return;
         }
         let elsewhere = self.elsewhere(role, &request);
         let key = request.key;
-        let mut record = Record::open(request.caller, State::Claiming);
-        let ticket = request.ticket;
-        self.join(&key, &mut record, Waiter { ticket, elsewhere });
+        let mut record = Record::open(request.fingerprint, State::Claiming);
+        let attempt_id = request.attempt_id;
+        self.join(
+            &key,
+            &mut record,
+            Waiter {
+                attempt_id,
+                elsewhere,
+            },
+        );
         let needs_claim = role == Role::Owner && !key.is_solo() && !self.is_handed(&key);
         if !needs_claim || self.limits.faults.skip_claim {
             self.send(&key, &mut record, out);
--- a/crates/once/src/ledger/run.rs
+++ b/crates/once/src/ledger/run.rs
@@ -15,7 +15,7 @@
         record.state = State::Running;
         out.extend(record.waiters.first().map(|waiter| Action::Dispatch {
             key: key.clone(),
-            ticket: waiter.ticket,
+            attempt_id: waiter.attempt_id,
         }));
     }
 
@@ -48,7 +48,7 @@
                 self.give(key, record, EndKind::Closed, out);
                 for waiter in std::mem::take(&mut record.waiters) {
                     self.refuse(
-                        waiter.ticket,
+                        waiter.attempt_id,
                         RunStatus::No,
                         RefusalReason::NotRun,
                         retry_after,
@@ -59,16 +59,18 @@
         }
     }
 
-    pub(super) fn on_cancel(&mut self, ticket: u64, out: &mut Vec<Action>) {
-        let Some(key) = self.table.end_ticket(ticket) else {
+    pub(super) fn on_cancel(&mut self, attempt_id: u64, out: &mut Vec<Action>) {
+        let Some(key) = self.table.end_ticket(attempt_id) else {
             // It may have timed out with this very input: nobody is there to be told.
-            out.retain(|action| action.told() != Some(ticket));
+            out.retain(|action| action.told() != Some(attempt_id));
             return;
         };
         let Some(mut record) = self.table.take(&key) else {
             return;
         };
-        record.waiters.retain(|waiter| waiter.ticket != ticket);
+        record
+            .waiters
+            .retain(|waiter| waiter.attempt_id != attempt_id);
         if record.waiters.is_empty() {
             match record.state {
                 State::Claiming => {}
--- a/crates/once/src/ledger/settle.rs
+++ b/crates/once/src/ledger/settle.rs
@@ -49,9 +49,9 @@
             self.tell_end(key, end, out);
         }
         for waiter in mem::take(&mut record.waiters) {
-            self.table.end_ticket(waiter.ticket);
+            self.table.end_ticket(waiter.attempt_id);
             out.push(Action::Answer {
-                ticket: waiter.ticket,
+                attempt_id: waiter.attempt_id,
                 answer: Arc::clone(answer),
             });
         }
@@ -94,7 +94,7 @@
         record.waiters = unsure;
         for waiter in sure {
             self.refuse(
-                waiter.ticket,
+                waiter.attempt_id,
                 RunStatus::No,
                 RefusalReason::Closed,
                 None,
@@ -111,11 +111,11 @@
     /// Refuses those who wait for the other side's word, which did not come.
     pub(super) fn refuse_silent(&mut self, record: &mut Record, out: &mut Vec<Action>) {
         record.pending = None;
-        let retry_after = Some(self.limits.ask_timeout);
+        let retry_after = Some(self.limits.answer_timeout);
         for waiter in mem::take(&mut record.waiters) {
             let run = RunStatus::Unknown;
             self.refuse(
-                waiter.ticket,
+                waiter.attempt_id,
                 run,
                 RefusalReason::PeerTimeout,
                 retry_after,
@@ -133,21 +133,21 @@
     ) {
         record.pending = None;
         for waiter in mem::take(&mut record.waiters) {
-            self.refuse(waiter.ticket, run, reason, None, out);
+            self.refuse(waiter.attempt_id, run, reason, None, out);
         }
     }
 
     pub(super) fn refuse(
         &mut self,
-        ticket: u64,
+        attempt_id: u64,
         run: RunStatus,
         reason: RefusalReason,
         retry_after: Option<Duration>,
         out: &mut Vec<Action>,
     ) {
-        self.table.end_ticket(ticket);
+        self.table.end_ticket(attempt_id);
         out.push(Action::Refuse {
-            ticket,
+            attempt_id,
             run,
             reason,
             retry_after,
@@ -203,7 +203,7 @@
     /// State that holds an answer, if it may be held.
     pub(super) fn hold(&mut self, key: &Key, answer: Arc<[u8]>) -> State {
         let room = self.limits.answer_bytes;
-        if answer.len() > self.limits.answer_max.min(room) {
+        if answer.len() > self.limits.max_answer_bytes.min(room) {
             return State::Dropped;
         }
         self.table.hold(key, answer, room)
--- a/crates/once/src/ledger/table.rs
+++ b/crates/once/src/ledger/table.rs
@@ -161,12 +161,12 @@
         self.timers.iter().map(|(_, key)| key)
     }
 
-    pub(crate) fn add_ticket(&mut self, ticket: u64, key: Key) {
-        self.tickets.insert(ticket, key);
+    pub(crate) fn add_ticket(&mut self, attempt_id: u64, key: Key) {
+        self.tickets.insert(attempt_id, key);
     }
 
-    pub(crate) fn end_ticket(&mut self, ticket: u64) -> Option<Key> {
-        self.tickets.remove(&ticket)
+    pub(crate) fn end_ticket(&mut self, attempt_id: u64) -> Option<Key> {
+        self.tickets.remove(&attempt_id)
     }
 
     pub(crate) fn records(&self) -> usize {
--- a/crates/once/src/ledger/time.rs
+++ b/crates/once/src/ledger/time.rs
@@ -31,14 +31,14 @@
 
     /// Oldest epoch held.
     pub(super) fn oldest(&self) -> u64 {
-        let before = self.limits.epochs_held.saturating_sub(1);
+        let before = self.limits.retained_epochs.saturating_sub(1);
         self.epoch(self.clock).saturating_sub(before)
     }
 
     /// Forgets peers that no key of an epoch still held can name. To forget one is safe: its keys
     /// are asked for again, and closed when no answer comes.
     fn forget_peers(&mut self) {
-        let epochs = u32::try_from(self.limits.epochs_held).unwrap_or(u32::MAX);
+        let epochs = u32::try_from(self.limits.retained_epochs).unwrap_or(u32::MAX);
         let keep = self
             .limits
             .epoch_length
@@ -75,7 +75,7 @@
             interval,
             ..pending
         }));
-        self.tell_talk(key, record.caller, pending.talk, out);
+        self.tell_talk(key, record.fingerprint, pending.talk, out);
     }
 
     /// Starts a talk with the other side.
@@ -88,15 +88,15 @@
     ) {
         let timeout = match talk {
             Talk::Claim => self.limits.claim_timeout,
-            Talk::Close | Talk::Ask => self.limits.ask_timeout,
+            Talk::Close | Talk::Ask => self.limits.answer_timeout,
         };
         record.pending = Some(Box::new(Pending {
             talk,
             until: self.clock + timeout,
-            again: self.clock + self.limits.resend_interval(),
-            interval: self.limits.resend_interval(),
+            again: self.clock + self.limits.nonzero_resend_interval(),
+            interval: self.limits.nonzero_resend_interval(),
         }));
-        self.tell_talk(key, record.caller, talk, out);
+        self.tell_talk(key, record.fingerprint, talk, out);
     }
 
     fn tell_talk(&self, key: &Key, caller: u64, talk: Talk, out: &mut Vec<Action>) {
--- a/crates/once/src/ledger/witness.rs
+++ b/crates/once/src/ledger/witness.rs
@@ -10,7 +10,7 @@
 
 impl Ledger {
     /// The owner asks for the claim. A grant is for good: this side never runs the request then.
-    pub(super) fn on_claim(&mut self, key: Key, caller: u64, out: &mut Vec<Action>) {
+    pub(super) fn on_claim(&mut self, key: Key, fingerprint: u64, out: &mut Vec<Action>) {
         if self.role(&key) != Role::Witness {
             return;
         }
@@ -27,18 +27,18 @@
         let to = key.owner.incarnation;
         out.push(Action::SendMessage { to, message });
         if verdict == Verdict::Granted && self.table.get(&key).is_none() {
-            self.put(key, Record::open(caller, State::Claimed));
+            self.put(key, Record::open(fingerprint, State::Claimed));
         }
     }
 
     /// The owner has closed the key and asks this side to do so.
-    pub(super) fn on_close(&mut self, key: &Key, caller: u64, out: &mut Vec<Action>) {
+    pub(super) fn on_close(&mut self, key: &Key, fingerprint: u64, out: &mut Vec<Action>) {
         if self.role(key) != Role::Witness {
             return;
         }
         let closing = match self.table.take(key) {
             Some(record) => self.close_known(key, record, out),
-            None => self.close_new(key, caller),
+            None => self.close_new(key, fingerprint),
         };
         let message = Message::CloseAnswer(CloseAnswer {
             closing,
@@ -61,7 +61,7 @@
         closing
     }
 
-    fn close_new(&mut self, key: &Key, caller: u64) -> Closing {
+    fn close_new(&mut self, key: &Key, fingerprint: u64) -> Closing {
         if self.epoch_standing(key) != EpochStanding::Held {
             return Closing::Unknown;
         }
@@ -74,17 +74,17 @@
             return Closing::Closed;
         }
         let closed = State::Closed(Other::Never);
-        self.put(key.clone(), Record::open(caller, closed));
+        self.put(key.clone(), Record::open(fingerprint, closed));
         Closing::Closed
     }
 
     /// The other side asks how the key ended.
-    pub(super) fn on_ask(&mut self, key: &Key, caller: u64, out: &mut Vec<Action>) {
+    pub(super) fn on_ask(&mut self, key: &Key, fingerprint: u64, out: &mut Vec<Action>) {
         let Some(mut record) = self.table.take(key) else {
             self.tell_end(key, bare(EndKind::Unknown), out);
             return;
         };
-        if record.caller != caller {
+        if record.fingerprint != fingerprint {
             self.tell_end(key, bare(EndKind::Mismatch), out);
         } else if record.state == State::Claimed {
             self.tell_end(key, bare(EndKind::Unknown), out);
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -8,25 +8,29 @@
 //! ```
 //! use std::time::Duration;
 //!
-//! use dunlinrock_once::{Action, PriorAttempts, Key, Ledger, Limits, Outcome, Request};
+//! use dunlinrock_once::{Action, Key, Ledger, Limits, Outcome, PriorAttempts, Request};
 //!
 //! let now = Duration::ZERO;
 //! let mut owner = Ledger::open(11, Limits::default(), now);
 //! let mut witness = Ledger::open(22, Limits::default(), now);
-//! let key = Key::bind(owner.seat(now), witness.seat(now), "nonce-1").unwrap();
+//! let key = Key::bind(owner.participant(now), witness.participant(now), "nonce-1").unwrap();
 //!
 //! // A caller's request makes the owner ask the witness for the claim.
-//! let request = Request { key: key.clone(), caller: 7, attempts: PriorAttempts::NONE, ticket: 1 };
-//! let Action::SendMessage { to: 22, message } = owner.request(request, now).remove(0) else { panic!() };
-//! let Action::SendMessage { to: 11, message } = witness.hear(11, message, now).remove(0) else { panic!() };
+//! let attempts = PriorAttempts::NONE;
+//! let request = Request { key: key.clone(), fingerprint: 7, attempts, attempt_id: 1 };
+//! let mut actions = owner.handle_request(request, now);
+//! let Action::SendMessage { to: 22, message } = actions.remove(0) else { panic!() };
+//! let mut actions = witness.handle_message(11, message, now);
+//! let Action::SendMessage { to: 11, message } = actions.remove(0) else { panic!() };
 //!
 //! // The witness grants it: the request may go to a target, once.
-//! let actions = owner.hear(22, message, now);
-//! assert_eq!(actions, [Action::Dispatch { key: key.clone(), ticket: 1 }]);
+//! let actions = owner.handle_message(22, message, now);
+//! assert_eq!(actions, [Action::Dispatch { key: key.clone(), attempt_id: 1 }]);
 //!
 //! // Its answer goes to the caller, and to every retry with the same key.
-//! let actions = owner.finished(&key, Outcome::Answered(b"seat 4".as_slice().into()), now);
-//! assert!(matches!(&actions[..], [Action::Answer { ticket: 1, .. }]));
+//! let outcome = Outcome::Answered(b"seat 4".as_slice().into());
+//! let actions = owner.handle_outcome(&key, outcome, now);
+//! assert!(matches!(&actions[..], [Action::Answer { attempt_id: 1, .. }]));
 //! ```
 
 mod action;
--- a/crates/once/src/limits.rs
+++ b/crates/once/src/limits.rs
@@ -6,27 +6,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Limits {
     /// Most records. A full ledger turns requests away before they start, and refuses claims.
-    pub records: usize,
+    pub max_records: usize,
     /// Most bytes of answers held for replay. The oldest answers are dropped beyond it.
     pub answer_bytes: usize,
     /// Longest answer that is held for replay, in bytes.
-    pub answer_max: usize,
+    pub max_answer_bytes: usize,
     /// Most attempts that wait for one key.
-    pub waiters: usize,
+    pub max_waiters: usize,
     /// How long the owner waits for the witness's word on a claim before it closes the key.
     pub claim_timeout: Duration,
     /// How long a side waits for the other's answer before it says `unknown`.
-    pub ask_timeout: Duration,
+    pub answer_timeout: Duration,
     /// Time after which an unanswered message is sent again; doubles with each further one.
-    pub resend: Duration,
-    /// Length of an epoch. A key is served for `epochs_held - 1` to `epochs_held` of them after its
+    pub resend_interval: Duration,
+    /// Length of an epoch. A key is served for `retained_epochs - 1` to `retained_epochs` of them after its
     /// look-up, which has to cover the time a look-up is cached and a caller goes on trying.
     pub epoch_length: Duration,
     /// Epochs held, the present one included. At least 2, or a key could end as it is given out.
     ///
-    /// `records` has to hold what comes in `epoch_length * epochs_held`: two records, one on each
+    /// `records` has to hold what comes in `epoch_length * retained_epochs`: two records, one on each
     /// side, for each keyed request.
-    pub epochs_held: u64,
+    pub retained_epochs: u64,
     /// How long a stopping host offers its records to peers that do not answer.
     pub handover_timeout: Duration,
     /// Most records in a part of a hand-over.
@@ -39,23 +39,23 @@
 
 impl Limits {
     /// Time to the first repetition of a message; never zero, which would repeat it without end.
-    pub(crate) fn resend_interval(&self) -> Duration {
-        self.resend.max(Duration::from_millis(1))
+    pub(crate) fn nonzero_resend_interval(&self) -> Duration {
+        self.resend_interval.max(Duration::from_millis(1))
     }
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            records: 200_000,
+            max_records: 200_000,
             answer_bytes: 64 << 20,
-            answer_max: 64 << 10,
-            waiters: 8,
+            max_answer_bytes: 64 << 10,
+            max_waiters: 8,
             claim_timeout: Duration::from_millis(250),
-            ask_timeout: Duration::from_secs(5),
-            resend: Duration::from_millis(100),
+            answer_timeout: Duration::from_secs(5),
+            resend_interval: Duration::from_millis(100),
             epoch_length: Duration::from_secs(120),
-            epochs_held: 3,
+            retained_epochs: 3,
             handover_timeout: Duration::from_secs(3),
             part_records: 256,
             part_bytes: 64 << 10,
--- a/crates/once/src/record.rs
+++ b/crates/once/src/record.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Waiter {
     /// The attempt.
-    pub(crate) ticket: u64,
+    pub(crate) attempt_id: u64,
     /// Whether the caller may have reached the other side with an earlier attempt.
     pub(crate) elsewhere: bool,
 }
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Record {
     /// Fingerprint of the caller and its request; only an attempt with the same one is served.
-    pub(crate) caller: u64,
+    pub(crate) fingerprint: u64,
     /// Where the key stands.
     pub(crate) state: State,
     /// Attempts that wait. None in a final state, but where `pending` is a close or an ask.
@@ -95,9 +95,9 @@
 }
 
 impl Record {
-    pub(crate) fn open(caller: u64, state: State) -> Record {
+    pub(crate) fn open(fingerprint: u64, state: State) -> Record {
         Record {
-            caller,
+            fingerprint,
             state,
             waiters: Vec::new(),
             pending: None,
