--- a/crates/once/src/ledger/mod.rs
+++ b/crates/once/src/ledger/mod.rs
@@ -23,7 +23,7 @@
 
 use self::{handover::Stop, table::Table};
 use crate::{
-    Action, Key, Limits, Outcome, Request, Seat,
+    Action, Key, Limits, Outcome, Participant, Request,
     record::{Record, Waiter},
 };
 
@@ -64,7 +64,7 @@
 
 /// What a ledger holds, for metrics and dumps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct LedgerStats {
     /// Records held.
     pub records: usize,
     /// Records whose end is still to come on this side: claiming, or sent to a target.
@@ -122,33 +122,33 @@
 
     /// This host's side of a binding that a look-up gives at `now`.
     #[must_use]
-    pub fn seat(&self, now: Duration) -> Seat {
-        Seat {
+    pub fn participant(&self, now: Duration) -> Participant {
+        Participant {
             incarnation: self.me,
             epoch: self.epoch(now),
         }
     }
 
     /// Takes a caller's request in.
-    pub fn request(&mut self, request: Request, now: Duration) -> Vec<Action> {
+    pub fn handle_request(&mut self, request: Request, now: Duration) -> Vec<Action> {
         self.input(now, |ledger, out| ledger.on_request(request, out))
     }
 
     /// Takes a message of another incarnation in. `from` is what the transport knows of the sender.
     ///
     /// A message that names no key of these two incarnations is ignored.
-    pub fn hear(&mut self, from: u64, message: Message, now: Duration) -> Vec<Action> {
+    pub fn handle_message(&mut self, from: u64, message: Message, now: Duration) -> Vec<Action> {
         self.input(now, |ledger, out| ledger.on_message(from, message, out))
     }
 
-    /// Takes the end of a request in that [`Action::Send`] gave out.
-    pub fn finished(&mut self, key: &Key, outcome: Outcome, now: Duration) -> Vec<Action> {
+    /// Takes the end of a request in that [`Action::Dispatch`] gave out.
+    pub fn handle_outcome(&mut self, key: &Key, outcome: Outcome, now: Duration) -> Vec<Action> {
         self.input(now, |ledger, out| ledger.on_finished(key, outcome, out))
     }
 
     /// Forgets an attempt whose caller is gone; nothing that comes out from now on names it.
-    pub fn cancel(&mut self, ticket: u64, now: Duration) -> Vec<Action> {
-        self.input(now, |ledger, out| ledger.on_cancel(ticket, out))
+    pub fn cancel(&mut self, attempt_id: u64, now: Duration) -> Vec<Action> {
+        self.input(now, |ledger, out| ledger.on_cancel(attempt_id, out))
     }
 
     /// Notes that an incarnation is gone for good, or seems to be: what waits for it is answered
@@ -169,7 +169,7 @@
 
     /// Whether a planned stop has come to its end: the process may exit.
     #[must_use]
-    pub fn stopped(&self) -> bool {
+    pub fn is_stopped(&self) -> bool {
         self.stop.as_ref().is_some_and(Stop::is_over)
     }
 
@@ -189,8 +189,8 @@
 
     /// What the ledger holds.
     #[must_use]
-    pub fn counts(&self) -> Counts {
-        Counts {
+    pub fn stats(&self) -> LedgerStats {
+        LedgerStats {
             records: self.table.records(),
             open: self.table.open_records(),
             waiting: self.table.waiting(),
@@ -286,7 +286,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.table.records() >= self.limits.records
+        self.table.records() >= self.limits.max_records
     }
 
     /// Puts a record back, unless its epoch has ended and nobody waits for it any more.
@@ -302,7 +302,7 @@
 
     /// Adds an attempt that waits for the key's end.
     fn join(&mut self, key: &Key, record: &mut Record, waiter: Waiter) {
-        self.table.add_ticket(waiter.ticket, key.clone());
+        self.table.add_ticket(waiter.attempt_id, key.clone());
         record.waiters.push(waiter);
     }
 }
@@ -314,7 +314,7 @@
 /// then never name one that has not begun, and of the three epochs held one or two are left. A clock that
 /// is wrong by more costs a refused key and a new look-up, never a second run.
 #[must_use]
-pub fn named_epoch(started: Duration, now: Duration, length: Duration) -> u64 {
+pub fn estimate_epoch(started: Duration, now: Duration, length: Duration) -> u64 {
     let lived = now.saturating_sub(started).as_nanos();
     let epoch = lived / length.as_nanos().max(1);
     u64::try_from(epoch).unwrap_or(u64::MAX).saturating_sub(1)
--- a/crates/once/src/ledger/run.rs
+++ b/crates/once/src/ledger/run.rs
@@ -4,7 +4,7 @@
 
 use super::Ledger;
 use crate::{
-    Action, Key, Outcome, Reason, Run,
+    Action, Key, Outcome, RefusalReason, RunStatus,
     record::{Other, Record, State},
 };
 
@@ -13,9 +13,9 @@
     pub(super) fn send(&mut self, key: &Key, record: &mut Record, out: &mut Vec<Action>) {
         record.pending = None;
         record.state = State::Running;
-        out.extend(record.waiters.first().map(|waiter| Action::Send {
+        out.extend(record.waiters.first().map(|waiter| Action::Dispatch {
             key: key.clone(),
-            ticket: waiter.ticket,
+            attempt_id: waiter.attempt_id,
         }));
     }
 
@@ -38,7 +38,7 @@
                 self.settle_answer(key, record, &answer, out);
                 record.state = self.hold(key, answer);
             }
-            Outcome::Lost => {
+            Outcome::Indeterminate => {
                 record.state = State::Lost;
                 self.settle(key, record, out);
             }
@@ -47,27 +47,35 @@
                 record.state = State::Closed(Other::Never);
                 self.give(key, record, EndKind::Closed, out);
                 for waiter in std::mem::take(&mut record.waiters) {
-                    self.refuse(waiter.ticket, Run::No, Reason::NotRun, retry_after, out);
+                    self.refuse(
+                        waiter.attempt_id,
+                        RunStatus::No,
+                        RefusalReason::NotRun,
+                        retry_after,
+                        out,
+                    );
                 }
             }
         }
     }
 
-    pub(super) fn on_cancel(&mut self, ticket: u64, out: &mut Vec<Action>) {
-        let Some(key) = self.table.end_ticket(ticket) else {
+    pub(super) fn on_cancel(&mut self, attempt_id: u64, out: &mut Vec<Action>) {
+        let Some(key) = self.table.end_ticket(attempt_id) else {
             // It may have timed out with this very input: nobody is there to be told.
-            out.retain(|action| action.told() != Some(ticket));
+            out.retain(|action| action.told() != Some(attempt_id));
             return;
         };
         let Some(mut record) = self.table.take(&key) else {
             return;
         };
-        record.waiters.retain(|waiter| waiter.ticket != ticket);
+        record
+            .waiters
+            .retain(|waiter| waiter.attempt_id != attempt_id);
         if record.waiters.is_empty() {
             match record.state {
                 State::Claiming => {}
                 State::Running if record.asked => {}
-                State::Running => out.push(Action::Abandon { key: key.clone() }),
+                State::Running => out.push(Action::Cancel { key: key.clone() }),
                 _ => record.pending = None,
             }
         }
--- a/crates/once/src/ledger/settle.rs
+++ b/crates/once/src/ledger/settle.rs
@@ -6,7 +6,7 @@
 
 use super::Ledger;
 use crate::{
-    Action, Key, Reason, Run,
+    Action, Key, RefusalReason, RunStatus,
     record::{Other, Record, State, Talk, Waiter},
 };
 
@@ -18,11 +18,16 @@
             State::Answered { answer, .. } => self.settle_answer(key, record, &answer, out),
             State::Dropped => {
                 self.give(key, record, EndKind::Dropped, out);
-                self.refuse_all(record, Run::Yes, Reason::Dropped, out);
+                self.refuse_all(record, RunStatus::Yes, RefusalReason::AnswerEvicted, out);
             }
             State::Lost => {
                 self.give(key, record, EndKind::Unknown, out);
-                self.refuse_all(record, Run::Unknown, Reason::Lost, out);
+                self.refuse_all(
+                    record,
+                    RunStatus::Unknown,
+                    RefusalReason::Indeterminate,
+                    out,
+                );
             }
             State::Closed(other) => self.settle_closed(key, record, other, out),
         }
@@ -44,9 +49,9 @@
             self.tell_end(key, end, out);
         }
         for waiter in mem::take(&mut record.waiters) {
-            self.table.end_ticket(waiter.ticket);
+            self.table.end_ticket(waiter.attempt_id);
             out.push(Action::Answer {
-                ticket: waiter.ticket,
+                attempt_id: waiter.attempt_id,
                 answer: Arc::clone(answer),
             });
         }
@@ -88,7 +93,13 @@
             .partition(|waiter| dead || !waiter.elsewhere);
         record.waiters = unsure;
         for waiter in sure {
-            self.refuse(waiter.ticket, Run::No, Reason::Closed, None, out);
+            self.refuse(
+                waiter.attempt_id,
+                RunStatus::No,
+                RefusalReason::Closed,
+                None,
+                out,
+            );
         }
     }
 
@@ -100,37 +111,43 @@
     /// Refuses those who wait for the other side's word, which did not come.
     pub(super) fn refuse_silent(&mut self, record: &mut Record, out: &mut Vec<Action>) {
         record.pending = None;
-        let retry_after = Some(self.limits.ask_timeout);
+        let retry_after = Some(self.limits.answer_timeout);
         for waiter in mem::take(&mut record.waiters) {
-            let run = Run::Unknown;
-            self.refuse(waiter.ticket, run, Reason::OtherSilent, retry_after, out);
+            let run = RunStatus::Unknown;
+            self.refuse(
+                waiter.attempt_id,
+                run,
+                RefusalReason::PeerTimeout,
+                retry_after,
+                out,
+            );
         }
     }
 
     pub(super) fn refuse_all(
         &mut self,
         record: &mut Record,
-        run: Run,
-        reason: Reason,
+        run: RunStatus,
+        reason: RefusalReason,
         out: &mut Vec<Action>,
     ) {
         record.pending = None;
         for waiter in mem::take(&mut record.waiters) {
-            self.refuse(waiter.ticket, run, reason, None, out);
+            self.refuse(waiter.attempt_id, run, reason, None, out);
         }
     }
 
     pub(super) fn refuse(
         &mut self,
-        ticket: u64,
-        run: Run,
-        reason: Reason,
+        attempt_id: u64,
+        run: RunStatus,
+        reason: RefusalReason,
         retry_after: Option<Duration>,
         out: &mut Vec<Action>,
     ) {
-        self.table.end_ticket(ticket);
+        self.table.end_ticket(attempt_id);
         out.push(Action::Refuse {
-            ticket,
+            attempt_id,
             run,
             reason,
             retry_after,
@@ -155,7 +172,7 @@
         let key_text = key.to_string().into();
         let message = Message::AnswerGive(AnswerGive { end, key: key_text });
         let to = self.other(key);
-        out.push(Action::Tell { to, message });
+        out.push(Action::SendMessage { to, message });
     }
 
     /// Takes the other side's word on how the key ended, for a record that is taken out.
@@ -186,7 +203,7 @@
     /// State that holds an answer, if it may be held.
     pub(super) fn hold(&mut self, key: &Key, answer: Arc<[u8]>) -> State {
         let room = self.limits.answer_bytes;
-        if answer.len() > self.limits.answer_max.min(room) {
+        if answer.len() > self.limits.max_answer_bytes.min(room) {
             return State::Dropped;
         }
         self.table.hold(key, answer, room)
