--- a/crates/coord/src/member/mod.rs
+++ b/crates/coord/src/member/mod.rs
@@ -18,15 +18,15 @@
 //! ```
 //! use std::time::Duration;
 //!
-//! use dunlinrock_coord::member::{HostState, Me, Membership, Timings};
+//! use dunlinrock_coord::member::{HostState, LocalMember, Membership, Timings};
 //! use dunlinrock_schema::store::Listing;
 //!
-//! let me = Me {
+//! let me = LocalMember {
 //!     name: "h1".into(), incarnation: 1, region: "north".into(), domain: "n1".into(),
 //!     callers: "127.0.0.1:1".into(), peers: "127.0.0.1:2".into(),
 //! };
 //! let mut member = Membership::open(me, Timings::default(), Duration::ZERO);
-//! member.listing(Duration::ZERO, &Listing { hosts: vec![] });
+//! member.handle_listing(Duration::ZERO, &Listing { hosts: vec![] });
 //! assert!(member.caught_up());
 //! member.set_state(Duration::ZERO, HostState::Serving);
 //! assert_eq!(member.serving().len(), 1);
@@ -56,7 +56,7 @@
 pub use dunlinrock_schema::coord::HostState;
 
 pub use self::{
-    settings::{Me, Timings},
+    settings::{LocalMember, Timings},
     table::Host,
     topology::{SPEAKERS, WATCHERS},
 };
@@ -73,7 +73,7 @@
         message: Message,
     },
     /// A host's state or incarnation is another one.
-    Changed {
+    HostChanged {
         /// Which host.
         name: Arc<str>,
         /// Its incarnation.
@@ -82,7 +82,7 @@
         state: HostState,
     },
     /// Nothing is heard from a failure domain, or something again.
-    Silent {
+    DomainSilent {
         /// Which.
         domain: Arc<str>,
         /// Whether it is silent.
@@ -91,7 +91,7 @@
     /// A request or target that every host refuses or avoids for a time.
     Quarantined(Quarantine),
     /// A host holds this configuration revision; for [`follow`](crate::follow).
-    Revision {
+    PeerRevision {
         /// Which host.
         peer: Arc<str>,
         /// The revision.
@@ -105,7 +105,7 @@
         incarnation: u64,
     },
     /// An earlier process of this name had a higher incarnation; this one must begin anew above it.
-    Outnumbered {
+    HigherIncarnation {
         /// The earlier process's.
         incarnation: u64,
     },
@@ -114,7 +114,7 @@
 /// A membership of one host.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    me: Me,
+    me: LocalMember,
     timings: Timings,
     state: HostState,
     /// Counts up with each heartbeat and each refuted doubt.
@@ -200,7 +200,7 @@
 impl Membership {
     /// Begins as a starting host that knows nobody. Each host's rounds begin at a place of their
     /// own, so that hosts started together do not send together.
-    pub fn open(me: Me, timings: Timings, now: Duration) -> Self {
+    pub fn open(me: LocalMember, timings: Timings, now: Duration) -> Self {
         let place = rapidhash::v3::rapidhash_v3(me.name.as_bytes()) % 1000;
         let part = |time: Duration| now + time * place as u32 / 1000;
         let mut member = Self {
@@ -208,7 +208,7 @@
                 beat: now,
                 report: part(timings.report),
                 digest: part(timings.digest),
-                far: part(timings.far),
+                far: part(timings.relay_interval),
                 sync: now,
                 repeat: now,
             },
@@ -279,7 +279,7 @@
     }
 
     /// Takes the platform's list.
-    pub fn listing(&mut self, now: Duration, listing: &Listing) -> Vec<Action> {
+    pub fn handle_listing(&mut self, now: Duration, listing: &Listing) -> Vec<Action> {
         let mut out = Vec::new();
         self.notice_pause(now, &mut out);
         let (own, others): (Vec<_>, Vec<_>) = listing
@@ -324,7 +324,7 @@
         };
         self.table.introduce(&me, &self.me.domain, now);
         if let Some(host) = self.table.hosts.get_mut(&self.me.name) {
-            host.said = self.state;
+            host.reported_state = self.state;
             host.listed = true;
         }
     }
@@ -349,7 +349,7 @@
         self.superseded = Some(incarnation);
         out.push(match self.joined {
             true => Action::Superseded { incarnation },
-            false => Action::Outnumbered { incarnation },
+            false => Action::HigherIncarnation { incarnation },
         });
         out.push(Action::CaughtUp(false));
     }
--- a/crates/coord/src/member/receive.rs
+++ b/crates/coord/src/member/receive.rs
@@ -9,7 +9,7 @@
 impl Membership {
     /// Takes a message from another host. Messages about the configuration are none of its
     /// business and are ignored.
-    pub fn receive(&mut self, now: Duration, message: &Message) -> Vec<Action> {
+    pub fn handle_message(&mut self, now: Duration, message: &Message) -> Vec<Action> {
         let mut out = Vec::new();
         self.notice_pause(now, &mut out);
         match message {
@@ -97,7 +97,7 @@
 
     fn revision_came(&self, peer: &Arc<str>, revision: u64, out: &mut Vec<Action>) {
         if revision > self.revision {
-            out.push(Action::Revision {
+            out.push(Action::PeerRevision {
                 peer: peer.clone(),
                 revision,
             });
@@ -170,14 +170,14 @@
         let word = dunlinrock_schema::coord::StateWord {
             name: name.clone(),
             incarnation: host.incarnation,
-            beat: host.beat,
+            beat: host.heartbeat,
             state: HostState::Serving,
             by: name.clone(),
             turn: 0,
         };
         Some(dunlinrock_schema::coord::Rumor {
             origin: host.domain.clone(),
-            ttl_ms: self.timings.word.as_millis() as u64,
+            ttl_ms: self.timings.rumor_ttl.as_millis() as u64,
             word: dunlinrock_schema::coord::Word::State(word),
         })
     }
--- a/crates/coord/src/member/refresh.rs
+++ b/crates/coord/src/member/refresh.rs
@@ -17,7 +17,7 @@
     /// Tells the caller what changed, and works out anew who speaks to whom.
     pub(super) fn refresh(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.table
-            .forget(now, self.timings.gone * FORGET, &self.me.name);
+            .forget(now, self.timings.gone_after * FORGET, &self.me.name);
         self.count_live();
         let mut told = BTreeMap::new();
         for (name, host) in &self.table.hosts {
@@ -25,7 +25,7 @@
         }
         for (name, (incarnation, state)) in &told {
             if self.told.get(name) != Some(&(*incarnation, *state)) {
-                out.push(Action::Changed {
+                out.push(Action::HostChanged {
                     name: name.clone(),
                     incarnation: *incarnation,
                     state: *state,
@@ -58,7 +58,7 @@
             return;
         }
         self.told.insert(name.clone(), (incarnation, state));
-        out.push(Action::Changed {
+        out.push(Action::HostChanged {
             name: name.clone(),
             incarnation,
             state,
@@ -113,7 +113,7 @@
             }
         }
         for domain in silent.symmetric_difference(&self.told_silent) {
-            out.push(Action::Silent {
+            out.push(Action::DomainSilent {
                 domain: domain.clone(),
                 silent: silent.contains(domain),
             });
--- a/crates/coord/src/member/settings.rs
+++ b/crates/coord/src/member/settings.rs
@@ -4,7 +4,7 @@
 
 /// The host itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Me {
+pub struct LocalMember {
     /// Name.
     pub name: Arc<str>,
     /// Incarnation; higher than that of any earlier process under this name.
@@ -23,35 +23,35 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timings {
     /// Time between two heartbeats.
-    pub beat: Duration,
+    pub heartbeat: Duration,
     /// Silence after which a host is suspect; four heartbeats, of which any may be lost.
-    pub suspect: Duration,
+    pub suspect_after: Duration,
     /// Silence after which a host counts as gone.
-    pub gone: Duration,
+    pub gone_after: Duration,
     /// Time between two reports of facts that changed.
     pub report: Duration,
     /// Time between two digests to another domain.
     pub digest: Duration,
     /// Time between two rounds in which digests are passed on within a domain.
-    pub far: Duration,
+    pub relay_interval: Duration,
     /// Least time between two asks for missed words; half of it is the time for which another host's
     /// words must differ before it is asked, as a word on its way makes them differ for a moment.
     pub sync: Duration,
     /// Time for which a word of a state is passed on.
-    pub word: Duration,
+    pub rumor_ttl: Duration,
 }
 
 impl Default for Timings {
     fn default() -> Self {
         Self {
-            beat: Duration::from_millis(250),
-            suspect: Duration::from_secs(1),
-            gone: Duration::from_secs(3),
+            heartbeat: Duration::from_millis(250),
+            suspect_after: Duration::from_secs(1),
+            gone_after: Duration::from_secs(3),
             report: Duration::from_secs(8),
             digest: Duration::from_secs(1),
-            far: Duration::from_secs(10),
+            relay_interval: Duration::from_secs(10),
             sync: Duration::from_millis(500),
-            word: Duration::from_secs(30),
+            rumor_ttl: Duration::from_secs(30),
         }
     }
 }
--- a/crates/coord/src/member/spread.rs
+++ b/crates/coord/src/member/spread.rs
@@ -18,7 +18,7 @@
 
 impl Membership {
     /// Says to all hosts that a request or target is to be refused or avoided.
-    pub fn say(&mut self, now: Duration, word: Quarantine) -> Vec<Action> {
+    pub fn broadcast(&mut self, now: Duration, word: Quarantine) -> Vec<Action> {
         let mut out = Vec::new();
         self.start(now, Word::Quarantine(word), &mut out);
         out
@@ -53,7 +53,7 @@
         let word = StateWord {
             name: name.clone(),
             incarnation: host.incarnation,
-            beat: host.beat,
+            beat: host.heartbeat,
             state,
             by: self.me.name.clone(),
             turn,
@@ -82,7 +82,7 @@
     fn start(&mut self, now: Duration, word: Word, out: &mut Vec<Action>) {
         let ttl_ms = match &word {
             Word::Quarantine(word) => word.ttl_ms,
-            _ => self.timings.word.as_millis() as u64,
+            _ => self.timings.rumor_ttl.as_millis() as u64,
         };
         let rumor = Rumor {
             origin: self.me.domain.clone(),
@@ -145,12 +145,12 @@
 
     /// Puts a word into effect here; `false` for one that is known.
     fn take(&mut self, now: Duration, rumor: &Rumor, out: &mut Vec<Action>) -> bool {
-        if !self.words.take(rumor, now, self.timings.word) {
+        if !self.words.take(rumor, now, self.timings.rumor_ttl) {
             return false;
         }
         // A word that comes late lapses with those that came in time.
         let left = Duration::from_millis(rumor.ttl_ms);
-        let said = now.saturating_sub(self.timings.word.saturating_sub(left));
+        let said = now.saturating_sub(self.timings.rumor_ttl.saturating_sub(left));
         match &rumor.word {
             Word::State(word) if word.name == self.me.name => self.word_of_me(now, word, out),
             Word::State(word) => {
--- a/crates/coord/src/member/table.rs
+++ b/crates/coord/src/member/table.rs
@@ -25,13 +25,13 @@
     /// Address for hosts.
     pub peers: Arc<str>,
     /// Highest beat heard of, by anyone; never falls within an incarnation.
-    pub beat: u64,
+    pub heartbeat: u64,
     /// Configuration revision that it last named.
     pub revision: u64,
     /// Whether the platform lists it.
     pub listed: bool,
     /// What it last said of itself.
-    pub said: HostState,
+    pub reported_state: HostState,
     /// What hosts that do not hear it said last.
     ///
     /// A doubt lapses unless it is said again. The word that takes it back may be lost while this
@@ -62,20 +62,20 @@
             .doubts
             .values()
             .filter(|doubt| doubt.word.1 == HostState::Gone);
-        if self.said == HostState::Gone || gone.count() >= watchers.clamp(1, 2) {
+        if self.reported_state == HostState::Gone || gone.count() >= watchers.clamp(1, 2) {
             return HostState::Gone;
         }
-        if !self.doubts.is_empty() && self.said != HostState::Leaving {
+        if !self.doubts.is_empty() && self.reported_state != HostState::Leaving {
             return HostState::Suspect;
         }
-        self.said
+        self.reported_state
     }
 
     fn fresh(&mut self, incarnation: u64, now: Duration) {
         self.incarnation = incarnation;
-        self.beat = 0;
+        self.heartbeat = 0;
         self.revision = 0;
-        self.said = self.first();
+        self.reported_state = self.first();
         self.doubts.clear();
         self.heard = now;
     }
@@ -96,26 +96,28 @@
         self.region = region.clone();
         self.domain = domain.clone();
         self.near = **domain == *mine;
-        if unknown && self.said == HostState::Starting {
-            self.said = self.first();
+        if unknown && self.reported_state == HostState::Starting {
+            self.reported_state = self.first();
         }
     }
 
     /// Takes a sign of life; `false` for an old one.
     fn sign(&mut self, incarnation: u64, beat: u64, now: Duration) -> bool {
-        if incarnation < self.incarnation || (incarnation == self.incarnation && beat < self.beat) {
+        if incarnation < self.incarnation
+            || (incarnation == self.incarnation && beat < self.heartbeat)
+        {
             return false;
         }
         if incarnation > self.incarnation {
             self.fresh(incarnation, now);
         }
-        if beat > self.beat {
+        if beat > self.heartbeat {
             // A newer beat refutes the doubts of those who heard only older ones. Not all doubts:
             // words come in any order, and an old sign of life may follow the word of its end.
             self.doubts.retain(|_, doubt| doubt.word.0 >= beat);
             self.heard = now;
         }
-        self.beat = beat;
+        self.heartbeat = beat;
         true
     }
 }
@@ -151,8 +153,8 @@
                 host.peers = new.peers.clone();
             }
             host.listed = true;
-            if new.leaving && host.said != HostState::Gone {
-                host.said = HostState::Leaving;
+            if new.leaving && host.reported_state != HostState::Gone {
+                host.reported_state = HostState::Leaving;
             }
         }
     }
@@ -182,7 +184,7 @@
         // Heartbeats come from this domain only.
         host.near = true;
         if host.sign(beat.incarnation, beat.beat, now) {
-            host.said = settle(host.said, beat.state);
+            host.reported_state = settle(host.reported_state, beat.state);
             host.revision = host.revision.max(beat.revision);
         }
     }
@@ -203,14 +205,14 @@
         let old = host.clone();
         if *word.by == *word.name {
             if host.sign(word.incarnation, word.beat, now) {
-                host.said = settle(host.said, word.state);
+                host.reported_state = settle(host.reported_state, word.state);
             }
         } else if !matches!(word.state, HostState::Suspect | HostState::Gone) {
             // One that watches it hears it again.
             if host.sign(word.incarnation, word.beat, now) {
-                host.said = settle(host.said, word.state);
+                host.reported_state = settle(host.reported_state, word.state);
             }
-        } else if word.incarnation == host.incarnation && word.beat >= host.beat {
+        } else if word.incarnation == host.incarnation && word.beat >= host.heartbeat {
             // Words come in any order. An older doubt that came after the word that the host is
             // gone would take that word back, and nobody would say it again.
             let new = Doubt {
@@ -264,10 +266,10 @@
         domain: "".into(),
         callers: "".into(),
         peers: "".into(),
-        beat: 0,
+        heartbeat: 0,
         revision: 0,
         listed: false,
-        said: HostState::Starting,
+        reported_state: HostState::Starting,
         doubts: BTreeMap::new(),
         near: false,
         heard: now,
--- a/crates/coord/src/member/tick.rs
+++ b/crates/coord/src/member/tick.rs
@@ -60,7 +60,7 @@
         let Some(since) = self.asking.filter(|_| self.listed) else {
             return;
         };
-        if now > since + self.timings.gone * ALONE {
+        if now > since + self.timings.gone_after * ALONE {
             // Nobody answers: the others are dead or cut off, and who can hear this host needs it.
             self.heard_from_others(out);
         } else if now >= self.due.sync {
@@ -84,13 +84,13 @@
             };
             let silence = now.saturating_sub(host.heard.max(*since));
             // Said again at half the time after which others let it lapse.
-            let turn = silence.as_millis() * 2 / self.timings.word.as_millis().max(1);
-            if silence >= self.timings.gone {
+            let turn = silence.as_millis() * 2 / self.timings.rumor_ttl.as_millis().max(1);
+            if silence >= self.timings.gone_after {
                 words.push((name.clone(), (HostState::Gone, turn as u64)));
-            } else if silence >= self.timings.suspect {
+            } else if silence >= self.timings.suspect_after {
                 words.push((name.clone(), (HostState::Suspect, 0)));
             } else if self.doubted.contains(name) {
-                words.push((name.clone(), (host.said, 0)));
+                words.push((name.clone(), (host.reported_state, 0)));
             }
         }
         for (name, word) in words {
@@ -109,11 +109,11 @@
         if now < self.due.repeat {
             return;
         }
-        self.due.repeat = now + self.timings.word / LAPSES;
-        for name in self.table.lapse(now, self.timings.word) {
+        self.due.repeat = now + self.timings.rumor_ttl / LAPSES;
+        for name in self.table.lapse(now, self.timings.rumor_ttl) {
             self.refresh_one(now, &name, out);
         }
-        let word = self.timings.word;
+        let word = self.timings.rumor_ttl;
         for voices in self.silent.values_mut() {
             voices.retain(|_, voice| now < voice.said + word);
         }
@@ -127,10 +127,10 @@
         let expected = self.topology.expected.clone();
         for domain in &expected {
             let heard = *self.direct.entry(domain.clone()).or_insert(now);
-            let silent = now >= heard + self.timings.gone;
+            let silent = now >= heard + self.timings.gone_after;
             let me = &self.me.name;
             let said = self.silent.get(domain).and_then(|said| said.get(me));
-            let again = said.is_some_and(|voice| now >= voice.said + self.timings.word / 2);
+            let again = said.is_some_and(|voice| now >= voice.said + self.timings.rumor_ttl / 2);
             if said.is_some_and(|voice| voice.silent) != silent || (silent && again) {
                 self.say_domain(now, domain, silent, out);
             }
@@ -153,7 +153,7 @@
         if now < self.due.beat {
             return;
         }
-        self.due.beat = now + self.timings.beat;
+        self.due.beat = now + self.timings.heartbeat;
         self.beat += 1;
         let beat = Beat {
             name: self.me.name.clone(),
@@ -279,7 +279,7 @@
         if now < self.due.far {
             return;
         }
-        self.due.far = now + self.timings.far;
+        self.due.far = now + self.timings.relay_interval;
         let mut heard = std::mem::take(&mut self.heard);
         heard.retain(|domain, _| self.topology.passed.contains(domain));
         if heard.is_empty() {
--- a/crates/coord/src/member/view.rs
+++ b/crates/coord/src/member/view.rs
@@ -4,11 +4,11 @@
 
 use dunlinrock_schema::coord::{Digest, HostState, Quarantine, Report};
 
-use super::{Host, Me, Membership};
+use super::{Host, LocalMember, Membership};
 
 impl Membership {
     /// The host itself.
-    pub fn me(&self) -> &Me {
+    pub fn me(&self) -> &LocalMember {
         &self.me
     }
 
@@ -30,7 +30,7 @@
     }
 
     pub(super) fn paused(&self, now: Duration) -> bool {
-        now > self.last_tick + self.timings.suspect
+        now > self.last_tick + self.timings.suspect_after
     }
 
     /// The later incarnation of this host, if there is one.
@@ -74,7 +74,7 @@
     }
 
     /// Whether nothing is heard from a failure domain.
-    pub fn is_silent(&self, domain: &str) -> bool {
+    pub fn is_domain_silent(&self, domain: &str) -> bool {
         self.told_silent.contains(domain)
     }
 
@@ -98,7 +98,7 @@
     ///
     /// It lags behind by up to the time between two rounds of digests, and never runs ahead of a
     /// host that is known to serve.
-    pub fn lowest(&self) -> Option<u64> {
+    pub fn lowest_revision(&self) -> Option<u64> {
         let inside = self.revisions().min().unwrap_or(self.revision);
         let others = self
             .domains
--- a/crates/node/src/duties/control/peering.rs
+++ b/crates/node/src/duties/control/peering.rs
@@ -8,7 +8,7 @@
 };
 
 use dunlinrock_coord::{
-    member::{Host, HostState, Me, Membership, Timings},
+    member::{Host, HostState, LocalMember, Membership, Timings},
     once::named_epoch,
 };
 use dunlinrock_schema::{
@@ -21,16 +21,16 @@
 /// Times of the membership, from the settings; the rest as the coordination crate chose them.
 pub(super) fn timings(timing: &TimingSettings) -> Timings {
     Timings {
-        beat: Duration::from_millis(timing.heartbeat_ms),
-        suspect: Duration::from_millis(timing.suspect_ms),
-        gone: Duration::from_millis(timing.gone_ms),
+        heartbeat: Duration::from_millis(timing.heartbeat_ms),
+        suspect_after: Duration::from_millis(timing.suspect_ms),
+        gone_after: Duration::from_millis(timing.gone_ms),
         ..Timings::default()
     }
 }
 
 /// This host, as it introduces itself.
-pub(super) fn introduce(me: &Member) -> Me {
-    Me {
+pub(super) fn introduce(me: &Member) -> LocalMember {
+    LocalMember {
         name: Arc::clone(&me.name),
         incarnation: me.incarnation,
         region: Arc::clone(&me.region),
@@ -60,7 +60,8 @@
             && usable
         {
             member.leaving = state == HostState::Leaving;
-            member.suspect = state == HostState::Suspect || membership.is_silent(&member.domain);
+            member.suspect =
+                state == HostState::Suspect || membership.is_domain_silent(&member.domain);
             member.epoch = epoch(member.incarnation, epoch_ms);
             members.insert(Arc::clone(name), Arc::new(member));
         }
@@ -74,7 +75,7 @@
     let hosts = membership.hosts().iter().filter(|(name, host)| {
         let state = membership.state_of(name);
         let there = !matches!(state, HostState::Suspect | HostState::Gone);
-        there && !host.region.is_empty() && !membership.is_silent(&host.domain)
+        there && !host.region.is_empty() && !membership.is_domain_silent(&host.domain)
     });
     hosts.map(|(_, host)| Arc::clone(&host.region)).collect()
 }
--- a/crates/node/src/duties/control/state.rs
+++ b/crates/node/src/duties/control/state.rs
@@ -131,7 +131,7 @@
         let now = self.shared.now();
         match result {
             Done::Listing(listing) => {
-                let actions = self.membership.listing(now, &listing);
+                let actions = self.membership.handle_listing(now, &listing);
                 self.act(actions);
             }
             Done::Root(root) => {
@@ -227,7 +227,7 @@
                 self.follow(actions);
             }
             message => {
-                let actions = self.membership.receive(now, &message);
+                let actions = self.membership.handle_message(now, &message);
                 self.act(actions);
             }
         }
@@ -240,7 +240,7 @@
         for action in actions {
             match action {
                 member::Action::Send { to, message } => self.send(&to, &message),
-                member::Action::Changed {
+                member::Action::HostChanged {
                     name,
                     incarnation,
                     state,
@@ -251,7 +251,7 @@
                         self.shared.ledger.deliver(ledger::Input::Gone(incarnation));
                     }
                 }
-                member::Action::Silent { domain, silent } => {
+                member::Action::DomainSilent { domain, silent } => {
                     changed = true;
                     log::warn!(domain = &*domain, silent = silent; "domain");
                 }
@@ -260,7 +260,7 @@
                         self.hear_words(&[word], now);
                     }
                 }
-                member::Action::Revision { peer, revision } => {
+                member::Action::PeerRevision { peer, revision } => {
                     self.follower.heard(now, &peer, revision);
                 }
                 member::Action::CaughtUp(caught_up) => {
@@ -272,7 +272,7 @@
                         self.steering.restart();
                     }
                 }
-                member::Action::Outnumbered { incarnation } => {
+                member::Action::HigherIncarnation { incarnation } => {
                     log::warn!(
                         incarnation = self.shared.me.incarnation, earlier = incarnation;
                         "an earlier process of this host has the higher number, by its clock; begun anew"
@@ -389,7 +389,7 @@
             .collect();
         self.reports = reports;
         for word in self.hear_words(&words, now) {
-            let actions = self.membership.say(now, words::write(&word));
+            let actions = self.membership.broadcast(now, words::write(&word));
             self.act(actions);
         }
     }
