--- a/crates/coord/src/follow/goal.rs
+++ b/crates/coord/src/follow/goal.rs
@@ -4,7 +4,7 @@
 
 use dunlinrock_schema::coord::Root;
 
-use super::{ASK_PIECES, Source, copy::Copy};
+use super::{ASK_PIECES, Source, snapshot::Snapshot};
 use crate::pieces::{Diff, Hash, Pieces, TreeError, diff};
 
 /// What a goal needs next.
@@ -92,13 +92,13 @@
         }
     }
 
-    pub(super) fn next(&mut self, copy: Option<&Copy>, now: Duration, retry: Duration) -> Next {
+    pub(super) fn next(&mut self, copy: Option<&Snapshot>, now: Duration, retry: Duration) -> Next {
         let Some(tree) = Hash::read(&self.root.now.tree) else {
             return Next::Drop;
         };
         let held = |hash: &Hash| copy.and_then(|copy| copy.pieces.get(hash));
         let get = |hash: &Hash| self.got.get(hash).or_else(|| held(hash)).cloned();
-        let missing: BTreeSet<Hash> = match diff(copy.and_then(Copy::tree), tree, &get) {
+        let missing: BTreeSet<Hash> = match diff(copy.and_then(Snapshot::tree), tree, &get) {
             Ok(diff) => {
                 let lacking = diff.fresh.iter().filter(|hash| get(hash).is_none());
                 let lacking: BTreeSet<_> = lacking.copied().collect();
--- a/crates/coord/src/follow/mod.rs
+++ b/crates/coord/src/follow/mod.rs
@@ -19,22 +19,22 @@
 //! let mut follower = Follower::open(Timings::default());
 //! assert!(!follower.ready());
 //! let peer = Source::Peer("h2".into());
-//! let asks = follower.root(Duration::ZERO, peer.clone(), root);
-//! assert!(matches!(asks[0], Action::AskPieces { .. }));
-//! let switch = follower.pieces(Duration::ZERO, &peer, split.pieces.into_values().collect());
-//! assert!(matches!(switch[0], Action::Switch(_)));
+//! let asks = follower.handle_root(Duration::ZERO, peer.clone(), root);
+//! assert!(matches!(asks[0], Action::FetchPieces { .. }));
+//! let switch = follower.handle_pieces(Duration::ZERO, &peer, split.pieces.into_values().collect());
+//! assert!(matches!(switch[0], Action::Update(_)));
 //! assert_eq!(follower.revision(), 7);
 //! ```
 
-mod copy;
 mod goal;
+mod snapshot;
 
 use std::{sync::Arc, time::Duration};
 
 use dunlinrock_schema::coord::{Entry, PieceAsk, Root, RootGive};
 
-pub use self::copy::Copy;
 use self::goal::{Goal, Next};
+pub use self::snapshot::Snapshot;
 use crate::pieces::{Diff, Hash};
 
 /// Pieces asked for at once: under 230 KB in an answer, at most 1.8 KB each.
@@ -56,7 +56,7 @@
     pub retry: Duration,
     /// Wait after word of a newer revision before it is asked for: it is most likely on its way
     /// down the [spread tree](crate::relay).
-    pub patience: Duration,
+    pub hint_delay: Duration,
     /// Time between two looks at a source when nothing is heard.
     pub poll: Duration,
 }
@@ -65,7 +65,7 @@
     fn default() -> Self {
         Self {
             retry: Duration::from_secs(1),
-            patience: Duration::from_millis(500),
+            hint_delay: Duration::from_millis(500),
             poll: Duration::from_secs(10),
         }
     }
@@ -75,34 +75,34 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Read the root, or ask a peer for a newer one than `revision`.
-    AskRoot {
+    FetchRoot {
         /// Whom.
         from: Source,
         /// Revision that is held; 0 for none.
         revision: u64,
     },
     /// Read pieces, or ask a peer for them.
-    AskPieces {
+    FetchPieces {
         /// Whom.
         from: Source,
         /// Which.
         hashes: Vec<Hash>,
     },
     /// A newer configuration is whole; put it in force.
-    Switch(Switch),
+    Update(Update),
 }
 
 /// A step from one revision to a later one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Switch {
+pub struct Update {
     /// Revision held before; 0 for none.
-    pub before: u64,
+    pub old_revision: u64,
     /// The apply now in force.
     pub entry: Entry,
-    /// What changed; its leaves can be read from [`Switch::old`] and [`Follower::copy`].
+    /// What changed; its leaves can be read from [`Update::removed`] and [`Follower::snapshot`].
     pub diff: Diff,
     /// The pieces that the copy dropped, for [`patch`](crate::pieces::patch).
-    pub old: crate::pieces::Pieces,
+    pub removed: crate::pieces::Pieces,
 }
 
 /// A host's copy and its way to the next.
@@ -110,7 +110,7 @@
 pub struct Follower {
     timings: Timings,
     /// Whole, and never replaced by an older one.
-    copy: Option<Copy>,
+    snapshot: Option<Snapshot>,
     goal: Option<Goal>,
     /// Whom to ask for a root, best first.
     upstreams: Vec<Source>,
@@ -127,7 +127,7 @@
     pub fn open(timings: Timings) -> Self {
         Self {
             timings,
-            copy: None,
+            snapshot: None,
             goal: None,
             upstreams: Vec::new(),
             turn: 0,
@@ -138,21 +138,23 @@
 
     /// Whether there is a copy to steer by.
     pub fn ready(&self) -> bool {
-        self.copy.is_some()
+        self.snapshot.is_some()
     }
 
     /// Revision of the copy; 0 for none.
     pub fn revision(&self) -> u64 {
-        self.copy.as_ref().map_or(0, |copy| copy.root.now.revision)
+        self.snapshot
+            .as_ref()
+            .map_or(0, |copy| copy.root.now.revision)
     }
 
     /// The copy.
-    pub fn copy(&self) -> Option<&Copy> {
-        self.copy.as_ref()
+    pub fn snapshot(&self) -> Option<&Snapshot> {
+        self.snapshot.as_ref()
     }
 
-    /// Sets whom to ask for a root, best first, as [`relay::plan`](crate::relay::plan) gives them.
-    pub fn follow(&mut self, upstreams: Vec<Source>) {
+    /// Sets whom to ask for a root, best first, as [`relay::role`](crate::relay::role) gives them.
+    pub fn set_upstreams(&mut self, upstreams: Vec<Source>) {
         if self.upstreams != upstreams {
             self.upstreams = upstreams;
             self.turn = 0;
@@ -160,7 +162,7 @@
     }
 
     /// Takes a root.
-    pub fn root(&mut self, now: Duration, from: Source, root: Root) -> Vec<Action> {
+    pub fn handle_root(&mut self, now: Duration, from: Source, root: Root) -> Vec<Action> {
         let revision = root.now.revision;
         if revision <= self.revision() {
             return Vec::new();
@@ -177,7 +179,7 @@
     }
 
     /// Takes a root with pieces that came along.
-    pub fn give(&mut self, now: Duration, from: Source, give: RootGive) -> Vec<Action> {
+    pub fn handle_root_give(&mut self, now: Duration, from: Source, give: RootGive) -> Vec<Action> {
         if give.root.now.revision <= self.revision() {
             return Vec::new();
         }
@@ -193,11 +195,16 @@
             }
         }
         self.goal = goal;
-        self.root(now, from, give.root)
+        self.handle_root(now, from, give.root)
     }
 
     /// Takes the answer to an ask for pieces; what the source does not hold is left out.
-    pub fn pieces(&mut self, now: Duration, from: &Source, pieces: Vec<Arc<[u8]>>) -> Vec<Action> {
+    pub fn handle_pieces(
+        &mut self,
+        now: Duration,
+        from: &Source,
+        pieces: Vec<Arc<[u8]>>,
+    ) -> Vec<Action> {
         let Some(goal) = &mut self.goal else {
             return Vec::new();
         };
@@ -206,7 +213,7 @@
     }
 
     /// Notes that a source did not answer.
-    pub fn failed(&mut self, now: Duration, from: &Source) -> Vec<Action> {
+    pub fn handle_failure(&mut self, now: Duration, from: &Source) -> Vec<Action> {
         if let Some(goal) = &mut self.goal {
             goal.failed(from);
         }
@@ -214,10 +221,10 @@
     }
 
     /// Takes word, from a heartbeat or a digest, that a peer holds a revision.
-    pub fn heard(&mut self, now: Duration, peer: &Arc<str>, revision: u64) {
+    pub fn handle_peer_revision(&mut self, now: Duration, peer: &Arc<str>, revision: u64) {
         let known = self.word.as_ref().map_or(0, |(known, ..)| *known);
         if revision > self.revision().max(known) {
-            let due = now + self.timings.patience;
+            let due = now + self.timings.hint_delay;
             self.word = Some((revision, Source::Peer(peer.clone()), due));
         }
     }
@@ -253,16 +260,16 @@
 
     fn ask(&self, from: Source) -> Action {
         let revision = self.revision();
-        Action::AskRoot { from, revision }
+        Action::FetchRoot { from, revision }
     }
 
     fn advance(&mut self, now: Duration) -> Vec<Action> {
         let Some(goal) = &mut self.goal else {
             return Vec::new();
         };
-        match goal.next(self.copy.as_ref(), now, self.timings.retry) {
+        match goal.next(self.snapshot.as_ref(), now, self.timings.retry) {
             Next::Wait => Vec::new(),
-            Next::Ask(from, hashes) => vec![Action::AskPieces { from, hashes }],
+            Next::Ask(from, hashes) => vec![Action::FetchPieces { from, hashes }],
             Next::Drop => {
                 self.goal = None;
                 Vec::new()
@@ -275,26 +282,26 @@
         let Some(goal) = self.goal.take() else {
             return Vec::new();
         };
-        let before = self.revision();
+        let old_revision = self.revision();
         let entry = goal.root.now.clone();
-        let copy = self.copy.get_or_insert_with(Copy::default);
-        let old = copy.switch(goal.root, goal.got, &diff);
-        vec![Action::Switch(Switch {
-            before,
+        let copy = self.snapshot.get_or_insert_with(Snapshot::default);
+        let removed = copy.switch(goal.root, goal.got, &diff);
+        vec![Action::Update(Update {
+            old_revision,
             entry,
             diff,
-            old,
+            removed,
         })]
     }
 
     /// What to give to a host that holds `revision`: nothing where it is not behind.
-    pub fn give_after(&self, me: &Arc<str>, revision: u64) -> Option<RootGive> {
-        self.copy.as_ref()?.give_after(me, revision)
+    pub fn root_since(&self, me: &Arc<str>, revision: u64) -> Option<RootGive> {
+        self.snapshot.as_ref()?.root_since(me, revision)
     }
 
     /// The pieces of an ask that are held.
-    pub fn held(&self, ask: &PieceAsk) -> Vec<Vec<u8>> {
-        let Some(copy) = &self.copy else {
+    pub fn pieces_for(&self, ask: &PieceAsk) -> Vec<Vec<u8>> {
+        let Some(copy) = &self.snapshot else {
             return Vec::new();
         };
         ask.hashes
--- a/crates/coord/src/follow/copy.rs
+++ b/crates/coord/src/follow/snapshot.rs
@@ -16,7 +16,7 @@
 
 /// A whole configuration in pieces.
 #[derive(Clone, Debug)]
-pub struct Copy {
+pub struct Snapshot {
     /// The root that names it.
     pub root: Root,
     /// Its pieces, all of them and no others.
@@ -25,7 +25,7 @@
     fresh: BTreeMap<u64, BTreeSet<Hash>>,
 }
 
-impl Default for Copy {
+impl Default for Snapshot {
     fn default() -> Self {
         let now = Entry {
             revision: 0,
@@ -48,7 +48,7 @@
     }
 }
 
-impl Copy {
+impl Snapshot {
     /// Hash of the topmost index piece.
     pub fn tree(&self) -> Option<Hash> {
         Hash::read(&self.root.now.tree)
@@ -84,7 +84,7 @@
     }
 
     /// The root with the pieces that are new since `revision`, where those are few.
-    pub(super) fn give_after(&self, me: &Arc<str>, revision: u64) -> Option<RootGive> {
+    pub(super) fn root_since(&self, me: &Arc<str>, revision: u64) -> Option<RootGive> {
         if self.root.now.revision <= revision {
             return None;
         }
--- a/crates/coord/src/relay/mod.rs
+++ b/crates/coord/src/relay/mod.rs
@@ -13,8 +13,8 @@
 //!
 //! let members: BTreeMap<Arc<str>, Arc<str>> =
 //!     (0..49).map(|n| (format!("h{n}").into(), "d1".into())).collect();
-//! let plans: Vec<_> = members.keys().map(|me| relay::plan(me, &members)).collect();
-//! assert_eq!(plans.iter().filter(|plan| plan.watch).count(), relay::RELAYS);
+//! let plans: Vec<_> = members.keys().map(|me| relay::role(me, &members)).collect();
+//! assert_eq!(plans.iter().filter(|plan| plan.watches_store).count(), relay::RELAYS);
 //! assert!(plans.iter().all(|plan| plan.children.len() <= relay::FAN_OUT));
 //! ```
 
@@ -33,9 +33,9 @@
 
 /// A host's part in the spread of changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct RelayRole {
     /// Whether it watches the store.
-    pub watch: bool,
+    pub watches_store: bool,
     /// Whom it asks, best first.
     pub upstreams: Vec<Source>,
     /// Hosts to which it passes a change on.
@@ -43,13 +43,13 @@
 }
 
 /// The part of host `me` among members, given with their failure domains.
-pub fn plan(me: &Arc<str>, members: &BTreeMap<Arc<str>, Arc<str>>) -> Plan {
+pub fn role(me: &Arc<str>, members: &BTreeMap<Arc<str>, Arc<str>>) -> RelayRole {
     let domain = members.get(me).cloned().unwrap_or_else(|| "".into());
     let ranked = rank(&domain, members);
     let place = ranked.iter().position(|name| name == me);
-    let watch = place.is_none_or(|place| place < RELAYS);
+    let watches_store = place.is_none_or(|place| place < RELAYS);
     let mut upstreams = Vec::new();
-    if watch {
+    if watches_store {
         upstreams.push(Source::Store);
     }
     let parent = place
@@ -70,8 +70,8 @@
         }
         None => Vec::new(),
     };
-    Plan {
-        watch,
+    RelayRole {
+        watches_store,
         upstreams,
         children,
     }
--- a/crates/node/src/duties/control/following.rs
+++ b/crates/node/src/duties/control/following.rs
@@ -8,7 +8,7 @@
 
 use anyhow::Context;
 use dunlinrock_coord::{
-    follow::{Copy, Switch},
+    follow::{Snapshot, Update},
     pieces::{self, Leaf},
 };
 use dunlinrock_decide::steer::Blocks;
@@ -39,7 +39,7 @@
     }
 
     /// Makes what `copy` holds, taking over what `switch` did not change. Whole or not at all.
-    pub(super) fn next(&self, switch: &Switch, copy: &Copy) -> anyhow::Result<InForce> {
+    pub(super) fn next(&self, switch: &Update, copy: &Snapshot) -> anyhow::Result<InForce> {
         let tree = copy.tree().context("the copy names no tree")?;
         let listed = pieces::list(tree, &copy.pieces)?;
         let mut config = Config::default();
--- a/crates/node/src/duties/control/state.rs
+++ b/crates/node/src/duties/control/state.rs
@@ -54,7 +54,7 @@
     caller: Caller,
     membership: Membership,
     follower: Follower,
-    plan: relay::Plan,
+    plan: relay::RelayRole,
     watching: watch::Sender<bool>,
     /// What this host announces on the platform's list; nothing once it has ended.
     announced: watch::Sender<Option<Listed>>,
@@ -93,7 +93,7 @@
             caller,
             membership: Membership::open(me, peering::timings(&shared.timing), now),
             follower: Follower::open(follow::Timings::default()),
-            plan: relay::plan(&shared.me.name, &BTreeMap::new()),
+            plan: relay::role(&shared.me.name, &BTreeMap::new()),
             watching,
             announced,
             in_force: InForce::open(),
@@ -135,15 +135,15 @@
                 self.act(actions);
             }
             Done::Root(root) => {
-                let actions = self.follower.root(now, Source::Store, root);
+                let actions = self.follower.handle_root(now, Source::Store, root);
                 self.follow(actions);
             }
             Done::Pieces(from, pieces) => {
-                let actions = self.follower.pieces(now, &from, pieces);
+                let actions = self.follower.handle_pieces(now, &from, pieces);
                 self.follow(actions);
             }
             Done::Failed(from) => {
-                let actions = self.follower.failed(now, &from);
+                let actions = self.follower.handle_failure(now, &from);
                 self.follow(actions);
             }
             Done::Answer(from, frame) => self.answered(&from, &frame),
@@ -191,12 +191,12 @@
         }
         match &message {
             Message::RootAsk(ask) => {
-                let give = self.follower.give_after(&self.shared.me.name, ask.revision);
+                let give = self.follower.root_since(&self.shared.me.name, ask.revision);
                 give.map_or(Reply::Taken, |give| encoded(&Message::RootGive(give)))
             }
             Message::PieceAsk(ask) => {
                 let name = Arc::clone(&self.shared.me.name);
-                let pieces = self.follower.held(ask);
+                let pieces = self.follower.pieces_for(ask);
                 encoded(&Message::PieceGive(PieceGive { name, pieces }))
             }
             _ => {
@@ -218,12 +218,14 @@
         match message {
             Message::RootGive(give) => {
                 let from = Source::Peer(Arc::clone(&give.name));
-                let actions = self.follower.give(now, from, give);
+                let actions = self.follower.handle_root_give(now, from, give);
                 self.follow(actions);
             }
             Message::PieceGive(give) => {
                 let pieces = give.pieces.into_iter().map(Arc::from).collect();
-                let actions = self.follower.pieces(now, &Source::Peer(give.name), pieces);
+                let actions = self
+                    .follower
+                    .handle_pieces(now, &Source::Peer(give.name), pieces);
                 self.follow(actions);
             }
             message => {
@@ -261,7 +263,7 @@
                     }
                 }
                 member::Action::PeerRevision { peer, revision } => {
-                    self.follower.heard(now, &peer, revision);
+                    self.follower.handle_peer_revision(now, &peer, revision);
                 }
                 member::Action::CaughtUp(caught_up) => {
                     changed = true;
@@ -304,24 +306,24 @@
     fn follow(&mut self, actions: Vec<follow::Action>) {
         for action in actions {
             match action {
-                follow::Action::AskRoot {
+                follow::Action::FetchRoot {
                     from: Source::Store,
                     ..
                 } => self.caller.read_root(),
-                follow::Action::AskRoot {
+                follow::Action::FetchRoot {
                     from: Source::Peer(to),
                     revision,
                 } => {
                     let name = Arc::clone(&self.shared.me.name);
                     self.send(&to, &Message::RootAsk(RootAsk { name, revision }));
                 }
-                follow::Action::AskPieces {
+                follow::Action::FetchPieces {
                     from: Source::Store,
                     hashes,
                 } => {
                     self.caller.read_pieces(hashes);
                 }
-                follow::Action::AskPieces {
+                follow::Action::FetchPieces {
                     from: Source::Peer(to),
                     hashes,
                 } => {
@@ -330,14 +332,14 @@
                     let ask = dunlinrock_schema::coord::PieceAsk { name, hashes };
                     self.send(&to, &Message::PieceAsk(ask));
                 }
-                follow::Action::Switch(switch) => self.switch(&switch),
+                follow::Action::Update(switch) => self.switch(&switch),
             }
         }
     }
 
     /// Puts a newer configuration in force, and passes it on.
-    fn switch(&mut self, switch: &follow::Switch) {
-        let Some(copy) = self.follower.copy() else {
+    fn switch(&mut self, switch: &follow::Update) {
+        let Some(copy) = self.follower.snapshot() else {
             return;
         };
         let next = match self.in_force.next(switch, copy) {
@@ -358,7 +360,7 @@
         self.steering.limit(&self.in_force.config);
         if let Some(give) = self
             .follower
-            .give_after(&self.shared.me.name, switch.before)
+            .root_since(&self.shared.me.name, switch.old_revision)
         {
             let message = Message::RootGive(give);
             for child in self.plan.children.clone() {
@@ -371,12 +373,12 @@
 
     /// Works out again whether this host watches the store, and whom it asks and tells.
     fn replan(&mut self) {
-        let plan = relay::plan(&self.shared.me.name, &self.membership.members());
+        let plan = relay::role(&self.shared.me.name, &self.membership.members());
         if plan != self.plan {
             self.plan = plan;
-            self.follower.follow(self.plan.upstreams.clone());
+            self.follower.set_upstreams(self.plan.upstreams.clone());
         }
-        let watch = self.plan.watch && self.leave.is_none();
+        let watch = self.plan.watches_store && self.leave.is_none();
         self.watching
             .send_if_modified(|on| std::mem::replace(on, watch) != watch);
     }
@@ -553,7 +555,7 @@
 
     /// Revisions and ids of the applies that the root held here lists, newest first.
     fn applies(&self) -> Vec<Value> {
-        let root = self.follower.copy().map(|copy| &copy.root);
+        let root = self.follower.snapshot().map(|copy| &copy.root);
         let entries = root
             .into_iter()
             .flat_map(|root| std::iter::once(&root.now).chain(&root.recent));
@@ -568,7 +570,7 @@
             "applies": self.applies(),
             "caught_up": self.membership.caught_up(),
             "state": self.membership.state().to_string(),
-            "watches_store": self.plan.watch,
+            "watches_store": self.plan.watches_store,
             "tells": self.plan.children,
             "lost_regions": self.steering.lost(),
             "hosts": self.membership.hosts().iter().map(|(name, host)| json!({
