--- a/crates/coord/src/follow/copy.rs
+++ b/crates/coord/src/follow/snapshot.rs
@@ -16,7 +16,7 @@
 
 /// A whole configuration in pieces.
 #[derive(Clone, Debug)]
-pub struct Copy {
+pub struct Snapshot {
     /// The root that names it.
     pub root: Root,
     /// Its pieces, all of them and no others.
@@ -25,7 +25,7 @@
     fresh: BTreeMap<u64, BTreeSet<Hash>>,
 }
 
-impl Default for Copy {
+impl Default for Snapshot {
     fn default() -> Self {
         let now = Entry {
             revision: 0,
@@ -48,7 +48,7 @@
     }
 }
 
-impl Copy {
+impl Snapshot {
     /// Hash of the topmost index piece.
     pub fn tree(&self) -> Option<Hash> {
         Hash::read(&self.root.now.tree)
@@ -58,7 +58,7 @@
     pub(super) fn switch(&mut self, root: Root, got: Pieces, forward: &Diff) -> Pieces {
         let from = self.tree();
         let to = Hash::read(&root.now.tree);
-        let wanted = |hash: &Hash| forward.fresh.contains(hash);
+        let wanted = |hash: &Hash| forward.new_pieces.contains(hash);
         self.pieces
             .extend(got.into_iter().filter(|(hash, _)| wanted(hash)));
         let mut old = Pieces::new();
@@ -67,14 +67,14 @@
             // A leaf holds the names of its rows and an index piece those of its children, so no
             // piece stands in two places, and what one place drops nobody else needs.
             let back = diff(Some(to), from, &get).unwrap_or_default();
-            for hash in back.fresh.difference(&forward.fresh) {
+            for hash in back.new_pieces.difference(&forward.new_pieces) {
                 old.extend(self.pieces.remove_entry(hash));
             }
         }
         let revision = root.now.revision;
         // A first copy is all fresh, and far too much to be given along.
         if self.root.now.revision > 0 {
-            self.fresh.insert(revision, forward.fresh.clone());
+            self.fresh.insert(revision, forward.new_pieces.clone());
         }
         while self.fresh.len() > FRESH_REVISIONS {
             self.fresh.pop_first();
@@ -84,7 +84,7 @@
     }
 
     /// The root with the pieces that are new since `revision`, where those are few.
-    pub(super) fn give_after(&self, me: &Arc<str>, revision: u64) -> Option<RootGive> {
+    pub(super) fn root_since(&self, me: &Arc<str>, revision: u64) -> Option<RootGive> {
         if self.root.now.revision <= revision {
             return None;
         }
