--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -6,7 +6,7 @@
 //! ```
 //! use std::{collections::BTreeMap, time::Duration};
 //!
-//! use dunlinrock_decide::steer::{Blocks, Goals, Shares};
+//! use dunlinrock_decide::steer::{Blocks, DesiredSplits, TrafficSplit};
 //! use dunlinrock_schema::config::Config;
 //!
 //! let config: Config = serde_json::from_str(
@@ -28,11 +28,11 @@
 //! assert_eq!(blocks.find("10.32.0.1".parse().unwrap()).map(|r| &**r), Some("cluj"));
 //!
 //! // A host that heard all its peers, none of which has shares, starts from the goal.
-//! let goals = Goals::open(&config, &Default::default());
-//! let mut shares = Shares::open();
+//! let goals = DesiredSplits::open(&config, &Default::default());
+//! let mut shares = TrafficSplit::open();
 //! assert!(!shares.ready());
-//! shares.hear(&[]);
-//! shares.steer(&goals, &Default::default(), Duration::ZERO);
+//! shares.update_peers(&[]);
+//! shares.advance(&goals, &Default::default(), Duration::ZERO);
 //! assert!(shares.ready());
 //! ```
 //!
--- a/crates/edge/src/front/lanes.rs
+++ b/crates/edge/src/front/lanes.rs
@@ -48,7 +48,7 @@
 impl Lane {
     fn open(target: Arc<Target>) -> Lane {
         Lane {
-            seed: hash::text(&target.id),
+            seed: hash::hash_str(&target.id),
             target,
             aside: RefCell::new(SetAside::open()),
             cold: RefCell::new(ColdRate::open()),
--- a/crates/edge/src/front/mod.rs
+++ b/crates/edge/src/front/mod.rs
@@ -150,7 +150,7 @@
         }
     };
     let front = Rc::new(Front {
-        seed: hash::text(&shared.settings.name),
+        seed: hash::hash_str(&shared.settings.name),
         lanes: Lanes::default(),
         idle: Rc::default(),
         links: Links::open(shared.settings.connections.most_kept()),
--- a/crates/edge/src/front/place.rs
+++ b/crates/edge/src/front/place.rs
@@ -6,7 +6,7 @@
     admit::direct::ColdRules,
     steer::{
         affinity::{self, Candidate, Choice},
-        hash::{mix, text, unit},
+        hash::{hash_str, mix64, to_unit_f64},
     },
 };
 
@@ -47,7 +47,7 @@
 /// Identifies an object on a route: a run on one route does not warm another.
 pub(super) fn object(route: &Route, name: Option<&str>) -> u64 {
     match name {
-        Some(name) => mix(text(name) ^ mix(text(&route.prefix))),
+        Some(name) => mix64(hash_str(name) ^ mix64(hash_str(&route.prefix))),
         None => rand::random(),
     }
 }
@@ -56,7 +56,7 @@
 /// a change of weights moves only the difference.
 pub(super) fn part(route: &Route, object: u64) -> Option<&Arc<str>> {
     let total: f64 = route.parts.iter().map(|p| p.weight).sum();
-    let mut point = unit(mix(object)) * total;
+    let mut point = to_unit_f64(mix64(object)) * total;
     for part in &route.parts {
         point -= part.weight;
         if point < 0.0 {
@@ -92,7 +92,7 @@
             let cold = known[index].cold > now;
             if cold && !self.admits_cold(view, service, &lanes[index], now) {
                 held.push(index);
-                candidates[index].sound = false;
+                candidates[index].healthy = false;
                 continue;
             }
             let busy = candidates[index].busy;
@@ -117,12 +117,12 @@
         let way = self.ways.borrow().get(&known.region).copied();
         let way = way.unwrap_or_default().as_secs_f64();
         Candidate {
-            way: way / route.objective.as_secs_f64().max(f64::MIN_POSITIVE),
-            seed: lane.seed,
+            rtt_ratio: way / route.objective.as_secs_f64().max(f64::MIN_POSITIVE),
+            name_hash: lane.seed,
             slots: known.target.slots,
-            near: known.region == self.shared.settings.region,
+            is_local: known.region == self.shared.settings.region,
             busy: lane.busy(now),
-            sound: lane.aside.borrow().is_usable(now),
+            healthy: lane.aside.borrow().is_usable(now),
         }
     }
 
@@ -144,10 +144,10 @@
 
 /// Chooses among the candidates that are not held back.
 fn pick(route: &Route, point: u64, candidates: &[Candidate], held: &[usize]) -> Option<Choice> {
-    let rules = affinity::Rules::default();
+    let rules = affinity::AffinityConfig::default();
     let choice = match route.sticky {
-        true => affinity::choose(point, candidates, &rules)?,
-        false => affinity::spread(point, candidates, &rules)?,
+        true => affinity::choose_affine(point, candidates, &rules)?,
+        false => affinity::choose_least_loaded(point, candidates, &rules)?,
     };
     // With no sound one left the choice may fall on one that is held back.
     (!held.contains(&choice.index)).then_some(choice)
--- a/crates/edge/src/limits/roster.rs
+++ b/crates/edge/src/limits/roster.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use dunlinrock_decide::steer::hash::{mix, text};
+use dunlinrock_decide::steer::hash::{hash_str, mix64};
 
 use crate::model::HostEntry;
 
@@ -83,7 +83,7 @@
             };
             let same = known.filter(|known| known.created == *created);
             members.push(Member {
-                seed: text(&entry.name),
+                seed: hash_str(&entry.name),
                 entry: Arc::clone(entry),
                 created: *created,
                 since: known.map_or(new, |known| known.since),
@@ -164,10 +164,10 @@
 fn member<'a>(members: &'a [Member], workspace: &str, now: Duration) -> Option<&'a Member> {
     let settled = || members.iter().filter(|m| m.is_settled(now));
     let most = settled().map(|m| m.entry.power).max()?;
-    let workspace = text(workspace);
+    let workspace = hash_str(workspace);
     settled()
         .filter(|m| m.entry.power.saturating_mul(2) >= most)
-        .max_by_key(|m| mix(m.seed ^ workspace))
+        .max_by_key(|m| mix64(m.seed ^ workspace))
 }
 
 fn is_mass(members: &[Member], now: Duration) -> bool {
--- a/crates/node/src/dump/mod.rs
+++ b/crates/node/src/dump/mod.rs
@@ -132,5 +132,5 @@
 }
 
 fn shares(view: &View) -> Value {
-    json!(view.shares.rows())
+    json!(view.shares.table())
 }
--- a/crates/node/src/duties/control/following.rs
+++ b/crates/node/src/duties/control/following.rs
@@ -75,7 +75,10 @@
     }
 }
 
-fn add_blocks(builder: &mut dunlinrock_decide::steer::Builder, leaf: &Leaf) -> anyhow::Result<()> {
+fn add_blocks(
+    builder: &mut dunlinrock_decide::steer::BlocksBuilder,
+    leaf: &Leaf,
+) -> anyhow::Result<()> {
     let mut shard = Config::default();
     leaf.add(&mut shard)?;
     for (block, region) in &shard.blocks {
--- a/crates/node/src/duties/control/steering.rs
+++ b/crates/node/src/duties/control/steering.rs
@@ -12,8 +12,9 @@
 
 use dunlinrock_coord::rendezvous;
 use dunlinrock_decide::steer::{
-    Goals, Grant, Grantee, Grantor, Links, Need, Own, Peer, Rows, Shares,
-    spill::{self, Traffic, Traffics},
+    DesiredSplits, Grant, Grantee, Grantor, LinkCapacity, LocalUsage, Need, PeerSplit, SplitTable,
+    TrafficSplit,
+    spill::{self, Traffic, TrafficTable},
 };
 use dunlinrock_schema::{
     config::Config,
@@ -55,13 +56,13 @@
 /// Shares and grants of this host.
 pub(super) struct Steering {
     me: Member,
-    shares: Shares,
+    shares: TrafficSplit,
     grantor: Grantor,
     grantee: Arc<Mutex<Grantee>>,
     /// Shares of the hosts that this one goes by.
-    rows: BTreeMap<Arc<str>, Rows>,
-    traffic: Traffics,
-    goals: Goals,
+    rows: BTreeMap<Arc<str>, SplitTable>,
+    traffic: TrafficTable,
+    goals: DesiredSplits,
     /// Regions of which hosts were seen.
     seen: BTreeSet<Arc<str>>,
     lost: BTreeSet<Arc<str>>,
@@ -75,12 +76,12 @@
     pub(super) fn open(me: &Member, grantee: Arc<Mutex<Grantee>>, now: Duration) -> Steering {
         Steering {
             me: me.clone(),
-            shares: Shares::open(),
+            shares: TrafficSplit::open(),
             grantor: Grantor::open(&me.name, &me.region, now),
             grantee,
             rows: BTreeMap::new(),
-            traffic: Traffics::new(),
-            goals: Goals::default(),
+            traffic: TrafficTable::new(),
+            goals: DesiredSplits::default(),
             seen: BTreeSet::new(),
             lost: BTreeSet::new(),
             next_ask: now,
@@ -89,7 +90,7 @@
         }
     }
 
-    pub(super) fn shares(&self) -> &Shares {
+    pub(super) fn shares(&self) -> &TrafficSplit {
         &self.shares
     }
 
@@ -103,7 +104,7 @@
 
     /// After a pause: the others have gone on without this host, so it starts from their shares.
     pub(super) fn restart(&mut self) {
-        self.shares.restart();
+        self.shares.reset();
         self.rows.clear();
     }
 
@@ -119,25 +120,26 @@
         let sample = self.sample(members);
         self.rows
             .retain(|name, _| sample.iter().any(|member| member.name == *name));
-        let peers: Vec<Peer<'_>> = sample
+        let peers: Vec<PeerSplit<'_>> = sample
             .iter()
-            .map(|member| Peer {
-                rows: self.rows.get(&member.name),
+            .map(|member| PeerSplit {
+                table: self.rows.get(&member.name),
             })
             .collect();
-        self.shares.hear(&peers);
+        self.shares.update_peers(&peers);
         self.follow(members);
-        self.goals = Goals::open(config, &self.lost);
+        self.goals = DesiredSplits::open(config, &self.lost);
         let grantee = self.grantee.lock().unwrap_or_else(PoisonError::into_inner);
         let lent = (&*grantee, &self.grantor);
         let region = &self.me.region;
-        let ceilings = spill::ceilings(&self.goals, &self.shares, &self.traffic, region, lent, now);
-        self.shares.steer(&self.goals, &ceilings, now);
+        let ceilings =
+            spill::share_limits(&self.goals, &self.shares, &self.traffic, region, lent, now);
+        self.shares.advance(&self.goals, &ceilings, now);
     }
 
     /// Takes over what hosts of other regions do with their own callers.
     fn follow(&mut self, members: &BTreeMap<Arc<str>, Arc<Member>>) {
-        let mut peers: BTreeMap<Arc<str>, Vec<&Rows>> = BTreeMap::new();
+        let mut peers: BTreeMap<Arc<str>, Vec<&SplitTable>> = BTreeMap::new();
         for (name, rows) in &self.rows {
             if let Some(member) = members.get(name) {
                 peers
@@ -146,7 +148,7 @@
                     .push(rows);
             }
         }
-        self.shares.follow(&self.me.region, &peers);
+        self.shares.adopt_remote(&self.me.region, &peers);
     }
 
     /// A region without a host that is there is lost: nobody lends its room, and what its targets
@@ -195,7 +197,7 @@
         for name in config.services.keys() {
             let own = self.own(name, &sums, reports, time);
             if let Some(own) = own {
-                self.grantor.measure(name, own, now);
+                self.grantor.record_usage(name, own, now);
             }
         }
     }
@@ -249,7 +251,7 @@
         sums: &Sums,
         reports: &[PoolReport],
         time: f64,
-    ) -> Option<Own> {
+    ) -> Option<LocalUsage> {
         let pools = reports
             .iter()
             .filter(|report| report.id.service == *service && !report.released);
@@ -265,11 +267,11 @@
             .traffic
             .get(service)
             .and_then(|lanes| lanes.get(&self.me.region));
-        Some(Own {
+        Some(LocalUsage {
             slots: f64::from(slots.iter().sum::<u32>()),
             busy: work.home.as_secs_f64() / time,
             rate: home.map_or(0.0, |lane| lane.rate),
-            work: mean.unwrap_or(Duration::from_millis(5)),
+            service_time: mean.unwrap_or(Duration::from_millis(5)),
         })
     }
 
@@ -277,7 +279,7 @@
     pub(super) fn limit(&mut self, config: &Config) {
         let region = config.regions.get(&self.me.region);
         let headroom = region.map_or(0.0, |region| region.headroom);
-        let mut links = Links::new();
+        let mut links = LinkCapacity::new();
         for link in config.links.values() {
             let other = match () {
                 () if link.from == self.me.region => &link.to,
@@ -287,7 +289,7 @@
             let bytes = link.bytes_per_s.get() as f64 * (1.0 - link.headroom);
             links.insert(Arc::clone(other), bytes);
         }
-        self.grantor.limit(headroom, links);
+        self.grantor.set_limits(headroom, links);
     }
 
     /// Asks to send now: for shares to the sample, for room to hosts of the regions work goes to.
@@ -299,7 +301,7 @@
         let mine = members
             .values()
             .filter(|member| member.region == self.me.region);
-        self.grantor.count(mine.count(), now);
+        self.grantor.set_hosts(mine.count(), now);
         if now < self.next_ask {
             return Vec::new();
         }
@@ -324,7 +326,7 @@
 
     /// Whether every share is at its goal.
     fn is_calm(&self) -> bool {
-        let lanes = self.goals.lanes.iter();
+        let lanes = self.goals.flows.iter();
         let mut lanes = lanes.flat_map(|(service, lanes)| lanes.keys().map(move |c| (service, c)));
         lanes.all(|(service, callers)| self.shares.remaining(service, callers) <= 0.0)
     }
@@ -341,15 +343,15 @@
             .values()
             .filter(|member| member.region == *region && !member.leaving && !member.suspect);
         let names: Vec<Arc<str>> = there.map(|member| Arc::clone(&member.name)).collect();
-        let grantors = spill::grantors(&self.me.name, &names);
+        let grantors = spill::choose_grantors(&self.me.name, &names);
         let part = {
             let grantee = self.grantee.lock().unwrap_or_else(PoisonError::into_inner);
-            grantee.ask(needs, grantors.len(), now)
+            grantee.request(needs, grantors.len(), now)
         };
         for name in grantors {
             // This host lends to itself as to any other, for callers of other regions.
             if *name == self.me.name {
-                self.grantor.ask(part.clone(), now);
+                self.grantor.on_request(part.clone(), now);
                 continue;
             }
             let Some(to) = members.get(name) else {
@@ -379,13 +381,13 @@
         if ask.needs.is_empty() {
             return;
         }
-        let ask = dunlinrock_decide::steer::Ask {
+        let ask = dunlinrock_decide::steer::GrantRequest {
             host: Arc::clone(&ask.name),
             region: Arc::clone(&ask.region),
-            at: Duration::from_micros(ask.at_us),
+            sent_at: Duration::from_micros(ask.at_us),
             needs: ask.needs.iter().map(read_need).collect(),
         };
-        self.grantor.ask(ask, now);
+        self.grantor.on_request(ask, now);
     }
 
     /// Room to lend to all that asked, by host.
@@ -406,7 +408,7 @@
 
     /// Answer to a host that asked.
     pub(super) fn give(&self, all: bool, lent: Vec<Lent>) -> SteerGive {
-        let mut shares = self.shares.rows();
+        let mut shares = self.shares.table();
         if !all {
             for (service, lanes) in &mut shares {
                 lanes.retain(|callers, _| self.shares.remaining(service, callers) > 0.0);
@@ -435,7 +437,7 @@
                 self.rows.insert(Arc::clone(&name), shares);
             }
             None => {
-                self.rows.insert(Arc::clone(&name), Rows::new());
+                self.rows.insert(Arc::clone(&name), SplitTable::new());
             }
         }
         let mut grantee = self.grantee.lock().unwrap_or_else(PoisonError::into_inner);
@@ -446,12 +448,12 @@
 }
 
 /// All shares of a host that sent only those that move: the others are at their goals.
-fn at_goal(goals: &Goals, moving: Rows) -> Rows {
-    let mut rows = Rows::new();
-    for (service, lanes) in &goals.lanes {
+fn at_goal(goals: &DesiredSplits, moving: SplitTable) -> SplitTable {
+    let mut rows = SplitTable::new();
+    for (service, lanes) in &goals.flows {
         let lanes = lanes
             .iter()
-            .map(|(callers, goal)| (Arc::clone(callers), goal.row.clone()));
+            .map(|(callers, goal)| (Arc::clone(callers), goal.shares.clone()));
         rows.insert(Arc::clone(service), lanes.collect());
     }
     for (service, lanes) in moving {
@@ -484,7 +486,7 @@
         rate: grant.rate,
         request_bytes: grant.request_bytes,
         answer_bytes: grant.answer_bytes,
-        asked_us: micros(grant.asked),
+        asked_us: micros(grant.requested_at),
     }
 }
 
@@ -497,7 +499,7 @@
         rate: lent.rate,
         request_bytes: lent.request_bytes,
         answer_bytes: lent.answer_bytes,
-        asked: Duration::from_micros(lent.asked_us),
+        requested_at: Duration::from_micros(lent.asked_us),
     }
 }
 
--- a/crates/node/src/run/dispatch.rs
+++ b/crates/node/src/run/dispatch.rs
@@ -7,7 +7,7 @@
 
 use dunlinrock_decide::{
     admit::{Candidate, choose},
-    steer::{Reason, Refusal, Shortage, spill::free},
+    steer::{NoCapacity, Refusal, UnservableReason, spill::is_local},
 };
 use dunlinrock_schema::api::Run;
 use tokio::time::Instant;
@@ -136,11 +136,11 @@
     shared.meters.entered(&call.service, &from);
     // The same request draws the same region again: a refused one whose each try drew another
     // would soon be served, and the regions that are left would get more than their shares.
-    let picked = view.shares.pick(&call.service, &from, call.identity);
+    let picked = view.shares.pick_region(&call.service, &from, call.identity);
     let region = picked
         .map(Arc::clone)
         .map_err(|refusal| unservable(call, &from, refusal))?;
-    if free(&shared.me.region, &from, &region) {
+    if is_local(&shared.me.region, &from, &region) {
         return Ok(region);
     }
     room(shared, view, call, &region).await?;
@@ -176,13 +176,13 @@
 }
 
 /// Takes room that the region's hosts lent to this one.
-fn borrow(shared: &Shared, call: &Call, region: &str) -> Result<(), Shortage> {
+fn borrow(shared: &Shared, call: &Call, region: &str) -> Result<(), NoCapacity> {
     let mut grantee = shared
         .grantee
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
     let sizes = (call.body.len() as f64 + HEAD_BYTES, ANSWER_BYTES);
-    grantee.take(region, &call.service, sizes, shared.now())
+    grantee.try_acquire(region, &call.service, sizes, shared.now())
 }
 
 /// Counts an answer, and puts right what was taken of a link before its size was known.
@@ -191,21 +191,21 @@
         .meters
         .answered(&call.service, call.body.len(), answer.body.len());
     let from = shared.view.load().region(call.client, &shared.me.region);
-    if !free(&shared.me.region, &from, region) {
+    if !is_local(&shared.me.region, &from, region) {
         let mut grantee = shared
             .grantee
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let more = answer.body.len() as f64 - ANSWER_BYTES;
-        grantee.settle(region, &call.service, more);
+        grantee.adjust_bytes(region, &call.service, more);
     }
 }
 
 fn unservable(call: &Call, from: &str, refusal: Refusal) -> Trouble {
     let why = match refusal.reason {
-        Reason::Starting => "this host has not heard yet where traffic goes",
-        Reason::Nowhere => "no region serves it",
-        Reason::Lost => "it moves to another region no faster than its cap",
+        UnservableReason::Starting => "this host has not heard yet where traffic goes",
+        UnservableReason::NoRegion => "no region serves it",
+        UnservableReason::RegionGone => "it moves to another region no faster than its cap",
     };
     let detail = format!("{} for callers of {from}: {why}", call.service);
     Trouble::not_run(Kind::Unavailable, detail).retry_after(refusal.retry_after)
--- a/crates/node/src/view/answers.rs
+++ b/crates/node/src/view/answers.rs
@@ -8,7 +8,7 @@
 use std::{collections::BTreeMap, net::IpAddr, sync::Arc};
 
 use bytes::Bytes;
-use dunlinrock_decide::steer::hosts::{Choices, Host, State, Table};
+use dunlinrock_decide::steer::hosts::{ChosenHosts, Host, HostTable, Liveness};
 use dunlinrock_schema::{
     api::{Binding, HostWeight, Hosts},
     config::Config,
@@ -42,14 +42,14 @@
         ttl_ms: u64,
         members: &BTreeMap<Arc<str>, Arc<Member>>,
     ) -> Answers {
-        let table = Table::open(
+        let table = HostTable::open(
             config,
             members.values().map(|member| seen(member)).collect(),
         );
         let mut ready: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Vec<Bytes>>> = BTreeMap::new();
         for region in config.regions.keys() {
             for variant in 0..VARIANTS {
-                let choices = table.answer(region, variant);
+                let choices = table.lookup(region, variant);
                 let Some(mut answer) = compose(&table, &choices, members) else {
                     continue;
                 };
@@ -88,9 +88,9 @@
 
 fn seen(member: &Member) -> Host {
     let state = match (member.leaving, member.suspect) {
-        (true, _) => State::Leaving,
-        (false, true) => State::Suspect,
-        (false, false) => State::Alive,
+        (true, _) => Liveness::Leaving,
+        (false, true) => Liveness::Suspect,
+        (false, false) => Liveness::Alive,
     };
     Host {
         name: Arc::clone(&member.name),
@@ -102,8 +102,8 @@
 
 /// An answer without service and region; none where no host may be used.
 fn compose(
-    table: &Table,
-    choices: &Choices,
+    table: &HostTable,
+    choices: &ChosenHosts,
     members: &BTreeMap<Arc<str>, Arc<Member>>,
 ) -> Option<Hosts> {
     let mut hosts = Vec::new();
--- a/crates/node/src/view/mod.rs
+++ b/crates/node/src/view/mod.rs
@@ -11,7 +11,7 @@
 
 use dunlinrock_decide::{
     admit::Word,
-    steer::{Blocks, Shares},
+    steer::{Blocks, TrafficSplit},
 };
 use dunlinrock_schema::config::{Config, Service};
 
@@ -44,7 +44,7 @@
     /// Every service of the configuration.
     pub services: BTreeMap<Arc<str>, Arc<ServiceRoute>>,
     /// Shares of traffic that this host goes by.
-    pub shares: Arc<Shares>,
+    pub shares: Arc<TrafficSplit>,
     /// Answers to look-ups.
     pub answers: Arc<Answers>,
     /// Client blocks and their regions.
@@ -66,7 +66,7 @@
             incarnations: BTreeMap::new(),
             pools: BTreeMap::new(),
             services: BTreeMap::new(),
-            shares: Arc::new(Shares::open()),
+            shares: Arc::new(TrafficSplit::open()),
             answers: Arc::default(),
             blocks: Arc::new(Blocks::builder().finish()),
             words: Arc::default(),
--- a/crates/steer/src/affinity/mod.rs
+++ b/crates/steer/src/affinity/mod.rs
@@ -11,22 +11,22 @@
 //! slots even that out.
 //!
 //! ```
-//! use dunlinrock_steer::affinity::{Candidate, Choice, Rules, choose};
+//! use dunlinrock_steer::affinity::{Candidate, Choice, AffinityConfig, choose_affine};
 //!
-//! let target = |seed, busy| Candidate {
-//!     seed, slots: 2, near: true, way: 0.0, busy, sound: true,
+//! let target = |name_hash, busy| Candidate {
+//!     name_hash, slots: 2, is_local: true, rtt_ratio: 0.0, busy, healthy: true,
 //! };
-//! let Some(Choice { index, .. }) = choose(7, &[target(1, 0), target(2, 0)], &Rules::default())
+//! let Some(Choice { index, .. }) = choose_affine(7, &[target(1, 0), target(2, 0)], &AffinityConfig::default())
 //! else { panic!() };
 //! // The object stays where it is while its target has a free slot.
 //! let mut both = [target(1, 1), target(2, 1)];
-//! assert_eq!(choose(7, &both, &Rules::default()).unwrap().index, index);
+//! assert_eq!(choose_affine(7, &both, &AffinityConfig::default()).unwrap().index, index);
 //! // Far behind, it gives one away.
 //! both[index].busy = 9;
-//! assert_ne!(choose(7, &both, &Rules::default()).unwrap().index, index);
+//! assert_ne!(choose_affine(7, &both, &AffinityConfig::default()).unwrap().index, index);
 //! ```
 
-use crate::hash::{mix, score};
+use crate::hash::{mix64, score};
 
 /// Targets drawn for a request that may go to any. Two leave a busy pair one time in ten at half load;
 /// four next to never, and a host's word of the load is too old for more to be of use.
@@ -36,41 +36,41 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// Hash of the target's name.
-    pub seed: u64,
+    pub name_hash: u64,
     /// Requests that it runs at once; more wait in its queue.
     pub slots: u32,
     /// Whether it stands in the caller's region.
-    pub near: bool,
+    pub is_local: bool,
     /// Part of the route's objective that the way there and back takes; 0 while that is not known.
-    pub way: f64,
+    pub rtt_ratio: f64,
     /// Requests that it runs or queues, as far as this host knows.
     pub busy: u32,
     /// Whether it answers; one that does not is used only where no sound one is left.
-    pub sound: bool,
+    pub healthy: bool,
 }
 
 /// Weights of the choice.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct AffinityConfig {
     /// Weight of a near target's slot against a far one's.
-    pub near: f64,
+    pub local_weight: f64,
     /// Way, as a part of the objective, at which a far target weighs half as much. Where the way takes
     /// most of the objective, answers from there are late however idle the target is. The weight
     /// falls smoothly, so that hosts which measure a little differently disagree on few objects.
-    pub way: f64,
+    pub half_rtt: f64,
     /// Requests for each slot that an object's own target may have before its next choice takes one.
-    pub own: u32,
+    pub max_per_slot: u32,
     /// How many choices of an object are tried: few, so that what its own target cannot take is
     /// warm at the next.
     pub choices: usize,
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules {
-            near: 3.0,
-            way: 0.25,
-            own: 2,
+impl Default for AffinityConfig {
+    fn default() -> AffinityConfig {
+        AffinityConfig {
+            local_weight: 3.0,
+            half_rtt: 0.25,
+            max_per_slot: 2,
             choices: 2,
         }
     }
@@ -87,7 +87,7 @@
 
 /// Chooses a target for an object. `None` where there is no candidate.
 ///
-/// The object's own target takes it while it has fewer than [`Rules::own`] requests a slot; then the
+/// The object's own target takes it while it has fewer than [`AffinityConfig::max_per_slot`] requests a slot; then the
 /// next of its choices that has a free slot. A request that waits for one warm run and then has its
 /// own is answered before a run elsewhere would be, which takes three times as long, and three times
 /// the slot. The figure must not follow how long runs take at present: as cold runs make the usual
@@ -96,12 +96,16 @@
 /// Where all are behind it stays at its own target, for the caller to refuse if that is too far
 /// behind: sent to any target that is less behind, it would run three times as long there, and the
 /// whole service would go on without an object at home after the burst that began it is over.
-pub fn choose(object: u64, candidates: &[Candidate], rules: &Rules) -> Option<Choice> {
+pub fn choose_affine(
+    object: u64,
+    candidates: &[Candidate],
+    rules: &AffinityConfig,
+) -> Option<Choice> {
     let ranked = rank(object, candidates, rules);
     for (rank, (_, index)) in ranked.iter().take(rules.choices).enumerate() {
         let candidate = &candidates[*index];
         let room = if rank == 0 {
-            candidate.slots * rules.own
+            candidate.slots * rules.max_per_slot
         } else {
             candidate.slots
         };
@@ -129,13 +133,17 @@
 /// for a run while others stand idle, and is refused in the end. The first drawn names the region, by
 /// weight; only where all that are drawn of it are full does the request leave it, so that a region's
 /// share does not swing with the load of its targets.
-pub fn spread(point: u64, candidates: &[Candidate], rules: &Rules) -> Option<Choice> {
+pub fn choose_least_loaded(
+    point: u64,
+    candidates: &[Candidate],
+    rules: &AffinityConfig,
+) -> Option<Choice> {
     let ranked = rank(point, candidates, rules);
     let Some((_, first)) = ranked.first() else {
         return any(point, candidates);
     };
     let first = &candidates[*first];
-    let is_beside = |c: &Candidate| (c.near, c.way) == (first.near, first.way);
+    let is_beside = |c: &Candidate| (c.is_local, c.rtt_ratio) == (first.is_local, first.rtt_ratio);
     let beside = ranked.iter().filter(|(_, i)| is_beside(&candidates[*i]));
     let beside: Vec<usize> = beside.take(DRAWN).map(|(_, i)| *i).collect();
     let all: Vec<usize> = ranked.iter().take(DRAWN).map(|(_, i)| *i).collect();
@@ -153,12 +161,12 @@
 }
 
 /// Sound candidates with their scores, the first choice first.
-fn rank(object: u64, candidates: &[Candidate], rules: &Rules) -> Vec<(f64, usize)> {
+fn rank(object: u64, candidates: &[Candidate], rules: &AffinityConfig) -> Vec<(f64, usize)> {
     let mut ranked: Vec<(f64, usize)> = candidates
         .iter()
         .enumerate()
-        .filter(|(_, c)| c.sound)
-        .map(|(index, c)| (score(c.seed, object, weight(c, rules)), index))
+        .filter(|(_, c)| c.healthy)
+        .map(|(index, c)| (score(c.name_hash, object, weight(c, rules)), index))
         .collect();
     ranked.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     ranked
@@ -167,7 +175,7 @@
 /// Nobody answers: any of them may be back by now.
 fn any(object: u64, candidates: &[Candidate]) -> Option<Choice> {
     let all = 0..candidates.len();
-    let index = all.min_by_key(|i| mix(candidates[*i].seed ^ mix(object)))?;
+    let index = all.min_by_key(|i| mix64(candidates[*i].name_hash ^ mix64(object)))?;
     Some(Choice { index, rank: 0 })
 }
 
@@ -176,11 +184,11 @@
     f64::from(candidate.busy) / f64::from(candidate.slots.max(1))
 }
 
-fn weight(candidate: &Candidate, rules: &Rules) -> f64 {
-    let nearness = if candidate.near {
-        rules.near
+fn weight(candidate: &Candidate, rules: &AffinityConfig) -> f64 {
+    let locality = if candidate.is_local {
+        rules.local_weight
     } else {
-        1.0 / (1.0 + (candidate.way / rules.way).powi(3))
+        1.0 / (1.0 + (candidate.rtt_ratio / rules.half_rtt).powi(3))
     };
-    f64::from(candidate.slots.max(1)) * nearness
+    f64::from(candidate.slots.max(1)) * locality
 }
--- a/crates/steer/src/blocks/builder.rs
+++ b/crates/steer/src/blocks/builder.rs
@@ -13,18 +13,18 @@
     "more than {} names of regions or sites; a table cannot tell more apart",
     NOWHERE
 )]
-pub struct Full;
+pub struct TooManyNames;
 
 /// A table of blocks in the making; it can be filled a few blocks at a time.
 #[derive(Debug)]
-pub struct Builder {
+pub struct BlocksBuilder {
     names: Vec<Arc<str>>,
     sites: BTreeMap<Arc<str>, Site>,
     v4: BTreeMap<(u32, u8), Site>,
     v6: BTreeMap<(u128, u8), Site>,
 }
 
-impl Builder {
+impl BlocksBuilder {
     pub(super) fn open() -> Self {
         Self {
             names: Vec::new(),
@@ -38,8 +38,8 @@
     ///
     /// # Errors
     ///
-    /// [`Full`] where there are too many names.
-    pub fn add(&mut self, net: IpNet, name: &Arc<str>) -> Result<(), Full> {
+    /// [`TooManyNames`] where there are too many names.
+    pub fn add(&mut self, net: IpNet, name: &Arc<str>) -> Result<(), TooManyNames> {
         let site = self.site(name)?;
         match net.trunc() {
             IpNet::V4(net) => self
@@ -52,13 +52,13 @@
         Ok(())
     }
 
-    fn site(&mut self, name: &Arc<str>) -> Result<Site, Full> {
+    fn site(&mut self, name: &Arc<str>) -> Result<Site, TooManyNames> {
         if let Some(site) = self.sites.get(name) {
             return Ok(*site);
         }
-        let site = Site::try_from(self.names.len()).map_err(|_| Full)?;
+        let site = Site::try_from(self.names.len()).map_err(|_| TooManyNames)?;
         if site == NOWHERE {
-            return Err(Full);
+            return Err(TooManyNames);
         }
         self.names.push(name.clone());
         self.sites.insert(name.clone(), site);
--- a/crates/steer/src/blocks/mod.rs
+++ b/crates/steer/src/blocks/mod.rs
@@ -15,7 +15,7 @@
 use dunlinrock_schema::config::Config;
 use ipnet::IpNet;
 
-pub use builder::{Builder, Full};
+pub use builder::{BlocksBuilder, TooManyNames};
 use table::Table;
 
 /// Index of a name; [`NOWHERE`] where no block covers the address.
@@ -36,8 +36,8 @@
 
 impl Blocks {
     /// Starts a table with no blocks.
-    pub fn builder() -> Builder {
-        Builder::open()
+    pub fn builder() -> BlocksBuilder {
+        BlocksBuilder::open()
     }
 
     /// The table of a configuration. Blocks that are no CIDR blocks are left out; the
--- a/crates/steer/src/divide/adaptive.rs
+++ b/crates/steer/src/divide/adaptive.rs
@@ -19,7 +19,7 @@
     }
     let units = state.users.iter().zip(demands);
     units
-        .map(|(user, demand)| user.units().min(demand.most))
+        .map(|(user, demand)| user.units().min(demand.max_units))
         .collect()
 }
 
--- a/crates/steer/src/divide/dominant.rs
+++ b/crates/steer/src/divide/dominant.rs
@@ -19,7 +19,7 @@
         .collect();
     loop {
         let active: Vec<usize> = (0..demands.len())
-            .filter(|n| speeds[*n] > 0.0 && given[*n] < demands[*n].most)
+            .filter(|n| speeds[*n] > 0.0 && given[*n] < demands[*n].max_units)
             .filter(|n| open(capacity, &left, &demands[*n]))
             .collect();
         if active.is_empty() {
@@ -27,10 +27,10 @@
         }
         let step = step(&left, demands, &given, &speeds, &active);
         for n in active {
-            let units = (step * speeds[n]).min(demands[n].most - given[n]);
+            let units = (step * speeds[n]).min(demands[n].max_units - given[n]);
             // A step that ends at what a user wants must end there, whatever rounding says.
-            given[n] = match units >= (demands[n].most - given[n]) * (1.0 - SPENT) {
-                true => demands[n].most,
+            given[n] = match units >= (demands[n].max_units - given[n]) * (1.0 - SPENT) {
+                true => demands[n].max_units,
                 false => given[n] + units,
             };
             for (left, uses) in left.iter_mut().zip(&demands[n].uses) {
@@ -47,8 +47,8 @@
     if uses > 0.0 {
         return 1.0 / uses;
     }
-    if demand.most.is_finite() {
-        demand.most
+    if demand.max_units.is_finite() {
+        demand.max_units
     } else {
         0.0
     }
@@ -66,7 +66,7 @@
 fn step(left: &[f64], demands: &[Demand], given: &[f64], speeds: &[f64], active: &[usize]) -> f64 {
     let wants = active
         .iter()
-        .map(|n| (demands[*n].most - given[*n]) / speeds[*n]);
+        .map(|n| (demands[*n].max_units - given[*n]) / speeds[*n]);
     let mut step = wants.fold(f64::INFINITY, f64::min);
     for (resource, left) in left.iter().enumerate() {
         let uses = active
--- a/crates/steer/src/divide/equal.rs
+++ b/crates/steer/src/divide/equal.rs
@@ -10,7 +10,7 @@
         parts
             .filter(|(uses, _)| **uses > 0.0)
             .map(|(uses, capacity)| capacity.max(0.0) / users / uses)
-            .fold(demand.most, f64::min)
+            .fold(demand.max_units, f64::min)
     };
     demands.iter().map(units).collect()
 }
--- a/crates/steer/src/divide/mod.rs
+++ b/crates/steer/src/divide/mod.rs
@@ -21,7 +21,7 @@
     /// What one unit uses of each resource, at least 0; as long as the list of capacities.
     pub uses: Vec<f64>,
     /// Units wanted at most, at least 0; infinite where there is no limit.
-    pub most: f64,
+    pub max_units: f64,
 }
 
 /// Units that would use up all of a resource of which nothing else is used: the user's part of
--- a/crates/steer/src/grants/grantee.rs
+++ b/crates/steer/src/grants/grantee.rs
@@ -4,12 +4,12 @@
 
 use thiserror::Error;
 
-use super::{Ask, Grant, Need, TTL, bucket::Bucket};
+use super::{GRANT_TTL, Grant, GrantRequest, Need, bucket::Bucket};
 
 /// No room for a request now.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 #[error("no room was lent for it; try again after {} ms", retry_after.as_millis())]
-pub struct Shortage {
+pub struct NoCapacity {
     /// Time after which there is room for one request at the rate that is lent now; a grant's
     /// lifetime where none is, and a round trip where none was ever heard of.
     pub retry_after: Duration,
@@ -93,15 +93,15 @@
     }
 
     /// An ask to one of `grantors` hosts of a region: its even part of what is needed.
-    pub fn ask(&self, needs: &[Need], grantors: usize, now: Duration) -> Ask {
+    pub fn request(&self, needs: &[Need], grantors: usize, now: Duration) -> GrantRequest {
         let part = |need: &Need| Need {
             rate: need.rate / grantors.max(1) as f64,
             ..need.clone()
         };
-        Ask {
+        GrantRequest {
             host: self.host.clone(),
             region: self.region.clone(),
-            at: now,
+            sent_at: now,
             needs: needs.iter().map(part).collect(),
         }
     }
@@ -109,8 +109,8 @@
     /// Takes a grant in. One for another host, or one that was asked for before the grant it would
     /// replace, is left aside.
     pub fn receive(&mut self, grant: Grant, now: Duration) {
-        let until = grant.asked + TTL;
-        if grant.grantee != self.host || until <= now || grant.asked > now {
+        let until = grant.requested_at + GRANT_TTL;
+        if grant.grantee != self.host || until <= now || grant.requested_at > now {
             return;
         }
         let pools = self.pools.entry(grant.region.clone()).or_default();
@@ -130,17 +130,17 @@
     ///
     /// # Errors
     ///
-    /// [`Shortage`] where there is no room now; then nothing is taken. A request whose deadline
+    /// [`NoCapacity`] where there is no room now; then nothing is taken. A request whose deadline
     /// allows it may wait for so long and try again.
-    pub fn take(
+    pub fn try_acquire(
         &mut self,
         region: &str,
         service: &str,
         (request, answer): (f64, f64),
         now: Duration,
-    ) -> Result<(), Shortage> {
+    ) -> Result<(), NoCapacity> {
         let Some(pool) = self.pool(region, service) else {
-            return Err(Shortage {
+            return Err(NoCapacity {
                 retry_after: UNHEARD,
             });
         };
@@ -153,9 +153,9 @@
             .max(pool.request_bytes.wait(request, sum.request_bytes))
             .max(pool.answer_bytes.wait(answer, sum.answer_bytes));
         if wait > 0.0 || pool.grants.is_empty() {
-            let wait = Duration::try_from_secs_f64(wait).unwrap_or(TTL);
-            return Err(Shortage {
-                retry_after: wait.clamp(SHORTEST, TTL),
+            let wait = Duration::try_from_secs_f64(wait).unwrap_or(GRANT_TTL);
+            return Err(NoCapacity {
+                retry_after: wait.clamp(SHORTEST, GRANT_TTL),
             });
         }
         pool.requests.take(1.0);
@@ -166,7 +166,7 @@
 
     /// Puts an answer's size right, once it is known: `more` bytes than expected, below 0 for
     /// less.
-    pub fn settle(&mut self, region: &str, service: &str, more: f64) {
+    pub fn adjust_bytes(&mut self, region: &str, service: &str, more: f64) {
         if let Some(pool) = self.pool(region, service) {
             pool.answer_bytes.take(more);
         }
--- a/crates/steer/src/grants/grantor.rs
+++ b/crates/steer/src/grants/grantor.rs
@@ -3,10 +3,10 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use super::{
-    Ask, FRESH, Grant, Links, Need, REQUESTS, STALE, TTL,
+    FRESH_AGE, GRANT_TTL, Grant, GrantRequest, LinkCapacity, Need, REQUEST_FRACTION, STALE_AGE,
     book::{Amount, Book},
     most::Most,
-    own::{Measured, Own},
+    own::{LocalUsage, Measured},
 };
 use crate::divide::{Demand, dominant};
 
@@ -37,12 +37,12 @@
     quiet: Duration,
     /// Part of the region's slots that is left free, of 1.
     headroom: f64,
-    links: Links,
+    links: LinkCapacity,
     own: BTreeMap<Arc<str>, Measured>,
     /// Hosts of the region.
     hosts: Most,
     /// The last ask of each host, with the time it came.
-    asks: BTreeMap<Arc<str>, (Duration, Ask)>,
+    asks: BTreeMap<Arc<str>, (Duration, GrantRequest)>,
     book: Book,
 }
 
@@ -52,9 +52,9 @@
         Self {
             host: host.clone(),
             region: region.clone(),
-            quiet: now + TTL,
+            quiet: now + GRANT_TTL,
             headroom: 1.0,
-            links: Links::new(),
+            links: LinkCapacity::new(),
             own: BTreeMap::new(),
             hosts: Most::default(),
             asks: BTreeMap::new(),
@@ -63,13 +63,13 @@
     }
 
     /// Sets the part of the region's slots to leave free, of 1, and what its links may carry.
-    pub fn limit(&mut self, headroom: f64, links: Links) {
+    pub fn set_limits(&mut self, headroom: f64, links: LinkCapacity) {
         self.headroom = headroom;
         self.links = links;
     }
 
     /// Notes a measurement of the host's own targets.
-    pub fn measure(&mut self, service: &Arc<str>, own: Own, now: Duration) {
+    pub fn record_usage(&mut self, service: &Arc<str>, own: LocalUsage, now: Duration) {
         match self.own.get_mut(service) {
             Some(measured) => measured.add(own, now),
             None => {
@@ -80,15 +80,15 @@
     }
 
     /// Notes how many hosts of the region may grant, this one, suspect and leaving ones included.
-    pub fn count(&mut self, hosts: usize, now: Duration) {
+    pub fn set_hosts(&mut self, hosts: usize, now: Duration) {
         self.hosts.add(hosts as f64, now);
     }
 
     /// Notes what a host wants; it is answered by the next [`Grantor::grant`].
-    pub fn ask(&mut self, ask: Ask, now: Duration) {
+    pub fn on_request(&mut self, ask: GrantRequest, now: Duration) {
         // A late ask must not take the place of a newer one.
         if let Some((_, known)) = self.asks.get(&ask.host)
-            && known.at > ask.at
+            && known.sent_at > ask.sent_at
         {
             return;
         }
@@ -99,7 +99,7 @@
     pub fn grant(&mut self, now: Duration) -> Vec<Grant> {
         self.book.expire(now);
         self.asks
-            .retain(|_, (came, _)| now.saturating_sub(*came) < TTL);
+            .retain(|_, (came, _)| now.saturating_sub(*came) < GRANT_TTL);
         let wants = self.wants(now);
         let room = self.room(now);
         let targets = divide(&room, &wants);
@@ -116,11 +116,11 @@
 
     /// Requests a second of a service that the host's own callers may send here beyond what they
     /// do, lent room left out; none where the last measurement is old.
-    pub fn spare(&self, service: &str, now: Duration) -> f64 {
+    pub fn spare_rate(&self, service: &str, now: Duration) -> f64 {
         let Some(measured) = self.own.get(service) else {
             return 0.0;
         };
-        if now.saturating_sub(measured.at) > FRESH {
+        if now.saturating_sub(measured.at) > FRESH_AGE {
             return 0.0;
         }
         let lent = self.book.iter().filter(|(name, _, _)| ***name == *service);
@@ -140,15 +140,15 @@
                 let key = (ask.host.clone(), need.service.clone());
                 let lent = self.book.lent(&key).slots / measured.work();
                 let most = match age {
-                    age if age <= FRESH => need.rate,
-                    age if age < STALE => need.rate.min(lent),
+                    age if age <= FRESH_AGE => need.rate,
+                    age if age < STALE_AGE => need.rate.min(lent),
                     _ => 0.0,
                 };
                 if sound(need) && most > 0.0 {
                     wants.push(Want {
                         key,
                         region: ask.region.clone(),
-                        asked: ask.at,
+                        asked: ask.sent_at,
                         most,
                         slots: measured.work(),
                         request_bytes: need.request_bytes,
@@ -176,8 +176,11 @@
                 true => 0.0,
                 false => bytes / hosts,
             };
-            room.insert(Resource::Requests(region.clone()), part * REQUESTS);
-            room.insert(Resource::Answers(region.clone()), part * (1.0 - REQUESTS));
+            room.insert(Resource::Requests(region.clone()), part * REQUEST_FRACTION);
+            room.insert(
+                Resource::Answers(region.clone()),
+                part * (1.0 - REQUEST_FRACTION),
+            );
         }
         room
     }
@@ -229,7 +232,7 @@
             answer_bytes: units * want.answer_bytes,
         };
         let key = want.key.clone();
-        self.book.add(key, &want.region, now + TTL, amount);
+        self.book.add(key, &want.region, now + GRANT_TTL, amount);
         let (grantee, service) = want.key.clone();
         Grant {
             grantor: self.host.clone(),
@@ -239,7 +242,7 @@
             rate: units,
             request_bytes: amount.request_bytes,
             answer_bytes: amount.answer_bytes,
-            asked: want.asked,
+            requested_at: want.asked,
         }
     }
 }
@@ -305,7 +308,7 @@
                 .iter()
                 .map(|resource| want.unit(resource))
                 .collect(),
-            most: want.most,
+            max_units: want.most,
         })
         .collect();
     dominant(&capacity, &demands)
--- a/crates/steer/src/grants/mod.rs
+++ b/crates/steer/src/grants/mod.rs
@@ -7,7 +7,7 @@
 //! link, among the hosts that ask. The sum over all grants that can still be used stays within the
 //! room, whatever is lost, late or repeated on the way:
 //!
-//! * A grant ends by itself, after [`TTL`]. The grantor counts it from when it sends it, the
+//! * A grant ends by itself, after [`GRANT_TTL`]. The grantor counts it from when it sends it, the
 //!   grantee from when it asked, which is earlier: no grant is used after its grantor has forgotten
 //!   it.
 //! * A smaller grant takes the place of a larger one at the grantee only when it arrives; until
@@ -16,12 +16,12 @@
 //!   lifetime of grants, and a new host grants nothing for that long: the others' grants were made
 //!   when they were fewer.
 //! * Without a fresh measurement of its own use a grantor renews no more than what it lent
-//!   ([`FRESH`]), and later nothing ([`STALE`]). Use counts by its peak ([`PEAK`]), so that one
+//!   ([`FRESH_AGE`]), and later nothing ([`STALE_AGE`]). Use counts by its peak ([`PEAK_WINDOW`]), so that one
 //!   report that is false or between two bursts frees nothing.
 //!
 //! Half of a link is each end's to grant, since both ends send work over it and neither sees the
 //! other's grants. Answers are most of the bytes, and those of the one end's work travel against
-//! those of the other's: so of each direction [`REQUESTS`] is for the requests of the one and the
+//! those of the other's: so of each direction [`REQUEST_FRACTION`] is for the requests of the one and the
 //! rest for the answers of the other, which wastes less than two halves.
 //!
 //! `docs/decisions/grants.md` holds the figures.
@@ -36,29 +36,29 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 pub use {
-    grantee::{Grantee, Shortage},
+    grantee::{Grantee, NoCapacity},
     grantor::Grantor,
-    own::Own,
+    own::LocalUsage,
 };
 
 /// Time after which a grant ends by itself.
-pub const TTL: Duration = Duration::from_secs(3);
+pub const GRANT_TTL: Duration = Duration::from_secs(3);
 
 /// Age up to which a measurement of a host's own use lets its grants grow.
-pub const FRESH: Duration = Duration::from_secs(1);
+pub const FRESH_AGE: Duration = Duration::from_secs(1);
 
 /// Age from which a host without a measurement grants nothing more.
-pub const STALE: Duration = Duration::from_secs(3);
+pub const STALE_AGE: Duration = Duration::from_secs(3);
 
 /// Time for which the highest use counts.
-pub const PEAK: Duration = Duration::from_secs(5);
+pub const PEAK_WINDOW: Duration = Duration::from_secs(5);
 
 /// Part of each direction of a link that is for requests; the rest is for answers.
-pub const REQUESTS: f64 = 0.2;
+pub const REQUEST_FRACTION: f64 = 0.2;
 
 /// Capacity of links that steering may use, in bytes a second in each direction, headroom taken
 /// off, by the region at the other end.
-pub type Links = BTreeMap<Arc<str>, f64>;
+pub type LinkCapacity = BTreeMap<Arc<str>, f64>;
 
 /// What a host wants to send to a region.
 #[derive(Clone, Debug, PartialEq)]
@@ -75,13 +75,13 @@
 
 /// A host asks the hosts of a region for room.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct GrantRequest {
     /// The host that asks.
     pub host: Arc<str>,
     /// Region it stands in; the grantor's own region where the callers are from elsewhere.
     pub region: Arc<str>,
     /// When it asks, by its own clock.
-    pub at: Duration,
+    pub sent_at: Duration,
     /// What it wants of this one grantor.
     pub needs: Vec<Need>,
 }
@@ -104,5 +104,5 @@
     /// Bytes of answers a second.
     pub answer_bytes: f64,
     /// When the grantee asked, by the grantee's own clock.
-    pub asked: Duration,
+    pub requested_at: Duration,
 }
--- a/crates/steer/src/grants/most.rs
+++ b/crates/steer/src/grants/most.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-use super::TTL;
+use super::GRANT_TTL;
 
 /// A value that changes in steps, with its largest of late.
 #[derive(Clone, Debug, Default)]
@@ -20,7 +20,7 @@
         }
         self.list.push_back((since, value));
         // A value held until the next began.
-        while self.list.len() > 1 && now.saturating_sub(self.list[1].0) >= TTL {
+        while self.list.len() > 1 && now.saturating_sub(self.list[1].0) >= GRANT_TTL {
             self.list.pop_front();
         }
     }
--- a/crates/steer/src/grants/own.rs
+++ b/crates/steer/src/grants/own.rs
@@ -2,11 +2,11 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-use super::{PEAK, most::Most};
+use super::{PEAK_WINDOW, most::Most};
 
 /// Capacity of one service's targets that a host owns, and its use by work that needs no grant.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Own {
+pub struct LocalUsage {
     /// Slots of its targets that are well and not drained.
     pub slots: f64,
     /// Slots in use, on average since the last measurement, by callers of its own region.
@@ -15,20 +15,20 @@
     /// this count use cannot be less than `rate` times `work`, whatever `busy` says.
     pub rate: f64,
     /// Mean time that a request takes up a slot.
-    pub work: Duration,
+    pub service_time: Duration,
 }
 
-impl Own {
+impl LocalUsage {
     /// Slots in use: what is reported or what the host's own count comes to, whichever is more.
     fn used(&self) -> f64 {
-        self.busy.max(self.rate * self.work.as_secs_f64())
+        self.busy.max(self.rate * self.service_time.as_secs_f64())
     }
 }
 
 /// The measurements of the last while.
 #[derive(Clone, Debug)]
 pub(super) struct Measured {
-    last: Own,
+    last: LocalUsage,
     /// When it was taken.
     pub(super) at: Duration,
     /// Use, with its time; oldest first, falling: a use that a later one exceeds says nothing.
@@ -39,7 +39,7 @@
 }
 
 impl Measured {
-    pub(super) fn open(own: Own, now: Duration) -> Self {
+    pub(super) fn open(own: LocalUsage, now: Duration) -> Self {
         let mut slots = Most::default();
         slots.add(-own.slots, now);
         Self {
@@ -50,7 +50,7 @@
         }
     }
 
-    pub(super) fn add(&mut self, own: Own, now: Duration) {
+    pub(super) fn add(&mut self, own: LocalUsage, now: Duration) {
         let used = own.used();
         self.last = own;
         self.at = now;
@@ -58,7 +58,7 @@
         self.peaks.push_back((now, used));
         while self
             .peaks
-            .pop_front_if(|(at, _)| now.saturating_sub(*at) > PEAK)
+            .pop_front_if(|(at, _)| now.saturating_sub(*at) > PEAK_WINDOW)
             .is_some()
         {}
         self.slots.add(-own.slots, now);
@@ -77,6 +77,6 @@
     /// Seconds that a request takes up a slot; not less than a microsecond, since a rate is slots
     /// by this.
     pub(super) fn work(&self) -> f64 {
-        self.last.work.as_secs_f64().max(1e-6)
+        self.last.service_time.as_secs_f64().max(1e-6)
     }
 }
--- a/crates/steer/src/hosts/mod.rs
+++ b/crates/steer/src/hosts/mod.rs
@@ -12,17 +12,17 @@
 
 use std::sync::Arc;
 
-pub use table::Table;
+pub use table::HostTable;
 
 /// Hosts in an answer: one to use, one to turn to when it fails, one more for the time until the
 /// next look-up.
-pub const ANSWER: usize = 3;
+pub const MAX_HOSTS: usize = 3;
 
 /// Weight of a host that is well and idle.
-pub const FULL: u16 = 100;
+pub const FULL_WEIGHT: u16 = 100;
 
 /// Weight of a suspect host: it most likely is gone, but a false suspicion must not empty a region.
-pub const SUSPECT: u16 = 1;
+pub const SUSPECT_WEIGHT: u16 = 1;
 
 /// Steps of weight by load. At four steps a report that lags by a second misplaces at most a
 /// quarter of a host's callers.
@@ -30,7 +30,7 @@
 
 /// What is known of a host's life.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum State {
+pub enum Liveness {
     /// Heard from.
     #[default]
     Alive,
@@ -48,7 +48,7 @@
     /// Its region.
     pub region: Arc<str>,
     /// What is known of its life.
-    pub state: State,
+    pub state: Liveness,
     /// Part of its capacity in use, 0 to 1; not finite where nothing is known, which counts as
     /// half.
     pub load: f64,
@@ -58,9 +58,9 @@
     /// Its weight: less with more load, least for a suspect one, none for one that leaves.
     pub fn weight(&self) -> u16 {
         match self.state {
-            State::Leaving => 0,
-            State::Suspect => SUSPECT,
-            State::Alive => {
+            Liveness::Leaving => 0,
+            Liveness::Suspect => SUSPECT_WEIGHT,
+            Liveness::Alive => {
                 let load = if self.load.is_finite() {
                     self.load
                 } else {
@@ -69,7 +69,7 @@
                 let step = (load.clamp(0.0, 1.0) * LOAD_STEPS)
                     .floor()
                     .min(LOAD_STEPS - 1.0);
-                (f64::from(FULL) * (1.0 - step / LOAD_STEPS)) as u16
+                (f64::from(FULL_WEIGHT) * (1.0 - step / LOAD_STEPS)) as u16
             }
         }
     }
@@ -77,7 +77,7 @@
 
 /// One host of an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Choice {
+pub struct WeightedHost {
     /// Index in the table.
     pub host: u32,
     /// Its weight.
@@ -86,13 +86,13 @@
 
 /// The hosts that a look-up answers with, best first.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Choices {
-    list: [Option<Choice>; ANSWER],
+pub struct ChosenHosts {
+    list: [Option<WeightedHost>; MAX_HOSTS],
 }
 
-impl Choices {
+impl ChosenHosts {
     /// The hosts, best first.
-    pub fn iter(&self) -> impl Iterator<Item = Choice> {
+    pub fn iter(&self) -> impl Iterator<Item = WeightedHost> {
         self.list.iter().map_while(|choice| *choice)
     }
 }
--- a/crates/steer/src/hosts/table.rs
+++ b/crates/steer/src/hosts/table.rs
@@ -4,12 +4,12 @@
 
 use dunlinrock_schema::config::Config;
 
-use super::{ANSWER, Choice, Choices, FULL, Host, SUSPECT};
+use super::{ChosenHosts, FULL_WEIGHT, Host, MAX_HOSTS, SUSPECT_WEIGHT, WeightedHost};
 use crate::hash;
 
 /// Hosts by region, with the regions near to each. Replaced whole when something changes.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct HostTable {
     /// In order of region, then of name.
     hosts: Vec<Host>,
     /// As long as `hosts`: hash of the name, and the weight.
@@ -18,13 +18,13 @@
     near: BTreeMap<Arc<str>, Vec<(usize, usize)>>,
 }
 
-impl Table {
+impl HostTable {
     /// Orders hosts; regions are near to one another by the delay of the link between them.
     pub fn open(config: &Config, mut hosts: Vec<Host>) -> Self {
         hosts.sort_by(|a, b| (&a.region, &a.name).cmp(&(&b.region, &b.name)));
         let keys = hosts
             .iter()
-            .map(|host| (hash::text(&host.name), host.weight()))
+            .map(|host| (hash::hash_str(&host.name), host.weight()))
             .collect();
         let near = config.regions.keys().map(|callers| {
             let ranges = order(config, callers).into_iter().map(|region| {
@@ -45,15 +45,15 @@
     ///
     /// Hosts of the callers' own region come first. Others fill the answer up where fewer than
     /// needed are well there: a caller whose region was lost still has whom to turn to.
-    pub fn answer(&self, callers: &str, block: u64) -> Choices {
-        let mut choices = Choices::default();
+    pub fn lookup(&self, callers: &str, block: u64) -> ChosenHosts {
+        let mut choices = ChosenHosts::default();
         let mut count = 0;
         let Some(near) = self.near.get(callers) else {
             return choices;
         };
-        for least in [SUSPECT + 1, SUSPECT] {
+        for least in [SUSPECT_WEIGHT + 1, SUSPECT_WEIGHT] {
             for (from, to) in near {
-                if count < ANSWER {
+                if count < MAX_HOSTS {
                     count = self.fill(&mut choices, count, block, *from..*to, least);
                 }
             }
@@ -64,24 +64,28 @@
     /// Adds the best hosts of a range, those of a least weight that are not there yet.
     fn fill(
         &self,
-        choices: &mut Choices,
+        choices: &mut ChosenHosts,
         count: usize,
         block: u64,
         range: std::ops::Range<usize>,
         least: u16,
     ) -> usize {
-        let value = hash::mix(block);
-        let mut best: [Option<(u64, usize)>; ANSWER] = [None; ANSWER];
-        let most = if least > SUSPECT { FULL } else { SUSPECT };
+        let value = hash::mix64(block);
+        let mut best: [Option<(u64, usize)>; MAX_HOSTS] = [None; MAX_HOSTS];
+        let most = if least > SUSPECT_WEIGHT {
+            FULL_WEIGHT
+        } else {
+            SUSPECT_WEIGHT
+        };
         for at in range {
             let (key, weight) = self.keys[at];
             if weight < least || weight > most {
                 continue;
             }
             // The order goes by the name alone: a change of load must not send callers elsewhere.
-            let score = hash::mix(key ^ value);
+            let score = hash::mix64(key ^ value);
             let place = best.partition_point(|other| other.is_some_and(|(o, _)| o >= score));
-            if place < ANSWER {
+            if place < MAX_HOSTS {
                 best[place..].rotate_right(1);
                 best[place] = Some((score, at));
             }
@@ -90,7 +94,7 @@
         let free = choices.list[count..].iter_mut();
         let mut added = 0;
         for (slot, (_, at)) in free.zip(found) {
-            *slot = Some(Choice {
+            *slot = Some(WeightedHost {
                 host: *at as u32,
                 weight: self.keys[*at].1,
             });
@@ -100,7 +104,7 @@
     }
 
     /// The host of a choice.
-    pub fn host(&self, choice: Choice) -> Option<&Host> {
+    pub fn host(&self, choice: WeightedHost) -> Option<&Host> {
         self.hosts.get(choice.host as usize)
     }
 }
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -7,7 +7,7 @@
 //! ```
 //! use std::{collections::BTreeSet, time::Duration};
 //!
-//! use dunlinrock_steer::{Ceilings, Goals, Shares};
+//! use dunlinrock_steer::{ShareLimits, DesiredSplits, TrafficSplit};
 //!
 //! # let text = r#"
 //! # [services.catalogue]
@@ -26,23 +26,23 @@
 //! # "#;
 //! # let file = dunlinrock_config::config::File { name: "all.toml".into(), text: text.into() };
 //! # let config = dunlinrock_config::config::check_files(&[file]).config.unwrap();
-//! let mut shares = Shares::open();
+//! let mut shares = TrafficSplit::open();
 //! // Nobody else is there: the host starts from the goal itself.
-//! shares.hear(&[]);
-//! let all_well = Goals::open(&config, &BTreeSet::new());
-//! shares.steer(&all_well, &Ceilings::default(), Duration::ZERO);
-//! assert_eq!(&**shares.pick("catalogue", "cluj", 7).unwrap(), "cluj");
+//! shares.update_peers(&[]);
+//! let all_well = DesiredSplits::open(&config, &BTreeSet::new());
+//! shares.advance(&all_well, &ShareLimits::default(), Duration::ZERO);
+//! assert_eq!(&**shares.pick_region("catalogue", "cluj", 7).unwrap(), "cluj");
 //!
 //! // Cluj is lost: its share moves by no more than the cap in any window, and what has not moved
 //! // yet is refused rather than sent somewhere at once.
-//! let lost = Goals::open(&config, &BTreeSet::from(["cluj".into()]));
-//! shares.steer(&lost, &Ceilings::default(), Duration::from_millis(100));
-//! let refusal = shares.pick("catalogue", "cluj", 7).unwrap_err();
+//! let lost = DesiredSplits::open(&config, &BTreeSet::from(["cluj".into()]));
+//! shares.advance(&lost, &ShareLimits::default(), Duration::from_millis(100));
+//! let refusal = shares.pick_region("catalogue", "cluj", 7).unwrap_err();
 //! assert!(refusal.retry_after > Duration::ZERO);
 //! ```
 //!
 //! * [`Blocks`]: client address to region, by longest prefix.
-//! * [`Goals`], [`Shares`]: where traffic is meant to go, and the capped way there.
+//! * [`DesiredSplits`], [`TrafficSplit`]: where traffic is meant to go, and the capped way there.
 //! * [`Grantor`], [`Grantee`]: headroom of a region and its links, lent for a short time.
 //! * [`spill`]: what a host needs of other regions, and how far its shares may go.
 //! * [`hosts`]: which hosts a look-up answers with.
@@ -61,9 +61,9 @@
 pub mod spread;
 
 pub use {
-    blocks::{Blocks, Builder, Full},
-    grants::{Ask, Grant, Grantee, Grantor, Links, Need, Own, Shortage},
-    shift::{Ceilings, Peer, Reason, Refusal, Rows, Shares},
-    spill::{Traffic, Traffics},
-    spread::{Goal, Goals},
+    blocks::{Blocks, BlocksBuilder, TooManyNames},
+    grants::{Grant, GrantRequest, Grantee, Grantor, LinkCapacity, LocalUsage, Need, NoCapacity},
+    shift::{PeerSplit, Refusal, ShareLimits, SplitTable, TrafficSplit, UnservableReason},
+    spill::{Traffic, TrafficTable},
+    spread::{DesiredSplit, DesiredSplits},
 };
--- a/crates/steer/src/naive/mod.rs
+++ b/crates/steer/src/naive/mod.rs
@@ -3,24 +3,24 @@
 
 use std::sync::Arc;
 
-use crate::{Goals, hash};
+use crate::{DesiredSplits, hash};
 
-/// Shares that are always at their goal.
+/// TrafficSplit that are always at their goal.
 #[derive(Clone, Debug, Default)]
-pub struct Immediate {
-    goals: Goals,
+pub struct UncappedSplit {
+    goals: DesiredSplits,
 }
 
-impl Immediate {
+impl UncappedSplit {
     /// Follows goals from now on.
-    pub fn steer(&mut self, goals: &Goals) {
+    pub fn steer(&mut self, goals: &DesiredSplits) {
         self.goals = goals.clone();
     }
 
     /// The region that serves a request; `None` where the goal has none.
     pub fn pick(&self, service: &str, callers: &str, value: u64) -> Option<&Arc<str>> {
-        let row = &self.goals.find(service, callers)?.row;
-        let mut rest = hash::unit(hash::mix(value));
+        let row = &self.goals.find(service, callers)?.shares;
+        let mut rest = hash::to_unit_f64(hash::mix64(value));
         for (region, share) in row {
             rest -= share;
             if rest <= 0.0 {
--- a/crates/steer/src/shift/lane.rs
+++ b/crates/steer/src/shift/lane.rs
@@ -4,8 +4,8 @@
 
 use dunlinrock_config::goal::Row;
 
-use super::{LEAD, PACE, PATIENCE, STEP};
-use crate::{Goal, hash};
+use super::{MAX_LEAD, MAX_STEP, PACE, PEER_WINDOWS};
+use crate::{DesiredSplit, hash};
 
 /// Share below which a difference is rounding.
 const LEAST: f64 = 1e-9;
@@ -24,7 +24,7 @@
     /// The share that it is to have, as far as ceilings allow, 0 to 1.
     pub(super) target: f64,
     /// Whether it can serve at all.
-    pub(super) able: bool,
+    pub(super) eligible: bool,
 }
 
 /// The shares of one service's callers in one region.
@@ -45,7 +45,7 @@
     stepped: Duration,
     /// Since when slower peers hold the lane.
     held: Option<Duration>,
-    /// Shares of peers.
+    /// TrafficSplit of peers.
     peers: Vec<Row>,
 }
 
@@ -73,10 +73,10 @@
         let at = found.unwrap_or_else(|at| {
             let part = Part {
                 region: region.clone(),
-                hash: hash::text(region),
+                hash: hash::hash_str(region),
                 share: 0.0,
                 target: 0.0,
-                able: false,
+                eligible: false,
             };
             self.parts.insert(at, part);
             at
@@ -111,17 +111,17 @@
     }
 
     /// Takes one step towards the goal.
-    pub(super) fn steer(&mut self, goal: &Goal, ceilings: Option<&Row>, now: Duration) {
+    pub(super) fn steer(&mut self, goal: &DesiredSplit, ceilings: Option<&Row>, now: Duration) {
         self.window = goal.window;
         if self.parts.is_empty() {
             // Nothing was served, so nothing moves.
-            for (region, share) in &goal.row {
+            for (region, share) in &goal.shares {
                 self.part(region).share = *share;
             }
         }
         self.aim(goal, ceilings);
         let speed = PACE * goal.cap / goal.window.max(SHORTEST).as_secs_f64();
-        let most = goal.window.mul_f64(STEP);
+        let most = goal.window.mul_f64(MAX_STEP);
         let time = now.saturating_sub(self.stepped).min(most);
         self.stepped = now;
         let remaining = self.remaining();
@@ -134,7 +134,7 @@
         self.step(remaining, (speed * time.as_secs_f64()).min(free));
         self.parts
             .retain(|part| part.share > 0.0 || part.target > 0.0);
-        let behind = self.distance(&goal.row);
+        let behind = self.distance(&goal.shares);
         self.behind = if behind > LEAST { behind } else { 0.0 };
     }
 
@@ -144,14 +144,14 @@
     }
 
     /// Sets the targets: the goal, but nothing above a ceiling that is not there already.
-    fn aim(&mut self, goal: &Goal, ceilings: Option<&Row>) {
+    fn aim(&mut self, goal: &DesiredSplit, ceilings: Option<&Row>) {
         for part in &mut self.parts {
             part.target = 0.0;
-            part.able = goal.able.contains(&part.region);
+            part.eligible = goal.eligible.contains(&part.region);
         }
-        for (region, share) in &goal.row {
+        for (region, share) in &goal.shares {
             let part = self.part(region);
-            part.able = true;
+            part.eligible = true;
             part.target = *share;
         }
         let ceiling = |region: &Arc<str>| ceilings.and_then(|row| row.get(region)).copied();
@@ -171,9 +171,9 @@
     /// grants anything; else it stays, to be refused.
     fn balance(&mut self, home: &str, ceilings: Option<&Row>) {
         let mut missing = 1.0 - self.parts.iter().map(|part| part.target).sum::<f64>();
-        self.keep(&mut missing, |part| part.able && *part.region == *home);
+        self.keep(&mut missing, |part| part.eligible && *part.region == *home);
         if let Some(part) = self.parts.iter_mut().find(|part| *part.region == *home)
-            && part.able
+            && part.eligible
             && missing > 0.0
         {
             let ceiling = ceilings.and_then(|row| row.get(home)).copied();
@@ -182,7 +182,7 @@
             part.target += taken;
             missing -= taken;
         }
-        self.keep(&mut missing, |part| part.able);
+        self.keep(&mut missing, |part| part.eligible);
         self.keep(&mut missing, |_| true);
     }
 
@@ -204,17 +204,17 @@
     }
 
     /// How much may move before the lane is too far ahead of its slowest peer.
-    fn free(&mut self, goal: &Goal, now: Duration) -> f64 {
-        let own = self.distance(&goal.row);
-        let of_peer = |row: &Row| distance(row.iter().map(|(r, s)| (r, *s)), &goal.row);
+    fn free(&mut self, goal: &DesiredSplit, now: Duration) -> f64 {
+        let own = self.distance(&goal.shares);
+        let of_peer = |row: &Row| distance(row.iter().map(|(r, s)| (r, *s)), &goal.shares);
         let slowest = self.peers.iter().map(of_peer).fold(0.0, f64::max);
-        let free = own - slowest + LEAD * goal.cap;
+        let free = own - slowest + MAX_LEAD * goal.cap;
         if free > LEAST {
             self.held = None;
             return free;
         }
         let since = *self.held.get_or_insert(now);
-        if now.saturating_sub(since) > goal.window.saturating_mul(PATIENCE) {
+        if now.saturating_sub(since) > goal.window.saturating_mul(PEER_WINDOWS) {
             return 1.0;
         }
         0.0
--- a/crates/steer/src/shift/mod.rs
+++ b/crates/steer/src/shift/mod.rs
@@ -10,12 +10,12 @@
 //! Each host decides for itself. That the sum over hosts stays under the cap rests on four rules:
 //!
 //! * A host moves at [`PACE`] of the cap's speed and does not make up for time it was idle beyond
-//!   [`STEP`] of a window. The limit needs no memory of earlier moves, so that it holds across the
+//!   [`MAX_STEP`] of a window. The limit needs no memory of earlier moves, so that it holds across the
 //!   replacement of a host, whose memory is gone.
 //! * A new host starts from the mean of its peers' shares. If it started from the goal, its part
 //!   of the traffic would jump; where no peer has shares there is no traffic to jump.
 //! * A host takes the shares of other regions' callers over from the hosts there.
-//! * A host stays within [`LEAD`] of the cap of its slowest peer, for [`PATIENCE`] windows: when a
+//! * A host stays within [`MAX_LEAD`] of the cap of its slowest peer, for [`PEER_WINDOWS`] windows: when a
 //!   host dies and its callers go to others, the traffic jumps by the difference of their shares.
 //!
 //! `docs/decisions/shift.md` holds the sweep behind these figures.
@@ -28,48 +28,48 @@
 
 use dunlinrock_config::goal::Row;
 
-use crate::Goals;
+use crate::DesiredSplits;
 use lane::Lane;
-pub use pick::{Reason, Refusal};
+pub use pick::{Refusal, UnservableReason};
 
 /// Part of the cap's speed at which a host moves. The rest is kept for what is not a host's own
-/// move: steps that began before a window (at most [`STEP`]), and callers who change hosts when a
-/// third of all hosts end at once (a third of [`LEAD`]): 0.8 * 1.05 + 0.45 / 3 = 0.99.
+/// move: steps that began before a window (at most [`MAX_STEP`]), and callers who change hosts when a
+/// third of all hosts end at once (a third of [`MAX_LEAD`]): 0.8 * 1.05 + 0.45 / 3 = 0.99.
 pub use dunlinrock_config::goal::PACE;
 
 /// Part of a window for which a host that was idle makes up at most.
-pub const STEP: f64 = 0.05;
+pub const MAX_STEP: f64 = 0.05;
 
 /// Part of the cap by which a host may be nearer to the goal than its slowest peer.
-pub const LEAD: f64 = 0.45;
+pub const MAX_LEAD: f64 = 0.45;
 
 /// Windows for which a host waits for a peer that does not move: one that cannot reach its goal
 /// must not stop a drain for all.
-pub const PATIENCE: u32 = 2;
+pub const PEER_WINDOWS: u32 = 2;
 
-/// Shares by service, then by region of callers: what hosts tell one another.
-pub type Rows = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Row>>;
+/// TrafficSplit by service, then by region of callers: what hosts tell one another.
+pub type SplitTable = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Row>>;
 
 /// Largest share that a region can be given, by service, region of callers and serving region;
 /// one that is not listed has no limit.
-pub type Ceilings = Rows;
+pub type ShareLimits = SplitTable;
 
 /// What is known of one peer that is alive.
 #[derive(Clone, Copy, Debug)]
-pub struct Peer<'p> {
+pub struct PeerSplit<'p> {
     /// Its shares, none where it has not got any yet; `None` where it was not heard yet.
-    pub rows: Option<&'p Rows>,
+    pub table: Option<&'p SplitTable>,
 }
 
 /// The shares of traffic that this host goes by.
 #[derive(Clone, Debug, Default)]
-pub struct Shares {
+pub struct TrafficSplit {
     /// Empty until the host knows where to start.
     lanes: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Lane>>,
     start: start::Start,
 }
 
-impl Shares {
+impl TrafficSplit {
     /// A host without shares: it refuses all until it has heard its peers and steered once.
     pub fn open() -> Self {
         Self::default()
@@ -79,13 +79,13 @@
     ///
     /// A host that has no shares starts from the mean of its peers' once one of them has some, and
     /// from the goal once all were heard and none has. Later, peers that lag hold it back.
-    pub fn hear(&mut self, peers: &[Peer<'_>]) {
+    pub fn update_peers(&mut self, peers: &[PeerSplit<'_>]) {
         if !self.ready() {
             self.start = start::Start::from_peers(peers);
         }
         for (service, lanes) in &mut self.lanes {
             for (callers, lane) in lanes {
-                let rows = peers.iter().filter_map(|peer| peer.rows);
+                let rows = peers.iter().filter_map(|peer| peer.table);
                 lane.hear(rows.filter_map(|rows| rows.get(service)?.get(callers)));
             }
         }
@@ -98,7 +98,7 @@
     /// their traffic. A host elsewhere has no such traffic to hold it, and would run ahead to the
     /// goal; should the region's hosts all end, its callers would jump there. So it follows, and
     /// goes on by itself from where they ended.
-    pub fn follow(&mut self, own: &str, peers: &BTreeMap<Arc<str>, Vec<&Rows>>) {
+    pub fn adopt_remote(&mut self, own: &str, peers: &BTreeMap<Arc<str>, Vec<&SplitTable>>) {
         for (service, lanes) in &mut self.lanes {
             for (callers, lane) in lanes.iter_mut().filter(|(name, _)| ***name != *own) {
                 let rows = peers.get(callers).into_iter().flatten();
@@ -118,24 +118,24 @@
 
     /// Drops all shares. For a host that was paused: its peers have gone on without it, so it
     /// starts again from theirs.
-    pub fn restart(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::open();
     }
 
     /// Moves shares towards the goals as far as time and ceilings allow.
-    pub fn steer(&mut self, goals: &Goals, ceilings: &Ceilings, now: Duration) {
+    pub fn advance(&mut self, goals: &DesiredSplits, ceilings: &ShareLimits, now: Duration) {
         if !self.ready() && !self.start.known() {
             return;
         }
         self.lanes
-            .retain(|service, _| goals.lanes.contains_key(service));
-        for (service, row) in &goals.lanes {
+            .retain(|service, _| goals.flows.contains_key(service));
+        for (service, row) in &goals.flows {
             let lanes = self.lanes.entry(service.clone()).or_default();
             lanes.retain(|callers, _| row.contains_key(callers));
             for (callers, goal) in row {
                 let lane = lanes.entry(callers.clone()).or_insert_with(|| {
                     let row = self.start.row(service, callers);
-                    Lane::open(callers, row.unwrap_or(&goal.row), now)
+                    Lane::open(callers, row.unwrap_or(&goal.shares), now)
                 });
                 let ceilings = ceilings.get(service).and_then(|rows| rows.get(callers));
                 lane.steer(goal, ceilings, now);
@@ -152,7 +152,12 @@
     /// # Errors
     ///
     /// [`Refusal`] where the share it falls on cannot be served now.
-    pub fn pick(&self, service: &str, callers: &str, value: u64) -> Result<&Arc<str>, Refusal> {
+    pub fn pick_region(
+        &self,
+        service: &str,
+        callers: &str,
+        value: u64,
+    ) -> Result<&Arc<str>, Refusal> {
         let lane = self.lanes.get(service).and_then(|row| row.get(callers));
         match lane {
             Some(lane) => pick::pick(lane, value),
@@ -162,7 +167,7 @@
     }
 
     /// The shares, to tell peers.
-    pub fn rows(&self) -> Rows {
+    pub fn table(&self) -> SplitTable {
         let rows = self.lanes.iter().map(|(service, lanes)| {
             let rows = lanes.iter();
             let rows = rows.map(|(callers, lane)| (callers.clone(), lane.row()));
--- a/crates/steer/src/shift/pick.rs
+++ b/crates/steer/src/shift/pick.rs
@@ -9,13 +9,13 @@
 
 /// Why a request cannot be served now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reason {
+pub enum UnservableReason {
     /// This host has not yet heard from its peers what the shares are.
     Starting,
     /// No region serves the service's callers in this region.
-    Nowhere,
+    NoRegion,
     /// Its share has not yet moved from a region that cannot serve.
-    Lost,
+    RegionGone,
 }
 
 /// A request that is not served now; it was not sent anywhere.
@@ -23,7 +23,7 @@
 #[error("not servable now ({reason:?}); try again after {} ms", retry_after.as_millis())]
 pub struct Refusal {
     /// Why.
-    pub reason: Reason,
+    pub reason: UnservableReason,
     /// Time after which the same request will be served, as far as can be told now.
     pub retry_after: Duration,
 }
@@ -40,14 +40,14 @@
 impl Refusal {
     pub(super) fn starting() -> Self {
         Self {
-            reason: Reason::Starting,
+            reason: UnservableReason::Starting,
             retry_after: STARTING,
         }
     }
 
     pub(super) fn nowhere() -> Self {
         Self {
-            reason: Reason::Nowhere,
+            reason: UnservableReason::NoRegion,
             retry_after: NOWHERE,
         }
     }
@@ -60,11 +60,11 @@
     let Some(part) = best(lane, value, 0.0) else {
         return Err(Refusal::nowhere());
     };
-    if part.able {
+    if part.eligible {
         return Ok(&part.region);
     }
     Err(Refusal {
-        reason: Reason::Lost,
+        reason: UnservableReason::RegionGone,
         retry_after: wait(lane, value),
     })
 }
@@ -91,15 +91,15 @@
 /// Time until a value falls on a region that can serve, at the speed of now.
 ///
 /// Where nothing moves now, a window: the ceilings or peers that hold the lane change within it or
-/// not at all. Ceilings may come down on the way, so this is an estimate.
+/// not at all. ShareLimits may come down on the way, so this is an estimate.
 fn wait(lane: &Lane, value: u64) -> Duration {
     if lane.speed <= 0.0 {
         return lane.window.max(SHORTEST);
     }
     let way = |step| f64::from(step) / f64::from(STEPS);
-    let able = |step: &u32| best(lane, value, way(*step)).is_some_and(|part| part.able);
+    let served = |step: &u32| best(lane, value, way(*step)).is_some_and(|part| part.eligible);
     let whole = lane.remaining() / lane.speed;
-    let time = match (1..=STEPS).find(able) {
+    let time = match (1..=STEPS).find(served) {
         Some(step) => Duration::from_secs_f64(whole * way(step)),
         None => Duration::from_secs_f64(whole) + lane.window,
     };
--- a/crates/steer/src/shift/start.rs
+++ b/crates/steer/src/shift/start.rs
@@ -4,7 +4,7 @@
 
 use dunlinrock_config::goal::{Row, normal};
 
-use super::{Peer, Rows};
+use super::{PeerSplit, SplitTable};
 
 /// What a host without shares knows of where to start.
 #[derive(Clone, Debug, Default)]
@@ -13,20 +13,20 @@
     #[default]
     Unknown,
     /// Nobody has shares: there is no traffic that could jump, so the goal will do.
-    Goal,
+    Desired,
     /// Mean of the shares of all peers that have some.
-    Mean(Rows),
+    Mean(SplitTable),
 }
 
 impl Start {
-    pub(super) fn from_peers(peers: &[Peer<'_>]) -> Self {
-        let heard = peers.iter().filter_map(|peer| peer.rows);
-        let with: Vec<&Rows> = heard.filter(|rows| !rows.is_empty()).collect();
+    pub(super) fn from_peers(peers: &[PeerSplit<'_>]) -> Self {
+        let heard = peers.iter().filter_map(|peer| peer.table);
+        let with: Vec<&SplitTable> = heard.filter(|rows| !rows.is_empty()).collect();
         if !with.is_empty() {
             return Self::Mean(mean(&with));
         }
-        if peers.iter().all(|peer| peer.rows.is_some()) {
-            return Self::Goal;
+        if peers.iter().all(|peer| peer.table.is_some()) {
+            return Self::Desired;
         }
         Self::Unknown
     }
@@ -39,7 +39,7 @@
     pub(super) fn row(&self, service: &str, callers: &str) -> Option<&Row> {
         match self {
             Self::Mean(rows) => rows.get(service)?.get(callers),
-            Self::Unknown | Self::Goal => None,
+            Self::Unknown | Self::Desired => None,
         }
     }
 }
@@ -55,7 +55,7 @@
     normal(sum)
 }
 
-fn mean(all: &[&Rows]) -> Rows {
+fn mean(all: &[&SplitTable]) -> SplitTable {
     let mut lists: BTreeMap<_, BTreeMap<_, Vec<&Row>>> = BTreeMap::new();
     for (service, lanes) in all.iter().copied().flatten() {
         let lists = lists.entry(service).or_default();
--- a/crates/steer/src/spill/mod.rs
+++ b/crates/steer/src/spill/mod.rs
@@ -9,18 +9,21 @@
 
 use dunlinrock_config::goal::Row;
 
-use crate::{Ceilings, Goal, Goals, Grantee, Grantor, Need, Rows, Shares, hash};
+use crate::{
+    DesiredSplit, DesiredSplits, Grantee, Grantor, Need, ShareLimits, SplitTable, TrafficSplit,
+    hash,
+};
 
 /// How many times the square root of the rate is asked for on top of it: requests come unevenly,
 /// and a bucket that is filled at the mean rate alone turns some away. A rate of a few requests a
 /// second needs twice its mean, one of hundreds a tenth more; a fixed part would be too little for
 /// the one and too much for the other.
-pub const SAFETY: f64 = 1.5;
+pub const BURST_MARGIN: f64 = 1.5;
 
 /// Part of the safety that a share leaves free in what was granted. With all of it, each rise of a
 /// measured rate since the ask would send the share back a little; with none, requests find no
 /// room wherever grants are scarce.
-pub const KEPT: f64 = 0.5;
+pub const KEPT_MARGIN: f64 = 0.5;
 
 /// What a host measures of one service's callers in one region.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -34,16 +37,16 @@
 }
 
 /// Traffic by service, then by region of callers.
-pub type Traffics = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Traffic>>;
+pub type TrafficTable = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Traffic>>;
 
 /// What a host in `region` needs of other regions, by region.
 ///
 /// Its own region is among them for callers of other regions: the host then takes work from
 /// elsewhere too.
 pub fn needs(
-    goals: &Goals,
-    shares: &Shares,
-    traffic: &Traffics,
+    goals: &DesiredSplits,
+    shares: &TrafficSplit,
+    traffic: &TrafficTable,
     region: &str,
 ) -> BTreeMap<Arc<str>, Vec<Need>> {
     let mut needs = means(goals, shares, traffic, region);
@@ -55,7 +58,7 @@
 
 /// The rate to ask for, for a mean rate.
 fn asked(mean: f64) -> f64 {
-    mean + SAFETY * mean.sqrt()
+    mean + BURST_MARGIN * mean.sqrt()
 }
 
 /// The mean rate that a granted rate carries while few requests find no room.
@@ -63,23 +66,23 @@
     if !granted.is_finite() {
         return granted;
     }
-    let safety = SAFETY * KEPT;
+    let safety = BURST_MARGIN * KEPT_MARGIN;
     let root = (safety * safety + 4.0 * granted).sqrt() - safety;
     (root / 2.0).powi(2)
 }
 
 /// The needs at their mean rates.
 fn means(
-    goals: &Goals,
-    shares: &Shares,
-    traffic: &Traffics,
+    goals: &DesiredSplits,
+    shares: &TrafficSplit,
+    traffic: &TrafficTable,
     region: &str,
 ) -> BTreeMap<Arc<str>, Vec<Need>> {
-    let rows = shares.rows();
+    let rows = shares.table();
     let mut needs: BTreeMap<Arc<str>, Vec<Need>> = BTreeMap::new();
     for (service, callers, goal, traffic) in lanes(goals, traffic) {
         for (serving, share) in wanted(goal, row(&rows, service, callers)) {
-            if free(region, callers, &serving) || share * traffic.rate <= 0.0 {
+            if is_local(region, callers, &serving) || share * traffic.rate <= 0.0 {
                 continue;
             }
             let list = needs.entry(serving).or_default();
@@ -90,18 +93,18 @@
 }
 
 /// How far shares may go by what a host in `region` was lent, and at home by its own room.
-pub fn ceilings(
-    goals: &Goals,
-    shares: &Shares,
-    traffic: &Traffics,
+pub fn share_limits(
+    goals: &DesiredSplits,
+    shares: &TrafficSplit,
+    traffic: &TrafficTable,
     region: &str,
     lent: (&Grantee, &Grantor),
     now: Duration,
-) -> Ceilings {
+) -> ShareLimits {
     let (grantee, grantor) = lent;
-    let rows = shares.rows();
+    let rows = shares.table();
     let needs = means(goals, shares, traffic, region);
-    let mut ceilings = Ceilings::new();
+    let mut ceilings = ShareLimits::new();
     for (service, callers, goal, traffic) in lanes(goals, traffic) {
         if traffic.rate <= 0.0 {
             continue;
@@ -109,13 +112,13 @@
         let row = row(&rows, service, callers);
         // What stays with a region that cannot serve is refused for certain; then it is better to
         // use all that was granted, and have a request now and then find no room.
-        let lost = |region: &Arc<str>| !goal.able.contains(region);
+        let lost = |region: &Arc<str>| !goal.eligible.contains(region);
         let stuck = row.is_some_and(|row| row.keys().any(lost));
         let mut out = Row::new();
         for (serving, share) in wanted(goal, row) {
-            let ceiling = if free(region, callers, &serving) {
+            let ceiling = if is_local(region, callers, &serving) {
                 let now_share = row.and_then(|row| row.get(&serving)).copied();
-                now_share.unwrap_or(0.0) + grantor.spare(service, now) / traffic.rate
+                now_share.unwrap_or(0.0) + grantor.spare_rate(service, now) / traffic.rate
             } else {
                 let list = needs.get(&serving);
                 let need = list.and_then(|list| list.iter().find(|n| n.service == *service));
@@ -136,32 +139,32 @@
 
 /// Hosts of a region that one host asks. With more, asks and grants would grow with the square of
 /// the fleet; eight hold the room of a few when one or two of them end.
-pub const ASKED: usize = 8;
+pub const MAX_GRANTORS: usize = 8;
 
 /// The hosts of a region that the host `own` asks: all where they are few, else some that are its
 /// own choice, so that each is asked by about as many as the others.
-pub fn grantors<'h>(own: &str, hosts: &'h [Arc<str>]) -> Vec<&'h Arc<str>> {
-    let own = hash::text(own);
+pub fn choose_grantors<'h>(own: &str, hosts: &'h [Arc<str>]) -> Vec<&'h Arc<str>> {
+    let own = hash::hash_str(own);
     let mut hosts: Vec<_> = hosts
         .iter()
-        .map(|host| (hash::mix(own ^ hash::text(host)), host))
+        .map(|host| (hash::mix64(own ^ hash::hash_str(host)), host))
         .collect();
     hosts.sort();
-    hosts.truncate(ASKED);
+    hosts.truncate(MAX_GRANTORS);
     hosts.into_iter().map(|(_, host)| host).collect()
 }
 
 /// Whether a host may send requests without a grant: its own callers' at home.
-pub fn free(region: &str, callers: &str, serving: &str) -> bool {
+pub fn is_local(region: &str, callers: &str, serving: &str) -> bool {
     region == callers && region == serving
 }
 
 /// All services and regions of callers with traffic.
 fn lanes<'a>(
-    goals: &'a Goals,
-    traffic: &'a Traffics,
-) -> impl Iterator<Item = (&'a Arc<str>, &'a Arc<str>, &'a Goal, Traffic)> {
-    goals.lanes.iter().flat_map(move |(service, lanes)| {
+    goals: &'a DesiredSplits,
+    traffic: &'a TrafficTable,
+) -> impl Iterator<Item = (&'a Arc<str>, &'a Arc<str>, &'a DesiredSplit, Traffic)> {
+    goals.flows.iter().flat_map(move |(service, lanes)| {
         lanes.iter().filter_map(move |(callers, goal)| {
             let traffic = traffic.get(service)?.get(callers)?;
             Some((service, callers, goal, *traffic))
@@ -169,15 +172,18 @@
     })
 }
 
-fn row<'r>(rows: &'r Rows, service: &str, callers: &str) -> Option<&'r Row> {
+fn row<'r>(rows: &'r SplitTable, service: &str, callers: &str) -> Option<&'r Row> {
     rows.get(service)?.get(callers)
 }
 
 /// The shares that a lane may have within a window: what it has, and towards its goal at most the
 /// cap more. Regions that cannot serve want nothing.
-fn wanted<'a>(goal: &'a Goal, row: Option<&'a Row>) -> impl Iterator<Item = (Arc<str>, f64)> + 'a {
-    goal.able.iter().filter_map(move |region| {
-        let goal_share = goal.row.get(region).copied().unwrap_or(0.0);
+fn wanted<'a>(
+    goal: &'a DesiredSplit,
+    row: Option<&'a Row>,
+) -> impl Iterator<Item = (Arc<str>, f64)> + 'a {
+    goal.eligible.iter().filter_map(move |region| {
+        let goal_share = goal.shares.get(region).copied().unwrap_or(0.0);
         let share = row.and_then(|row| row.get(region)).copied().unwrap_or(0.0);
         let wanted = share.max(goal_share.min(share + goal.cap));
         (wanted > 0.0).then(|| (region.clone(), wanted))
