--- a/crates/config/src/goal/mod.rs
+++ b/crates/config/src/goal/mod.rs
@@ -14,10 +14,10 @@
 
 /// Part of a cap's speed at which each host moves its shares. The rest is kept for what is not a
 /// host's own move, as `docs/decisions/shift.md` says.
-pub const PACE: f64 = 0.8;
+pub const CAP_FRACTION: f64 = 0.8;
 
 /// For each serving region its part of the traffic; the parts sum up to 1, or there are none.
-pub type Row = BTreeMap<Arc<str>, f64>;
+pub type RegionShares = BTreeMap<Arc<str>, f64>;
 
 /// The link between two regions.
 pub fn link<'c>(config: &'c Config, a: &str, b: &str) -> Option<&'c Link> {
@@ -27,7 +27,7 @@
 }
 
 /// Whether a drain takes a target out, itself or with its domain or region.
-pub fn drained(config: &Config, name: &str, target: &Target) -> bool {
+pub fn is_drained(config: &Config, name: &str, target: &Target) -> bool {
     let region = config.domains.get(&target.domain).map(|d| &*d.region);
     config.drains.values().any(|drain| match drain.kind {
         DrainKind::Target => &*drain.name == name,
@@ -41,18 +41,18 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Slots {
     /// All slots.
-    pub all: u64,
+    pub total: u64,
     /// Slots that no drain takes out; at most `all`.
-    pub left: u64,
+    pub available: u64,
 }
 
 impl Slots {
     /// The part that is left, of 1.
-    pub fn part(self) -> f64 {
-        if self.all == 0 {
+    pub fn available_fraction(self) -> f64 {
+        if self.total == 0 {
             return 0.0;
         }
-        self.left as f64 / self.all as f64
+        self.available as f64 / self.total as f64
     }
 }
 
@@ -67,64 +67,68 @@
             continue;
         };
         let sum = slots.entry(domain.region.clone()).or_default();
-        sum.all = sum.all.saturating_add(target.slots.get());
-        if !drained(config, name, target) {
-            sum.left = sum.left.saturating_add(target.slots.get());
+        sum.total = sum.total.saturating_add(target.slots.get());
+        if !is_drained(config, name, target) {
+            sum.available = sum.available.saturating_add(target.slots.get());
         }
     }
     slots
 }
 
 /// The row that the operator wrote for the callers of a region: itself alone where there is none.
-pub fn written(config: &Config, service: &str, callers: &str) -> Row {
+pub fn configured(config: &Config, service: &str, callers: &str) -> RegionShares {
     let row = config
         .services
         .get(service)
         .and_then(|service| service.spread.get(callers));
     match row {
-        Some(row) => normal(row.clone()),
-        None => Row::from([(Arc::from(callers), 1.0)]),
+        Some(row) => normalize(row.clone()),
+        None => RegionShares::from([(Arc::from(callers), 1.0)]),
     }
 }
 
 /// The goal of a service's callers in one region.
 ///
 /// Empty where no region can serve them.
-pub fn goal(config: &Config, service: &str, callers: &str) -> Row {
-    goal_without(config, service, callers, &BTreeSet::new())
+pub fn desired_split(config: &Config, service: &str, callers: &str) -> RegionShares {
+    desired_split_excluding(config, service, callers, &BTreeSet::new())
 }
 
 /// The goal of a service's callers in one region while some regions are lost: a lost region counts
 /// as one without slots.
 ///
 /// Empty where no region can serve them.
-pub fn goal_without(
+pub fn desired_split_excluding(
     config: &Config,
     service: &str,
     callers: &str,
     lost: &BTreeSet<Arc<str>>,
-) -> Row {
+) -> RegionShares {
     let mut slots = slots(config, service);
     slots.retain(|region, _| !lost.contains(region));
-    let part = |region: &Arc<str>| slots.get(region).map_or(0.0, |slots| slots.part());
-    let mut row = written(config, service, callers);
+    let part = |region: &Arc<str>| {
+        slots
+            .get(region)
+            .map_or(0.0, |slots| slots.available_fraction())
+    };
+    let mut row = configured(config, service, callers);
     for (region, weight) in &mut row {
         *weight *= part(region);
     }
-    let row = normal(row);
+    let row = normalize(row);
     if !row.is_empty() {
         return row;
     }
     let linked = |region: &str| region == callers || link(config, callers, region).is_some();
     let left = slots.iter().filter(|(region, _)| linked(region));
-    normal(
-        left.map(|(r, slots)| (r.clone(), slots.left as f64))
+    normalize(
+        left.map(|(r, slots)| (r.clone(), slots.available as f64))
             .collect(),
     )
 }
 
 /// Leaves out regions without weight and brings the sum to 1.
-pub fn normal(mut row: Row) -> Row {
+pub fn normalize(mut row: RegionShares) -> RegionShares {
     row.retain(|_, weight| weight.is_finite() && *weight > 0.0);
     // The largest weight goes out first: a sum of large weights would not be finite.
     let most = row.values().copied().fold(0.0, f64::max);
--- a/crates/config/src/plan/shifts.rs
+++ b/crates/config/src/plan/shifts.rs
@@ -5,7 +5,7 @@
 use dunlinrock_schema::config::{Cap, Config};
 
 use super::Shift;
-use crate::goal::{PACE, Row, goal};
+use crate::goal::{CAP_FRACTION, RegionShares, desired_split};
 
 /// Part of the traffic below which a difference is rounding, not a shift.
 const LEAST: f64 = 1e-9;
@@ -19,8 +19,8 @@
             continue;
         }
         for callers in regions(old, new) {
-            let before = goal(old, name, &callers);
-            let after = goal(new, name, &callers);
+            let before = desired_split(old, name, &callers);
+            let after = desired_split(new, name, &callers);
             let moved = moved(&before, &after);
             if moved > LEAST {
                 shifts.push(shift(name, &callers, moved, &service.cap));
@@ -39,7 +39,7 @@
 }
 
 /// Part of the traffic that changes its region between two rows.
-fn moved(before: &Row, after: &Row) -> f64 {
+fn moved(before: &RegionShares, after: &RegionShares) -> f64 {
     let gain = |(region, share): (&Arc<str>, &f64)| {
         (share - before.get(region).copied().unwrap_or(0.0)).max(0.0)
     };
@@ -58,6 +58,7 @@
         callers: callers.clone(),
         moved,
         windows: (windows - LEAST).ceil().max(1.0) as u64,
-        takes: Duration::try_from_secs_f64(window * windows / PACE).unwrap_or(Duration::MAX),
+        takes: Duration::try_from_secs_f64(window * windows / CAP_FRACTION)
+            .unwrap_or(Duration::MAX),
     }
 }
--- a/crates/node/src/duties/control/routes.rs
+++ b/crates/node/src/duties/control/routes.rs
@@ -13,7 +13,7 @@
     time::Duration,
 };
 
-use dunlinrock_config::goal::{drained, link};
+use dunlinrock_config::goal::{is_drained, link};
 use dunlinrock_coord::rendezvous;
 use dunlinrock_decide::admit::{Load, PoolRules, TargetSpec, Word};
 use dunlinrock_schema::config::{Config, Service, Target};
@@ -113,7 +113,7 @@
     fn unheard(&self, targets: &[(Arc<str>, Target)]) -> Heard {
         let usable = targets
             .iter()
-            .filter(|(name, target)| !drained(self.config, name, target));
+            .filter(|(name, target)| !is_drained(self.config, name, target));
         let slots = usable.map(|(_, target)| target.slots.get()).sum::<u64>();
         let slots = u32::try_from(slots).unwrap_or(u32::MAX);
         Heard {
@@ -185,7 +185,7 @@
     TargetSpec {
         name: Arc::clone(name),
         slots: u32::try_from(target.slots.get()).unwrap_or(u32::MAX),
-        leaving: drained(config, name, target),
+        leaving: is_drained(config, name, target),
         cold: false,
     }
 }
--- a/crates/steer/examples/division.rs
+++ b/crates/steer/examples/division.rs
@@ -150,7 +150,7 @@
 }
 
 fn capacity(config: &Config, service: &str, region: &str, part: f64) -> [f64; 2] {
-    let slots = goal::slots(config, service)[region].all as f64 * SPARE;
+    let slots = goal::slots(config, service)[region].total as f64 * SPARE;
     let link = config.links.values().next().expect("a link");
     [slots, link.bytes_per_s.get() as f64 * part]
 }
--- a/crates/steer/src/shift/lane.rs
+++ b/crates/steer/src/shift/lane.rs
@@ -2,9 +2,9 @@
 
 use std::{sync::Arc, time::Duration};
 
-use dunlinrock_config::goal::Row;
+use dunlinrock_config::goal::RegionShares;
 
-use super::{LEAD, PACE, PATIENCE, STEP};
+use super::{CAP_FRACTION, LEAD, PATIENCE, STEP};
 use crate::{Goal, hash};
 
 /// Share below which a difference is rounding.
@@ -46,11 +46,11 @@
     /// Since when slower peers hold the lane.
     held: Option<Duration>,
     /// Shares of peers.
-    peers: Vec<Row>,
+    peers: Vec<RegionShares>,
 }
 
 impl Lane {
-    pub(super) fn open(home: &Arc<str>, row: &Row, now: Duration) -> Self {
+    pub(super) fn open(home: &Arc<str>, row: &RegionShares, now: Duration) -> Self {
         let mut lane = Self {
             home: home.clone(),
             parts: Vec::new(),
@@ -84,19 +84,19 @@
         &mut self.parts[at]
     }
 
-    pub(super) fn row(&self) -> Row {
+    pub(super) fn row(&self) -> RegionShares {
         let parts = self.parts.iter().filter(|part| part.share > 0.0);
         parts
             .map(|part| (part.region.clone(), part.share))
             .collect()
     }
 
-    pub(super) fn hear<'r>(&mut self, rows: impl Iterator<Item = &'r Row>) {
+    pub(super) fn hear<'r>(&mut self, rows: impl Iterator<Item = &'r RegionShares>) {
         self.peers = rows.cloned().collect();
     }
 
     /// Takes a row over as it is.
-    pub(super) fn follow(&mut self, row: &Row) {
+    pub(super) fn follow(&mut self, row: &RegionShares) {
         for part in &mut self.parts {
             part.share = 0.0;
         }
@@ -111,7 +111,7 @@
     }
 
     /// Takes one step towards the goal.
-    pub(super) fn steer(&mut self, goal: &Goal, ceilings: Option<&Row>, now: Duration) {
+    pub(super) fn steer(&mut self, goal: &Goal, ceilings: Option<&RegionShares>, now: Duration) {
         self.window = goal.window;
         if self.parts.is_empty() {
             // Nothing was served, so nothing moves.
@@ -120,7 +120,7 @@
             }
         }
         self.aim(goal, ceilings);
-        let speed = PACE * goal.cap / goal.window.max(SHORTEST).as_secs_f64();
+        let speed = CAP_FRACTION * goal.cap / goal.window.max(SHORTEST).as_secs_f64();
         let most = goal.window.mul_f64(STEP);
         let time = now.saturating_sub(self.stepped).min(most);
         self.stepped = now;
@@ -138,13 +138,13 @@
         self.behind = if behind > LEAST { behind } else { 0.0 };
     }
 
-    fn distance(&self, goal: &Row) -> f64 {
+    fn distance(&self, goal: &RegionShares) -> f64 {
         let parts = self.parts.iter().map(|part| (&part.region, part.share));
         distance(parts, goal)
     }
 
     /// Sets the targets: the goal, but nothing above a ceiling that is not there already.
-    fn aim(&mut self, goal: &Goal, ceilings: Option<&Row>) {
+    fn aim(&mut self, goal: &Goal, ceilings: Option<&RegionShares>) {
         for part in &mut self.parts {
             part.target = 0.0;
             part.able = goal.able.contains(&part.region);
@@ -169,7 +169,7 @@
     /// What cannot be taken up stays where it is if that can serve; else the callers' own region
     /// takes it up to its ceiling, which is how work comes home from a region that no longer
     /// grants anything; else it stays, to be refused.
-    fn balance(&mut self, home: &str, ceilings: Option<&Row>) {
+    fn balance(&mut self, home: &str, ceilings: Option<&RegionShares>) {
         let mut missing = 1.0 - self.parts.iter().map(|part| part.target).sum::<f64>();
         self.keep(&mut missing, |part| part.able && *part.region == *home);
         if let Some(part) = self.parts.iter_mut().find(|part| *part.region == *home)
@@ -206,7 +206,7 @@
     /// How much may move before the lane is too far ahead of its slowest peer.
     fn free(&mut self, goal: &Goal, now: Duration) -> f64 {
         let own = self.distance(&goal.row);
-        let of_peer = |row: &Row| distance(row.iter().map(|(r, s)| (r, *s)), &goal.row);
+        let of_peer = |row: &RegionShares| distance(row.iter().map(|(r, s)| (r, *s)), &goal.row);
         let slowest = self.peers.iter().map(of_peer).fold(0.0, f64::max);
         let free = own - slowest + LEAD * goal.cap;
         if free > LEAST {
@@ -242,7 +242,7 @@
 }
 
 /// Part of the traffic that two rows send elsewhere.
-fn distance<'r>(row: impl Iterator<Item = (&'r Arc<str>, f64)>, goal: &Row) -> f64 {
+fn distance<'r>(row: impl Iterator<Item = (&'r Arc<str>, f64)>, goal: &RegionShares) -> f64 {
     let gain = |(region, share): (&Arc<str>, f64)| {
         (share - goal.get(region).copied().unwrap_or(0.0)).max(0.0)
     };
--- a/crates/steer/src/shift/mod.rs
+++ b/crates/steer/src/shift/mod.rs
@@ -26,7 +26,7 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use dunlinrock_config::goal::Row;
+use dunlinrock_config::goal::RegionShares;
 
 use crate::Goals;
 use lane::Lane;
@@ -35,7 +35,7 @@
 /// Part of the cap's speed at which a host moves. The rest is kept for what is not a host's own
 /// move: steps that began before a window (at most [`STEP`]), and callers who change hosts when a
 /// third of all hosts end at once (a third of [`LEAD`]): 0.8 * 1.05 + 0.45 / 3 = 0.99.
-pub use dunlinrock_config::goal::PACE;
+pub use dunlinrock_config::goal::CAP_FRACTION;
 
 /// Part of a window for which a host that was idle makes up at most.
 pub const STEP: f64 = 0.05;
@@ -48,7 +48,7 @@
 pub const PATIENCE: u32 = 2;
 
 /// Shares by service, then by region of callers: what hosts tell one another.
-pub type Rows = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Row>>;
+pub type Rows = BTreeMap<Arc<str>, BTreeMap<Arc<str>, RegionShares>>;
 
 /// Largest share that a region can be given, by service, region of callers and serving region;
 /// one that is not listed has no limit.
--- a/crates/steer/src/shift/start.rs
+++ b/crates/steer/src/shift/start.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use dunlinrock_config::goal::{Row, normal};
+use dunlinrock_config::goal::{RegionShares, normalize};
 
 use super::{Peer, Rows};
 
@@ -36,7 +36,7 @@
     }
 
     /// The row to start a lane from, if any peer has one.
-    pub(super) fn row(&self, service: &str, callers: &str) -> Option<&Row> {
+    pub(super) fn row(&self, service: &str, callers: &str) -> Option<&RegionShares> {
         match self {
             Self::Mean(rows) => rows.get(service)?.get(callers),
             Self::Unknown | Self::Goal => None,
@@ -45,26 +45,26 @@
 }
 
 /// Mean of rows; empty where there are none.
-pub(super) fn mean_row<'r>(rows: impl Iterator<Item = &'r Row>) -> Row {
-    let mut sum = Row::new();
+pub(super) fn mean_row<'r>(rows: impl Iterator<Item = &'r RegionShares>) -> RegionShares {
+    let mut sum = RegionShares::new();
     for row in rows {
         for (region, share) in row {
             *sum.entry(region.clone()).or_default() += share;
         }
     }
-    normal(sum)
+    normalize(sum)
 }
 
 fn mean(all: &[&Rows]) -> Rows {
-    let mut lists: BTreeMap<_, BTreeMap<_, Vec<&Row>>> = BTreeMap::new();
+    let mut lists: BTreeMap<_, BTreeMap<_, Vec<&RegionShares>>> = BTreeMap::new();
     for (service, lanes) in all.iter().copied().flatten() {
         let lists = lists.entry(service).or_default();
         for (callers, row) in lanes {
             lists.entry(callers).or_default().push(row);
         }
     }
-    let mean = |rows: Vec<&Row>| mean_row(rows.into_iter());
-    let lanes = |lanes: BTreeMap<&Arc<str>, Vec<&Row>>| {
+    let mean = |rows: Vec<&RegionShares>| mean_row(rows.into_iter());
+    let lanes = |lanes: BTreeMap<&Arc<str>, Vec<&RegionShares>>| {
         let rows = lanes.into_iter();
         let rows = rows.map(|(callers, rows)| (callers.clone(), mean(rows)));
         rows.filter(|(_, row)| !row.is_empty()).collect()
--- a/crates/steer/src/spill/mod.rs
+++ b/crates/steer/src/spill/mod.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use dunlinrock_config::goal::Row;
+use dunlinrock_config::goal::RegionShares;
 
 use crate::{Ceilings, Goal, Goals, Grantee, Grantor, Need, Rows, Shares, hash};
 
@@ -111,7 +111,7 @@
         // use all that was granted, and have a request now and then find no room.
         let lost = |region: &Arc<str>| !goal.able.contains(region);
         let stuck = row.is_some_and(|row| row.keys().any(lost));
-        let mut out = Row::new();
+        let mut out = RegionShares::new();
         for (serving, share) in wanted(goal, row) {
             let ceiling = if free(region, callers, &serving) {
                 let now_share = row.and_then(|row| row.get(&serving)).copied();
@@ -169,13 +169,16 @@
     })
 }
 
-fn row<'r>(rows: &'r Rows, service: &str, callers: &str) -> Option<&'r Row> {
+fn row<'r>(rows: &'r Rows, service: &str, callers: &str) -> Option<&'r RegionShares> {
     rows.get(service)?.get(callers)
 }
 
 /// The shares that a lane may have within a window: what it has, and towards its goal at most the
 /// cap more. Regions that cannot serve want nothing.
-fn wanted<'a>(goal: &'a Goal, row: Option<&'a Row>) -> impl Iterator<Item = (Arc<str>, f64)> + 'a {
+fn wanted<'a>(
+    goal: &'a Goal,
+    row: Option<&'a RegionShares>,
+) -> impl Iterator<Item = (Arc<str>, f64)> + 'a {
     goal.able.iter().filter_map(move |region| {
         let goal_share = goal.row.get(region).copied().unwrap_or(0.0);
         let share = row.and_then(|row| row.get(region)).copied().unwrap_or(0.0);
--- a/crates/steer/src/spread/mod.rs
+++ b/crates/steer/src/spread/mod.rs
@@ -10,14 +10,14 @@
     time::Duration,
 };
 
-use dunlinrock_config::goal::{self, Row};
+use dunlinrock_config::goal::{self, RegionShares};
 use dunlinrock_schema::config::Config;
 
 /// Where a service's callers in one region are meant to be served, and how fast that may change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Goal {
     /// Part of the traffic by serving region; empty where nobody can serve it.
-    pub row: Row,
+    pub row: RegionShares,
     /// Regions that can serve at all: neither lost nor without targets. A region under a drain is
     /// among them until its last share has moved.
     pub able: BTreeSet<Arc<str>>,
@@ -44,7 +44,7 @@
                 .collect();
             let goals = config.regions.keys().map(|callers| {
                 let goal = Goal {
-                    row: goal::goal_without(config, name, callers, lost),
+                    row: goal::desired_split_excluding(config, name, callers, lost),
                     able: able.clone(),
                     cap: service.cap.share,
                     window: Duration::from_millis(service.cap.window_ms),
