--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,6 +1,6 @@
 //! `check`: the files of a configuration.
 
-use dunlinrock_config::config::{self, Checked};
+use dunlinrock_config::config::{self, CheckedConfig};
 use dunlinrock_schema::config::Config;
 
 use crate::{args::Check, exit::Failure, out};
@@ -22,7 +22,7 @@
 ///
 /// All findings, where one is an error.
 pub(crate) fn read(dir: &std::path::Path) -> Result<Config, Failure> {
-    let Checked { config, findings } = config::check_dir(dir);
+    let CheckedConfig { config, findings } = config::check_dir(dir);
     match config {
         Some(config) => {
             eprint!("{findings}");
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -15,7 +15,7 @@
 
 /// Runs a host until a signal, then until its planned stop is over.
 pub(crate) fn serve(args: &Serve) -> Result<(), Failure> {
-    let settings = settings::open(&args.settings)?;
+    let settings = settings::load(&args.settings)?;
     logs::open(&settings.log.clone().unwrap_or_default())?;
     block_on(async {
         // Before the host starts: a signal during the start must begin a planned stop too.
--- a/crates/config/src/check/walk.rs
+++ b/crates/config/src/check/walk.rs
@@ -13,20 +13,20 @@
     rules::Rules,
 };
 use crate::{
-    Findings, Place,
+    Findings, Location,
     settings::parse_address,
-    source::{Path, Places},
+    source::{Locations, Path},
 };
 
 /// Gives what is well-formed of `table` as JSON, and all mistakes as findings.
 pub(super) fn walk(
     schema: &Value,
     table: &Spanned<DeTable<'_>>,
-    places: &mut Places,
+    locations: &mut Locations,
     findings: &mut Findings,
 ) -> Option<Value> {
     let mut walk = Walk {
-        places,
+        locations,
         findings,
         path: Path::new(),
     };
@@ -34,7 +34,7 @@
 }
 
 struct Walk<'w> {
-    places: &'w mut Places,
+    locations: &'w mut Locations,
     findings: &'w mut Findings,
     /// Keys down to the value at hand.
     path: Path,
@@ -42,12 +42,12 @@
 
 impl Walk<'_> {
     fn error(&mut self, offset: usize, message: String) {
-        let place = self.place(offset);
-        self.findings.error(place, message);
+        let location = self.location(offset);
+        self.findings.error(location, message);
     }
 
-    fn place(&self, offset: usize) -> Place {
-        self.places.source().place(offset)
+    fn location(&self, offset: usize) -> Location {
+        self.locations.source().location(offset)
     }
 
     /// `start` is where the table's own key stands.
@@ -104,7 +104,8 @@
         value: &Spanned<DeValue<'_>>,
     ) -> Option<Value> {
         self.path.push(Arc::from(name));
-        self.places.add(self.path.clone(), at, value.span().start);
+        self.locations
+            .add(self.path.clone(), at, value.span().start);
         let value = self.value(rules, name, at, value);
         self.path.pop();
         value
@@ -208,7 +209,7 @@
 
     fn outside(&mut self, rules: Rules<'_>, name: &str, span: std::ops::Range<usize>) {
         let at = span.start;
-        let written = self.places.source().slice(span).to_owned();
+        let written = self.locations.source().slice(span).to_owned();
         let wanted = wanted(rules);
         self.error(at, format!("`{name}` is {written}; give {wanted}"));
     }
--- a/crates/config/src/config/blocks.rs
+++ b/crates/config/src/config/blocks.rs
@@ -10,10 +10,10 @@
 pub(super) fn check(draft: &Draft, findings: &mut Findings) {
     let mut seen: BTreeMap<IpNet, &Arc<str>> = BTreeMap::new();
     for block in draft.names(BLOCKS) {
-        let place = || draft.key(&[BLOCKS, block]);
+        let location = || draft.key(&[BLOCKS, block]);
         let Ok(net) = block.parse::<IpNet>() else {
             findings.error(
-                place(),
+                location(),
                 format!("`{block}` is not a block of addresses; write it like `10.16.0.0/16`"),
             );
             continue;
@@ -21,14 +21,14 @@
         if net.trunc() != net {
             let fix = net.trunc();
             findings.error(
-                place(),
+                location(),
                 format!("`{block}` has bits set beyond its prefix; write `{fix}`"),
             );
         }
         if let Some(other) = seen.insert(net.trunc(), block) {
             let there = draft.key(&[BLOCKS, other]);
             let message = |other: &str| format!("the block `{other}` covers the same addresses");
-            findings.error(place(), message(other));
+            findings.error(location(), message(other));
             findings.error(there, message(block));
         }
     }
--- a/crates/config/src/config/draft.rs
+++ b/crates/config/src/config/draft.rs
@@ -7,8 +7,8 @@
 
 use dunlinrock_schema::config::Config;
 
-use super::File;
-use crate::{Findings, Place, check::Document, schema, settings::name_fault};
+use super::ConfigFile;
+use crate::{Findings, Location, check::Document, schema, settings::name_fault};
 
 /// Sections whose entries have names of the operator's choice.
 const NAMED: [&str; 6] = [
@@ -29,7 +29,7 @@
 }
 
 impl Draft {
-    pub(super) fn open(files: &[File], findings: &mut Findings) -> Self {
+    pub(super) fn open(files: &[ConfigFile], findings: &mut Findings) -> Self {
         let mut draft = Self {
             config: Config::default(),
             documents: Vec::new(),
@@ -63,8 +63,8 @@
         for section in NAMED.into_iter().chain([BLOCKS]) {
             let names = self.names.entry(section).or_default();
             for (n, document) in self.documents.iter().enumerate() {
-                for name in document.places.names(section) {
-                    let here = document.places.key(&[section, name]);
+                for name in document.locations.names(section) {
+                    let here = document.locations.key(&[section, name]);
                     if section != BLOCKS
                         && let Some(fault) = name_fault(name)
                     {
@@ -74,7 +74,7 @@
                         names.insert(name.clone(), n);
                         continue;
                     };
-                    let there = self.documents[*first].places.key(&[section, name]);
+                    let there = self.documents[*first].locations.key(&[section, name]);
                     findings.error(here.clone(), twice(section, name, &there));
                     findings.error(there, twice(section, name, &here));
                 }
@@ -95,25 +95,29 @@
     }
 
     /// Place of the value under `path`: section, name, keys.
-    pub(super) fn value(&self, path: &[&str]) -> Place {
-        self.document(path)
-            .map_or_else(|| Place::file("configuration"), |d| d.places.value(path))
+    pub(super) fn value(&self, path: &[&str]) -> Location {
+        self.document(path).map_or_else(
+            || Location::file("configuration"),
+            |d| d.locations.value(path),
+        )
     }
 
     /// Place of the key under `path`: section, name, keys.
-    pub(super) fn key(&self, path: &[&str]) -> Place {
-        self.document(path)
-            .map_or_else(|| Place::file("configuration"), |d| d.places.key(path))
+    pub(super) fn key(&self, path: &[&str]) -> Location {
+        self.document(path).map_or_else(
+            || Location::file("configuration"),
+            |d| d.locations.key(path),
+        )
     }
 
     /// Number of keys written right under `path`, those with mistakes included.
     pub(super) fn count(&self, path: &[&str]) -> usize {
-        self.document(path).map_or(0, |d| d.places.count(path))
+        self.document(path).map_or(0, |d| d.locations.count(path))
     }
 
     /// Whether a key is written out.
     pub(super) fn writes(&self, path: &[&str]) -> bool {
-        self.document(path).is_some_and(|d| d.places.has(path))
+        self.document(path).is_some_and(|d| d.locations.has(path))
     }
 
     fn document(&self, path: &[&str]) -> Option<&Document> {
@@ -135,7 +139,7 @@
     }
 }
 
-fn twice(section: &str, name: &str, other: &Place) -> String {
+fn twice(section: &str, name: &str, other: &Location) -> String {
     let kind = section.trim_end_matches('s');
     format!("the {kind} `{name}` is defined at {other} too; keep one of them")
 }
--- a/crates/config/src/config/mod.rs
+++ b/crates/config/src/config/mod.rs
@@ -16,12 +16,12 @@
 
 use dunlinrock_schema::config::Config;
 
-use crate::{Findings, Place};
+use crate::{Findings, Location};
 use draft::Draft;
 
 /// One file of a configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct File {
+pub struct ConfigFile {
     /// Name, as findings show it.
     pub name: String,
     /// Text, TOML.
@@ -30,7 +30,7 @@
 
 /// A configuration with all that was found in it.
 #[derive(Clone, Debug)]
-pub struct Checked {
+pub struct CheckedConfig {
     /// The configuration; absent where there are errors.
     pub config: Option<Config>,
     /// Errors and warnings.
@@ -42,13 +42,13 @@
 /// # Errors
 ///
 /// All findings, warnings included, where at least one is an error.
-pub fn open_dir(path: &Path) -> Result<Config, Findings> {
+pub fn load_dir(path: &Path) -> Result<Config, Findings> {
     let checked = check_dir(path);
     checked.config.ok_or(checked.findings)
 }
 
 /// Reads and checks all `*.toml` files of a directory; gives warnings too where there is no error.
-pub fn check_dir(path: &Path) -> Checked {
+pub fn check_dir(path: &Path) -> CheckedConfig {
     let mut findings = Findings::default();
     let files = read_dir(path, &mut findings);
     let mut checked = check_files(&files);
@@ -60,7 +60,7 @@
 }
 
 /// Checks files that are already read.
-pub fn check_files(files: &[File]) -> Checked {
+pub fn check_files(files: &[ConfigFile]) -> CheckedConfig {
     let mut findings = Findings::default();
     let draft = Draft::open(files, &mut findings);
     refs::check(&draft, &mut findings);
@@ -70,22 +70,22 @@
     spread::check(&draft, &mut findings);
     blocks::check(&draft, &mut findings);
     let config = (!findings.has_errors()).then_some(draft.config);
-    Checked { config, findings }
+    CheckedConfig { config, findings }
 }
 
 /// Reads the `*.toml` files of a directory in order of name.
-fn read_dir(path: &Path, findings: &mut Findings) -> Vec<File> {
+fn read_dir(path: &Path, findings: &mut Findings) -> Vec<ConfigFile> {
     let shown = path.display().to_string();
     let paths = match list(path) {
         Ok(paths) => paths,
         Err(error) => {
-            findings.error(Place::file(&shown), format!("cannot be read: {error}"));
+            findings.error(Location::file(&shown), format!("cannot be read: {error}"));
             return Vec::new();
         }
     };
     if paths.is_empty() {
         findings.error(
-            Place::file(&shown),
+            Location::file(&shown),
             "holds no `*.toml` file; give the directory of the configuration",
         );
     }
@@ -93,9 +93,9 @@
     for path in paths {
         let name = path.display().to_string();
         match fs::read_to_string(&path) {
-            Ok(text) => files.push(File { name, text }),
+            Ok(text) => files.push(ConfigFile { name, text }),
             Err(error) => {
-                findings.error(Place::file(&name), format!("cannot be read: {error}"));
+                findings.error(Location::file(&name), format!("cannot be read: {error}"));
             }
         }
     }
--- a/crates/config/src/config/refs.rs
+++ b/crates/config/src/config/refs.rs
@@ -76,8 +76,14 @@
     }
 }
 
-fn unknown(draft: &Draft, section: &str, name: &str, place: crate::Place, findings: &mut Findings) {
+fn unknown(
+    draft: &Draft,
+    section: &str,
+    name: &str,
+    location: crate::Location,
+    findings: &mut Findings,
+) {
     let kind = section.trim_end_matches('s');
     let fix = suggest(name, draft.names(section).map(AsRef::as_ref), section);
-    findings.error(place, format!("no {kind} `{name}` is defined; {fix}"));
+    findings.error(location, format!("no {kind} `{name}` is defined; {fix}"));
 }
--- a/crates/config/src/config/services.rs
+++ b/crates/config/src/config/services.rs
@@ -22,9 +22,9 @@
         header(draft, name, service, findings);
         short_slots(draft, name, service, findings);
         if draft.complete && draft.regions_of(name).is_empty() {
-            let place = draft.key(&["services", name]);
+            let location = draft.key(&["services", name]);
             findings.warning(
-                place,
+                location,
                 format!("service `{name}` has no targets; each request will be turned away"),
             );
         }
@@ -87,15 +87,15 @@
 
 fn methods(draft: &Draft, name: &str, service: &Service, findings: &mut Findings) {
     for method in &service.repeatable {
-        let place = || draft.value(&["services", name, "repeatable"]);
+        let location = || draft.value(&["services", name, "repeatable"]);
         if method.is_empty() || !method.bytes().all(|b| b.is_ascii_uppercase()) {
             findings.error(
-                place(),
+                location(),
                 format!("`{method}` is not a method of HTTP; write it like `GET`"),
             );
         } else if !IDEMPOTENT.contains(&&**method) {
             findings.warning(
-                place(),
+                location(),
                 format!("`{method}` requests may be run more than once under this rule"),
             );
         }
--- a/crates/config/src/config/targets.rs
+++ b/crates/config/src/config/targets.rs
@@ -15,11 +15,11 @@
 fn addresses(draft: &Draft, findings: &mut Findings) {
     let mut used: BTreeMap<SocketAddr, &Arc<str>> = BTreeMap::new();
     for (name, target) in &draft.config.targets {
-        let place = draft.value(&["targets", name, "address"]);
+        let location = draft.value(&["targets", name, "address"]);
         let address = match parse_address(&target.address) {
             Ok(address) => address,
             Err(fault) => {
-                findings.error(place, fault);
+                findings.error(location, fault);
                 continue;
             }
         };
@@ -30,7 +30,7 @@
         let message = |other: &str| {
             format!("`{address}` is the address of target `{other}` too; give each its own")
         };
-        findings.error(place, message(other));
+        findings.error(location, message(other));
         findings.error(there, message(name));
     }
 }
--- a/crates/config/src/finding/mod.rs
+++ b/crates/config/src/finding/mod.rs
@@ -13,7 +13,7 @@
 
 /// Where in a document something stands. Places order by file, then line, then column.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Place {
+pub struct Location {
     /// Name of the file.
     pub file: Arc<str>,
     /// Line, counted from 1; 0 where the finding is about the file as a whole.
@@ -22,7 +22,7 @@
     pub column: u32,
 }
 
-impl Place {
+impl Location {
     /// The place of a finding about a file as a whole.
     pub fn file(name: &str) -> Self {
         Self {
@@ -33,7 +33,7 @@
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.line == 0 {
             return f.write_str(&self.file);
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Finding {
     /// Where it stands.
-    pub place: Place,
+    pub location: Location,
     /// How much it matters.
     pub level: Level,
     /// What is wrong and the fix, on one line.
@@ -59,7 +59,7 @@
             Level::Error => "",
             Level::Warning => "warning: ",
         };
-        write!(f, "{}: {level}{}", self.place, self.message)
+        write!(f, "{}: {level}{}", self.location, self.message)
     }
 }
 
@@ -73,18 +73,18 @@
 
 impl Findings {
     /// Adds an error.
-    pub fn error(&mut self, place: Place, message: impl Into<String>) {
-        self.add(place, Level::Error, message.into());
+    pub fn error(&mut self, location: Location, message: impl Into<String>) {
+        self.add(location, Level::Error, message.into());
     }
 
     /// Adds a warning.
-    pub fn warning(&mut self, place: Place, message: impl Into<String>) {
-        self.add(place, Level::Warning, message.into());
+    pub fn warning(&mut self, location: Location, message: impl Into<String>) {
+        self.add(location, Level::Warning, message.into());
     }
 
-    fn add(&mut self, place: Place, level: Level, message: String) {
+    fn add(&mut self, location: Location, level: Level, message: String) {
         let finding = Finding {
-            place,
+            location,
             level,
             message,
         };
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -20,8 +20,8 @@
 //! ```
 //!
 //! * [`check`] holds any document against a JSON Schema.
-//! * [`settings::open`] reads a host's settings.
-//! * [`config::open_dir`] reads an operator's configuration, the union of a directory's files.
+//! * [`settings::load`] reads a host's settings.
+//! * [`config::load_dir`] reads an operator's configuration, the union of a directory's files.
 //! * [`plan`](plan::plan) says what would change between two configurations.
 
 mod check;
@@ -35,5 +35,5 @@
 
 pub use {
     check::check,
-    finding::{Finding, Findings, Level, Place},
+    finding::{Finding, Findings, Level, Location},
 };
--- a/crates/config/src/plan/mod.rs
+++ b/crates/config/src/plan/mod.rs
@@ -17,12 +17,12 @@
     /// Region of the callers.
     pub callers: Arc<str>,
     /// Part of the callers' traffic that moves in all, of 1.
-    pub moved: f64,
+    pub fraction: f64,
     /// Least windows of the cap that the move needs.
-    pub windows: u64,
+    pub min_windows: u64,
     /// Time the move takes at the hosts' pace, which is below the cap's; longer where regions grant
     /// too little headroom.
-    pub takes: Duration,
+    pub duration: Duration,
 }
 
 /// What would change, which shifts start and which drains begin or end.
@@ -33,9 +33,9 @@
     /// Shifts that start, by service and region of callers.
     pub shifts: Vec<Shift>,
     /// Drains that begin, by name.
-    pub begins: Vec<(Arc<str>, Drain)>,
+    pub drains_started: Vec<(Arc<str>, Drain)>,
     /// Drains that end, by name.
-    pub ends: Vec<(Arc<str>, Drain)>,
+    pub drains_ended: Vec<(Arc<str>, Drain)>,
 }
 
 impl Plan {
@@ -57,8 +57,8 @@
     Plan {
         entries: entries::compare(old, new),
         shifts: shifts::compare(old, new),
-        begins: missing(new, old),
-        ends: missing(old, new),
+        drains_started: missing(new, old),
+        drains_ended: missing(old, new),
     }
 }
 
@@ -79,10 +79,10 @@
                 writeln!(f, "  ... and {} more of kind {kind}", of_kind.len() - SHOWN)?;
             }
         }
-        for (name, drain) in &self.begins {
+        for (name, drain) in &self.drains_started {
             writeln!(f, "drain `{name}` begins: {} `{}`", drain.kind, drain.name)?;
         }
-        for (name, drain) in &self.ends {
+        for (name, drain) in &self.drains_ended {
             writeln!(f, "drain `{name}` ends: {} `{}`", drain.kind, drain.name)?;
         }
         self.shifts.iter().try_for_each(|s| writeln!(f, "{s}"))
@@ -91,15 +91,15 @@
 
 impl fmt::Display for Shift {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let plural = if self.windows == 1 { "" } else { "s" };
+        let plural = if self.min_windows == 1 { "" } else { "s" };
         write!(
             f,
             "shift of `{}` for callers of `{}`: {:.1}% of the traffic, {} window{plural}, {:.1} s",
             self.service,
             self.callers,
-            self.moved * 100.0,
-            self.windows,
-            self.takes.as_secs_f64()
+            self.fraction * 100.0,
+            self.min_windows,
+            self.duration.as_secs_f64()
         )
     }
 }
--- a/crates/config/src/plan/shifts.rs
+++ b/crates/config/src/plan/shifts.rs
@@ -8,7 +8,7 @@
 use crate::goal::{CAP_FRACTION, RegionShares, desired_split};
 
 /// Part of the traffic below which a difference is rounding, not a shift.
-const LEAST: f64 = 1e-9;
+const EPSILON: f64 = 1e-9;
 
 pub(super) fn compare(old: &Config, new: &Config) -> Vec<Shift> {
     let mut shifts = Vec::new();
@@ -21,9 +21,9 @@
         for callers in regions(old, new) {
             let before = desired_split(old, name, &callers);
             let after = desired_split(new, name, &callers);
-            let moved = moved(&before, &after);
-            if moved > LEAST {
-                shifts.push(shift(name, &callers, moved, &service.cap));
+            let fraction = moved_fraction(&before, &after);
+            if fraction > EPSILON {
+                shifts.push(shift(name, &callers, fraction, &service.cap));
             }
         }
     }
@@ -39,7 +39,7 @@
 }
 
 /// Part of the traffic that changes its region between two rows.
-fn moved(before: &RegionShares, after: &RegionShares) -> f64 {
+fn moved_fraction(before: &RegionShares, after: &RegionShares) -> f64 {
     let gain = |(region, share): (&Arc<str>, &f64)| {
         (share - before.get(region).copied().unwrap_or(0.0)).max(0.0)
     };
@@ -50,15 +50,15 @@
     after.iter().map(gain).sum()
 }
 
-fn shift(service: &Arc<str>, callers: &Arc<str>, moved: f64, cap: &Cap) -> Shift {
-    let windows = moved / cap.share;
+fn shift(service: &Arc<str>, callers: &Arc<str>, fraction: f64, cap: &Cap) -> Shift {
+    let windows = fraction / cap.share;
     let window = Duration::from_millis(cap.window_ms).as_secs_f64();
     Shift {
         service: service.clone(),
         callers: callers.clone(),
-        moved,
-        windows: (windows - LEAST).ceil().max(1.0) as u64,
-        takes: Duration::try_from_secs_f64(window * windows / CAP_FRACTION)
+        fraction,
+        min_windows: (windows - EPSILON).ceil().max(1.0) as u64,
+        duration: Duration::try_from_secs_f64(window * windows / CAP_FRACTION)
             .unwrap_or(Duration::MAX),
     }
 }
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -4,20 +4,20 @@
 
 use dunlinrock_schema::settings::{Settings, TimingSettings};
 
-use crate::{Findings, Place, check::Document, schema, source::Places};
+use crate::{Findings, Location, check::Document, schema, source::Locations};
 
 /// Reads and checks the settings file at `path`.
 ///
 /// # Errors
 ///
 /// All mistakes found; a file that cannot be read is one.
-pub fn open(path: &Path) -> Result<Settings, Findings> {
+pub fn load(path: &Path) -> Result<Settings, Findings> {
     let name = path.display().to_string();
     match fs::read_to_string(path) {
         Ok(text) => check(&name, &text),
         Err(error) => {
             let mut findings = Findings::default();
-            findings.error(Place::file(&name), format!("cannot be read: {error}"));
+            findings.error(Location::file(&name), format!("cannot be read: {error}"));
             Err(findings)
         }
     }
@@ -33,9 +33,9 @@
     let mut document = Document::read(name, text, schema::SETTINGS, &mut findings);
     let settings: Option<Settings> = document.typed(&mut findings);
     if let Some(settings) = &settings {
-        addresses(settings, &document.places, &mut findings);
-        names(settings, &document.places, &mut findings);
-        timing(settings, &document.places, &mut findings);
+        addresses(settings, &document.locations, &mut findings);
+        names(settings, &document.locations, &mut findings);
+        timing(settings, &document.locations, &mut findings);
     }
     match settings {
         Some(settings) if !findings.has_errors() => Ok(settings),
@@ -43,7 +43,7 @@
     }
 }
 
-fn names(settings: &Settings, places: &Places, findings: &mut Findings) {
+fn names(settings: &Settings, locations: &Locations, findings: &mut Findings) {
     let names = [
         ("name", &settings.name),
         ("region", &settings.region),
@@ -51,30 +51,30 @@
     ];
     for (key, name) in names {
         if let Some(fault) = name_fault(name) {
-            findings.error(places.value(&[key]), format!("`{key}` {fault}"));
+            findings.error(locations.value(&[key]), format!("`{key}` {fault}"));
         }
     }
 }
 
 /// The addresses themselves are checked with the document, so that a wrong one is named beside
 /// whatever else is wrong.
-fn addresses(settings: &Settings, places: &Places, findings: &mut Findings) {
+fn addresses(settings: &Settings, locations: &Locations, findings: &mut Findings) {
     if settings.callers == settings.peers {
         findings.error(
-            places.value(&["peers"]),
+            locations.value(&["peers"]),
             "`peers` is the address of `callers` too; give it another port",
         );
     }
 }
 
-fn timing(settings: &Settings, places: &Places, findings: &mut Findings) {
+fn timing(settings: &Settings, locations: &Locations, findings: &mut Findings) {
     let Some(timing) = &settings.timing else {
         return;
     };
     for (key, value, bound, than) in orders(timing) {
         if value >= bound {
             findings.error(
-                places.value(&["timing", key]),
+                locations.value(&["timing", key]),
                 format!("`{key}` is {value}; make it less than `{than}`, which is {bound}"),
             );
         }
@@ -84,7 +84,7 @@
         && timing.heartbeat_ms < timing.suspect_ms
     {
         findings.error(
-            places.value(&["timing", "suspect_ms"]),
+            locations.value(&["timing", "suspect_ms"]),
             format!(
                 "`suspect_ms` is {}; make it at least twice `heartbeat_ms`, which is {}, or one \
                  lost heartbeat makes a peer suspect",
--- a/crates/config/src/source/mod.rs
+++ b/crates/config/src/source/mod.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, ops::Range, sync::Arc};
 
-use crate::Place;
+use crate::Location;
 
 /// Keys from the root of a document down to a value.
 pub(crate) type Path = Vec<Arc<str>>;
@@ -27,7 +27,7 @@
     }
 
     /// The place of a byte offset. An offset beyond the text gives its end.
-    pub(crate) fn place(&self, offset: usize) -> Place {
+    pub(crate) fn location(&self, offset: usize) -> Location {
         let offset = offset.min(self.text.len());
         let line = self.lines.partition_point(|start| *start <= offset) - 1;
         let start = self.lines[line];
@@ -35,7 +35,7 @@
             .char_indices()
             .take_while(|(at, _)| start + at < offset)
             .count();
-        Place {
+        Location {
             file: self.name.clone(),
             line: clamp(line + 1),
             column: clamp(column + 1),
@@ -57,13 +57,13 @@
 /// Offsets rather than places are held: a column costs a walk along its line, which would be
 /// quadratic for a long line with many values, and is needed for findings only.
 #[derive(Clone, Debug)]
-pub(crate) struct Places {
+pub(crate) struct Locations {
     source: Source,
     /// By path: where the key stands, and where its value starts.
     entries: BTreeMap<Path, (usize, usize)>,
 }
 
-impl Places {
+impl Locations {
     pub(crate) fn open(source: Source) -> Self {
         Self {
             source,
@@ -76,27 +76,27 @@
     }
 
     /// Place of the value at `path`; of its nearest table where it is not written out.
-    pub(crate) fn value(&self, path: &[&str]) -> Place {
+    pub(crate) fn value(&self, path: &[&str]) -> Location {
         let path = owned(path);
         match self.entries.get(&path) {
-            Some((_, value)) => self.source.place(*value),
+            Some((_, value)) => self.source.location(*value),
             None => self.nearest(path),
         }
     }
 
     /// Place of the key at `path`; of its nearest table where it is not written out.
-    pub(crate) fn key(&self, path: &[&str]) -> Place {
+    pub(crate) fn key(&self, path: &[&str]) -> Location {
         self.nearest(owned(path))
     }
 
-    fn nearest(&self, mut path: Path) -> Place {
+    fn nearest(&self, mut path: Path) -> Location {
         while !path.is_empty() {
             if let Some((key, _)) = self.entries.get(&path) {
-                return self.source.place(*key);
+                return self.source.location(*key);
             }
             path.pop();
         }
-        Place::file(&self.source.name)
+        Location::file(&self.source.name)
     }
 
     /// Names defined in a section, those with mistakes included.
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -24,7 +24,7 @@
 //! # c = { service = "catalogue", domain = "cluj-a", address = "127.0.0.1:21001", slots = 3 }
 //! # i = { service = "catalogue", domain = "iasi-a", address = "127.0.0.1:21002", slots = 3 }
 //! # "#;
-//! # let file = dunlinrock_config::config::File { name: "all.toml".into(), text: text.into() };
+//! # let file = dunlinrock_config::config::ConfigFile { name: "all.toml".into(), text: text.into() };
 //! # let config = dunlinrock_config::config::check_files(&[file]).config.unwrap();
 //! let mut shares = Shares::open();
 //! // Nobody else is there: the host starts from the goal itself.
--- a/crates/steer/src/shift/mod.rs
+++ b/crates/steer/src/shift/mod.rs
@@ -9,7 +9,7 @@
 //!
 //! Each host decides for itself. That the sum over hosts stays under the cap rests on four rules:
 //!
-//! * A host moves at [`PACE`] of the cap's speed and does not make up for time it was idle beyond
+//! * A host moves at [`CAP_FRACTION`] of the cap's speed and does not make up for time it was idle beyond
 //!   [`STEP`] of a window. The limit needs no memory of earlier moves, so that it holds across the
 //!   replacement of a host, whose memory is gone.
 //! * A new host starts from the mean of its peers' shares. If it started from the goal, its part
