--- a/crates/cli/src/commands/fake.rs
+++ b/crates/cli/src/commands/fake.rs
@@ -1,6 +1,6 @@
 //! `fake`: stand-ins for the platform, until a signal.
 
-use dunlinrock_fakes::{List, ListRules, Store, StoreRules};
+use dunlinrock_fakes::{List, ListOptions, Store, StoreOptions};
 
 use super::check;
 use crate::{
@@ -15,12 +15,12 @@
 pub(crate) fn fake(args: &Fake) -> Result<(), Failure> {
     match args {
         Fake::Store(args) => {
-            let store = Store::bind(&args.bind.to_string(), StoreRules::default())?;
+            let store = Store::bind(&args.bind.to_string(), StoreOptions::default())?;
             out::line(format_args!("store on {}", store.addr()))?;
             wait()
         }
         Fake::List(args) => {
-            let list = List::bind(&args.bind.to_string(), ListRules::default())?;
+            let list = List::bind(&args.bind.to_string(), ListOptions::default())?;
             out::line(format_args!("list of hosts on {}", list.addr()))?;
             wait()
         }
--- a/crates/cli/src/demo/audit.rs
+++ b/crates/cli/src/demo/audit.rs
@@ -41,7 +41,7 @@
         drain: &Drained,
         stop: Option<Stopped>,
     ) -> Self {
-        let runs = stage.targets.runs();
+        let runs = stage.targets.run_counts();
         let last = samples.domains.get(&drain.domain).map(|d| d.busy);
         let last = last.map(|last| last.saturating_duration_since(drain.at));
         let totals = || tally.services.values();
--- a/crates/cli/src/demo/stage.rs
+++ b/crates/cli/src/demo/stage.rs
@@ -9,7 +9,7 @@
 };
 
 use dunlinrock_coord::root::{Intent, Verdict};
-use dunlinrock_fakes::{List, ListRules, Store, StoreRules, Targets};
+use dunlinrock_fakes::{List, ListOptions, Store, StoreOptions, Targets};
 use dunlinrock_node::{Host, operate, store};
 use dunlinrock_schema::{
     config::{Config, Drain, DrainKind},
@@ -64,16 +64,16 @@
     /// Brings everything up, and waits until every host is ready.
     pub(super) fn open(mut config: Config) -> Result<Self, Failure> {
         let targets = stand::bind(&mut config, true, 0)?;
-        let rules = ListRules {
-            lag: LIST_LAG,
-            ..ListRules::default()
+        let rules = ListOptions {
+            visibility_delay: LIST_LAG,
+            ..ListOptions::default()
         };
         let mut stage = Self {
             config,
             targets,
             hosts: Vec::new(),
             regions: BTreeMap::new(),
-            store: Store::bind("127.0.0.1:0", StoreRules::default())?,
+            store: Store::bind("127.0.0.1:0", StoreOptions::default())?,
             list: List::bind("127.0.0.1:0", rules)?,
             applies: 0,
         };
--- a/crates/cli/src/stand.rs
+++ b/crates/cli/src/stand.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use dunlinrock_fakes::{TargetRules, TargetSpec, Targets, Work};
+use dunlinrock_fakes::{TargetOptions, TargetSpec, Targets, WorkTime};
 use dunlinrock_schema::config::{Config, Target};
 
 /// Spread of the times of work.
@@ -23,7 +23,7 @@
             true => "127.0.0.1:0".into(),
             false => Arc::clone(&target.address),
         },
-        rules: rules(config, target, warm, n),
+        options: rules(config, target, warm, n),
     });
     let targets = Targets::bind(specs.collect())?;
     for target in targets.iter() {
@@ -34,22 +34,22 @@
     Ok(targets)
 }
 
-fn rules(config: &Config, target: &Target, warm: u64, number: usize) -> TargetRules {
+fn rules(config: &Config, target: &Target, warm: u64, number: usize) -> TargetOptions {
     let service = config.services.get(&target.service);
     let work = service.map_or(10, |s| s.work_ms.get());
     let answer = service.map_or(1024, |s| s.answer_bytes.get());
-    TargetRules {
+    TargetOptions {
         slots: u32::try_from(target.slots.get()).unwrap_or(u32::MAX),
         connections: usize::try_from(target.connections.get()).unwrap_or(usize::MAX),
-        work: Work {
+        work: WorkTime {
             median: Duration::from_millis(work),
             sigma: SIGMA,
-            long_share: 0.0,
-            long_factor: 1.0,
+            slow_fraction: 0.0,
+            slow_factor: 1.0,
         },
-        warm_after: warm,
-        answer_bytes: usize::try_from(answer.saturating_sub(ECHO)).unwrap_or_default(),
+        warmup_requests: warm,
+        padding_bytes: usize::try_from(answer.saturating_sub(ECHO)).unwrap_or_default(),
         seed: u64::try_from(number).unwrap_or_default(),
-        ..TargetRules::default()
+        ..TargetOptions::default()
     }
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -4,10 +4,10 @@
 //! faults are switched on and off through methods of the handle or over HTTP under `/fake/`.
 //!
 //! ```
-//! use dunlinrock_fakes::{Store, StoreRules};
+//! use dunlinrock_fakes::{Store, StoreOptions};
 //!
-//! let store = Store::bind("127.0.0.1:0", StoreRules::default()).unwrap();
-//! store.lose_answers(1); // the next write takes effect, and its answer is lost
+//! let store = Store::bind("127.0.0.1:0", StoreOptions::default()).unwrap();
+//! store.drop_responses(1); // the next write takes effect, and its answer is lost
 //! assert_eq!(store.counts().writes, 0);
 //! ```
 //!
@@ -21,6 +21,6 @@
 mod store;
 mod target;
 
-pub use list::{List, ListRules};
-pub use store::{Down, Store, StoreRules};
-pub use target::{Target, TargetRules, TargetSpec, Targets, Work};
+pub use list::{List, ListOptions};
+pub use store::{OutageKind, Store, StoreOptions};
+pub use target::{Target, TargetOptions, TargetSpec, Targets, WorkTime};
--- a/crates/fakes/src/list/http.rs
+++ b/crates/fakes/src/list/http.rs
@@ -31,7 +31,7 @@
     match *req.method() {
         Method::PUT => Ok(announce(&shared, name, req).await),
         Method::DELETE => {
-            shared.lock().withdraw(name, now);
+            shared.lock().deregister(name, now);
             Ok(empty(StatusCode::NO_CONTENT))
         }
         _ => Ok(empty(StatusCode::METHOD_NOT_ALLOWED)),
@@ -60,10 +60,10 @@
 /// Turns a knob.
 fn turn(shared: &Shared, knob: &str, uri: &Uri) -> Response<Body> {
     match knob {
-        "settle" => shared.lock().settle(),
+        "settle" => shared.lock().publish_pending(),
         "lag" => {
             let ms = number(uri, "ms").unwrap_or_default();
-            shared.lock().rules.lag = Duration::from_millis(ms);
+            shared.lock().options.visibility_delay = Duration::from_millis(ms);
         }
         _ => return text(StatusCode::NOT_FOUND, "no such knob"),
     }
--- a/crates/fakes/src/list/state.rs
+++ b/crates/fakes/src/list/state.rs
@@ -8,7 +8,7 @@
 
 use dunlinrock_schema::store::{Listed, Listing};
 
-use super::ListRules;
+use super::ListOptions;
 
 /// One host: what readers see, and what they will see.
 #[derive(Default)]
@@ -23,15 +23,15 @@
 /// The whole list.
 pub(super) struct State {
     hosts: BTreeMap<Arc<str>, Host>,
-    pub(super) rules: ListRules,
+    pub(super) options: ListOptions,
     pub(super) reads: u64,
 }
 
 impl State {
-    pub(super) fn open(rules: ListRules) -> Self {
+    pub(super) fn open(options: ListOptions) -> Self {
         Self {
             hosts: BTreeMap::new(),
-            rules,
+            options,
             reads: 0,
         }
     }
@@ -39,19 +39,19 @@
     pub(super) fn announce(&mut self, listed: Listed, now: Duration) {
         self.expire(now);
         let host = self.hosts.entry(Arc::clone(&listed.name)).or_default();
-        host.silent = now + self.rules.keep;
-        host.push(now + self.rules.lag, Some(listed));
+        host.silent = now + self.options.announcement_ttl;
+        host.push(now + self.options.visibility_delay, Some(listed));
     }
 
-    pub(super) fn withdraw(&mut self, name: &str, now: Duration) {
+    pub(super) fn deregister(&mut self, name: &str, now: Duration) {
         self.expire(now);
         if let Some(host) = self.hosts.get_mut(name) {
-            host.push(now + self.rules.lag, None);
+            host.push(now + self.options.visibility_delay, None);
         }
     }
 
     /// Shows all that is pending.
-    pub(super) fn settle(&mut self) {
+    pub(super) fn publish_pending(&mut self) {
         for host in self.hosts.values_mut() {
             host.show(Duration::MAX);
         }
@@ -70,7 +70,7 @@
 
     /// Withdraws the hosts that fell silent; the lag counts from the moment they did.
     fn expire(&mut self, now: Duration) {
-        let lag = self.rules.lag;
+        let lag = self.options.visibility_delay;
         for host in self.hosts.values_mut().filter(|h| h.silent <= now) {
             if host.last().is_some() {
                 host.push(host.silent + lag, None);
--- a/crates/fakes/src/target/http.rs
+++ b/crates/fakes/src/target/http.rs
@@ -91,7 +91,7 @@
 fn done(shared: &Shared, head: &http::request::Parts, body_bytes: usize) -> Response<Body> {
     let (filling, cut) = {
         let mut state = shared.lock();
-        (".".repeat(state.rules.answer_bytes), state.cut())
+        (".".repeat(state.options.padding_bytes), state.cut())
     };
     let path = head.uri.path_and_query().map_or("/", |p| p.as_str());
     let echo = Echo {
@@ -140,7 +140,7 @@
 /// Takes the target down for the time of its rules.
 fn fall(shared: &Arc<Shared>) {
     shared.gate.set(false);
-    let down = shared.lock().rules.down;
+    let down = shared.lock().options.restart_delay;
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
         tokio::time::sleep(down).await;
@@ -169,7 +169,7 @@
         "leave" => shared.change(|state| state.leaving = true),
         "return" => shared.change(|state| state.leaving = false),
         "kill" => fall(shared),
-        "chill" => shared.change(super::State::chill),
+        "chill" => shared.change(super::State::clear_cache),
         "report" => return lie(shared, req).await,
         _ => return set(shared, knob, &uri),
     }
@@ -183,9 +183,9 @@
         "slow" => state.slow = number(uri, "factor").unwrap_or(1.0),
         "shed" => state.shed = number(uri, "requests").unwrap_or(1),
         "truncate" => state.truncate = number(uri, "answers").unwrap_or(1),
-        "size" => state.rules.answer_bytes = number(uri, "bytes").unwrap_or_default(),
+        "size" => state.options.padding_bytes = number(uri, "bytes").unwrap_or_default(),
         "down" => match param(uri, "ms").and_then(|ms| ms.parse().ok()) {
-            Some(ms) => state.rules.down = Duration::from_millis(ms),
+            Some(ms) => state.options.restart_delay = Duration::from_millis(ms),
             None => return text(StatusCode::BAD_REQUEST, "ms is missing"),
         },
         _ => return text(StatusCode::NOT_FOUND, "no such knob"),
