--- a/crates/steer/src/shift/mod.rs
+++ b/crates/steer/src/shift/mod.rs
@@ -9,7 +9,7 @@
 //!
 //! Each host decides for itself. That the sum over hosts stays under the cap rests on four rules:
 //!
-//! * A host moves at [`PACE`] of the cap's speed and does not make up for time it was idle beyond
+//! * A host moves at [`CAP_FRACTION`] of the cap's speed and does not make up for time it was idle beyond
 //!   [`MAX_STEP`] of a window. The limit needs no memory of earlier moves, so that it holds across the
 //!   replacement of a host, whose memory is gone.
 //! * A new host starts from the mean of its peers' shares. If it started from the goal, its part
@@ -26,7 +26,7 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use dunlinrock_config::goal::Row;
+use dunlinrock_config::goal::RegionShares;
 
 use crate::DesiredSplits;
 use lane::Lane;
@@ -35,7 +35,7 @@
 /// Part of the cap's speed at which a host moves. The rest is kept for what is not a host's own
 /// move: steps that began before a window (at most [`MAX_STEP`]), and callers who change hosts when a
 /// third of all hosts end at once (a third of [`MAX_LEAD`]): 0.8 * 1.05 + 0.45 / 3 = 0.99.
-pub use dunlinrock_config::goal::PACE;
+pub use dunlinrock_config::goal::CAP_FRACTION;
 
 /// Part of a window for which a host that was idle makes up at most.
 pub const MAX_STEP: f64 = 0.05;
@@ -48,7 +48,7 @@
 pub const PEER_WINDOWS: u32 = 2;
 
 /// TrafficSplit by service, then by region of callers: what hosts tell one another.
-pub type SplitTable = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Row>>;
+pub type SplitTable = BTreeMap<Arc<str>, BTreeMap<Arc<str>, RegionShares>>;
 
 /// Largest share that a region can be given, by service, region of callers and serving region;
 /// one that is not listed has no limit.
--- a/crates/steer/src/spill/mod.rs
+++ b/crates/steer/src/spill/mod.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use dunlinrock_config::goal::Row;
+use dunlinrock_config::goal::RegionShares;
 
 use crate::{
     DesiredSplit, DesiredSplits, Grantee, Grantor, Need, ShareLimits, SplitTable, TrafficSplit,
@@ -114,7 +114,7 @@
         // use all that was granted, and have a request now and then find no room.
         let lost = |region: &Arc<str>| !goal.eligible.contains(region);
         let stuck = row.is_some_and(|row| row.keys().any(lost));
-        let mut out = Row::new();
+        let mut out = RegionShares::new();
         for (serving, share) in wanted(goal, row) {
             let ceiling = if is_local(region, callers, &serving) {
                 let now_share = row.and_then(|row| row.get(&serving)).copied();
@@ -172,7 +172,7 @@
     })
 }
 
-fn row<'r>(rows: &'r SplitTable, service: &str, callers: &str) -> Option<&'r Row> {
+fn row<'r>(rows: &'r SplitTable, service: &str, callers: &str) -> Option<&'r RegionShares> {
     rows.get(service)?.get(callers)
 }
 
@@ -180,7 +180,7 @@
 /// cap more. Regions that cannot serve want nothing.
 fn wanted<'a>(
     goal: &'a DesiredSplit,
-    row: Option<&'a Row>,
+    row: Option<&'a RegionShares>,
 ) -> impl Iterator<Item = (Arc<str>, f64)> + 'a {
     goal.eligible.iter().filter_map(move |region| {
         let goal_share = goal.shares.get(region).copied().unwrap_or(0.0);
--- a/crates/steer/src/spread/mod.rs
+++ b/crates/steer/src/spread/mod.rs
@@ -10,14 +10,14 @@
     time::Duration,
 };
 
-use dunlinrock_config::goal::{self, Row};
+use dunlinrock_config::goal::{self, RegionShares};
 use dunlinrock_schema::config::Config;
 
 /// Where a service's callers in one region are meant to be served, and how fast that may change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DesiredSplit {
     /// Part of the traffic by serving region; empty where nobody can serve it.
-    pub shares: Row,
+    pub shares: RegionShares,
     /// Regions that can serve at all: neither lost nor without targets. A region under a drain is
     /// among them until its last share has moved.
     pub eligible: BTreeSet<Arc<str>>,
@@ -44,7 +44,7 @@
                 .collect();
             let goals = config.regions.keys().map(|callers| {
                 let goal = DesiredSplit {
-                    shares: goal::goal_without(config, name, callers, lost),
+                    shares: goal::desired_split_excluding(config, name, callers, lost),
                     eligible: eligible.clone(),
                     cap: service.cap.share,
                     window: Duration::from_millis(service.cap.window_ms),
