--- a/crates/admit/examples/loads.rs
+++ b/crates/admit/examples/loads.rs
@@ -1,7 +1,7 @@
 //! Prints the table of all loads on all services: pools beside the naive baseline.
 
 use dunlinrock_admit::{
-    PoolRules,
+    PoolConfig,
     drive::{Figures, Group, LOADS, Policy, SITES, load, play},
 };
 
@@ -13,7 +13,7 @@
     );
     println!("|---|---|---|---:|---:|---:|---:|---:|---:|---:|---:|");
     let policies = [
-        ("pools", Policy::Pools(PoolRules::default())),
+        ("pools", Policy::Pools(PoolConfig::default())),
         ("random", Policy::Random),
         ("two choices", Policy::TwoChoices { hosts: 4, tries: 3 }),
     ];
--- a/crates/admit/examples/sweep.rs
+++ b/crates/admit/examples/sweep.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dunlinrock_admit::{
-    PoolRules,
+    PoolConfig,
     drive::{Group, LOADS, Policy, SITES, Site, load, play},
 };
 
@@ -14,7 +14,7 @@
     name: &'static str,
     loads: &'static [&'static str],
     values: &'static [f64],
-    set: fn(&mut PoolRules, f64),
+    set: fn(&mut PoolConfig, f64),
 }
 
 const SWEEPS: &[Sweep] = &[
@@ -22,7 +22,7 @@
         name: "patience-ms",
         loads: &["burst", "short bursts", "saturation"],
         values: &[25.0, 50.0, 100.0, 250.0, 500.0, 1000.0],
-        set: |rules, x| rules.patience = Duration::from_secs_f64(x / 1e3),
+        set: |rules, x| rules.max_wait = Duration::from_secs_f64(x / 1e3),
     },
     Sweep {
         name: "standing-ms",
@@ -95,7 +95,7 @@
 }
 
 fn row(sweep: &Sweep, name: &str, site: Site, value: f64) {
-    let mut rules = PoolRules::default();
+    let mut rules = PoolConfig::default();
     (sweep.set)(&mut rules, value);
     let f = play(&load(name, site, SEED), &Policy::Pools(rules));
     let ms = |group, p| f.time(group, p).as_secs_f64() * 1e3;
--- a/crates/admit/src/choose/mod.rs
+++ b/crates/admit/src/choose/mod.rs
@@ -15,7 +15,7 @@
 
 /// A pool that could take the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Candidate {
+pub struct PoolCandidate {
     /// Its load as last heard.
     pub load: Load,
     /// Age of that word; zero for a pool that this host owns.
@@ -26,7 +26,7 @@
     pub sent: u32,
 }
 
-impl Candidate {
+impl PoolCandidate {
     /// Time until the answer could be back, less the work itself.
     fn cost(&self, usual: Duration) -> Duration {
         let way = 2 * self.delay;
@@ -34,7 +34,7 @@
             return way + usual;
         }
         let full = (self.load.busy + self.sent).saturating_sub(self.load.slots);
-        way + self.load.wait + self.load.turn * full
+        way + self.load.queue_delay + self.load.slot_interval * full
     }
 }
 
@@ -42,20 +42,20 @@
 /// the one whose answer is expected first. None if no candidate has a slot.
 ///
 /// ```
-/// use dunlinrock_admit::{Candidate, Load, choose};
+/// use dunlinrock_admit::{PoolCandidate, Load, choose_pool};
 ///
-/// let idle = Candidate { load: Load { slots: 9, ..Load::default() }, ..Candidate::default() };
-/// let none = Candidate::default();
-/// assert_eq!(choose(&[none, idle], 42), Some(1));
-/// assert_eq!(choose(&[none], 42), None);
+/// let idle = PoolCandidate { load: Load { slots: 9, ..Load::default() }, ..PoolCandidate::default() };
+/// let none = PoolCandidate::default();
+/// assert_eq!(choose_pool(&[none, idle], 42), Some(1));
+/// assert_eq!(choose_pool(&[none], 42), None);
 /// ```
-pub fn choose(candidates: &[Candidate], draw: u64) -> Option<usize> {
+pub fn choose_pool(candidates: &[PoolCandidate], draw: u64) -> Option<usize> {
     let slots: u64 = candidates.iter().map(|c| u64::from(c.load.slots)).sum();
     if slots == 0 {
         return None;
     }
-    let fresh: Vec<&Candidate> = candidates.iter().filter(|c| c.age <= STALE).collect();
-    let total: Duration = fresh.iter().map(|c| c.load.wait).sum();
+    let fresh: Vec<&PoolCandidate> = candidates.iter().filter(|c| c.age <= STALE).collect();
+    let total: Duration = fresh.iter().map(|c| c.load.queue_delay).sum();
     let usual = total / fresh.len().max(1) as u32;
     let a = pick(candidates, (draw >> 32) % slots, None)?;
     let rest = slots - u64::from(candidates[a].load.slots);
@@ -68,7 +68,7 @@
 }
 
 /// The candidate that holds the slot of this number, not counting those of `skip`.
-fn pick(candidates: &[Candidate], mut number: u64, skip: Option<usize>) -> Option<usize> {
+fn pick(candidates: &[PoolCandidate], mut number: u64, skip: Option<usize>) -> Option<usize> {
     for (i, c) in candidates.iter().enumerate() {
         if Some(i) == skip {
             continue;
--- a/crates/admit/src/drive/mod.rs
+++ b/crates/admit/src/drive/mod.rs
@@ -17,13 +17,13 @@
     scenario::{Fault, LOADS, SITES, Scenario, Site, Work, load},
 };
 
-use crate::PoolRules;
+use crate::PoolConfig;
 
 /// How requests find a target.
 #[derive(Clone, Debug)]
 pub enum Policy {
-    /// [`Pool`](crate::Pool)s, one for each failure domain, chosen by [`choose`](crate::choose).
-    Pools(PoolRules),
+    /// [`Pool`](crate::Pool)s, one for each failure domain, chosen by [`choose_pool`](crate::choose_pool).
+    Pools(PoolConfig),
     /// A random target of the region with an unbounded first-in-first-out queue.
     Random,
     /// Many hosts that each take the less busy of two targets by lagging reports; a full target
--- a/crates/admit/src/drive/pools/mod.rs
+++ b/crates/admit/src/drive/pools/mod.rs
@@ -8,7 +8,8 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use crate::{
-    Action, Candidate, Load, Offer, Pool, PoolRules, Refusal, Report, TargetSpec, Verdict, choose,
+    Action, Decision, Load, LoadReport, Offer, Pool, PoolCandidate, PoolConfig, RefusalReason,
+    TargetSpec, choose_pool,
     drive::{
         Fault, Figures, Scenario,
         event::Events,
@@ -24,7 +25,7 @@
     End { run: u64 },
     Wake { pool: usize },
     Measure,
-    Report { target: usize, report: Report },
+    Report { target: usize, report: LoadReport },
     Summary { loads: Vec<Load> },
 }
 
@@ -50,7 +51,7 @@
     figures: Figures,
 }
 
-pub(super) fn play(scenario: &Scenario, rules: &PoolRules) -> Figures {
+pub(super) fn play(scenario: &Scenario, rules: &PoolConfig) -> Figures {
     let site = scenario.site;
     let names: Vec<Arc<str>> = (0..site.targets).map(|i| format!("t{i}").into()).collect();
     let pools = (0..DOMAINS).map(|d| {
@@ -147,20 +148,20 @@
         let first = home - home % 2;
         let candidates = [first, first + 1].map(|d| {
             if d == home {
-                return Candidate {
+                return PoolCandidate {
                     load: self.pools[d].load(now),
-                    ..Candidate::default()
+                    ..PoolCandidate::default()
                 };
             }
             let (load, at, sent) = self.loads[d];
-            Candidate {
+            PoolCandidate {
                 load,
                 age: now - at,
                 delay: self.scenario.site.hop,
                 sent,
             }
         });
-        let pool = first + choose(&candidates, self.rng.random()).unwrap_or(home - first);
+        let pool = first + choose_pool(&candidates, self.rng.random()).unwrap_or(home - first);
         self.number += 1;
         let ticket = self.number;
         self.requests.insert(ticket, (request, pool));
@@ -192,20 +193,20 @@
             tried: Vec::new(),
         };
         match self.pools[pool].offer(offer, now) {
-            Verdict::Start { target } => self.start(ticket, &target, now),
-            Verdict::Queued => {}
-            Verdict::Refused { reason, .. } => self.refuse(ticket, reason),
+            Decision::Start { target } => self.start(ticket, &target, now),
+            Decision::Queued => {}
+            Decision::Refused { reason, .. } => self.refuse(ticket, reason),
         }
         self.poll(pool, now);
     }
 
-    fn refuse(&mut self, ticket: u64, reason: Refusal) {
+    fn refuse(&mut self, ticket: u64, reason: RefusalReason) {
         let Some((request, _)) = self.requests.remove(&ticket) else {
             return;
         };
         if self.counts(&request) {
             self.figures.refused(&request);
-            self.figures.innocent += u64::from(reason == Refusal::Quarantined);
+            self.figures.innocent += u64::from(reason == RefusalReason::Quarantined);
         }
     }
 
@@ -222,8 +223,10 @@
                 }
             }
         }
-        for word in self.pools[pool].words() {
-            self.pools.iter_mut().for_each(|p| p.hear(word, now));
+        for word in self.pools[pool].take_updates() {
+            self.pools
+                .iter_mut()
+                .for_each(|p| p.apply_update(word, now));
         }
         let state = self.pools[pool].next_wake();
         if let Some(at) = state.filter(|t| self.wakes[pool].is_none_or(|w| *t < w)) {
--- a/crates/admit/src/drive/pools/runs.rs
+++ b/crates/admit/src/drive/pools/runs.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use crate::{
-    Ending, Outcome,
+    Completion, Outcome,
     drive::{
         pools::{Event, Play, Run},
         scenario::{KILLS_AFTER, RESTART, Request, SENDS},
@@ -86,7 +86,7 @@
         };
         let name = Arc::clone(&self.names[target]);
         let ending = self.pools[pool].finish(ticket, &name, outcome, now);
-        if let Ending::Final { .. } = ending {
+        if let Completion::Final { .. } = ending {
             self.answer(&request, pool, outcome, now);
             if outcome == Outcome::Ok {
                 let time = now.saturating_sub(r.since);
--- a/crates/admit/src/drive/pools/watch.rs
+++ b/crates/admit/src/drive/pools/watch.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
-    Report,
+    LoadReport,
     drive::{
         pools::{Event, Play},
         scenario::{EVERY, LAG},
@@ -33,7 +33,7 @@
         }
     }
 
-    pub(super) fn report(&mut self, target: usize, report: Report, now: Duration) {
+    pub(super) fn report(&mut self, target: usize, report: LoadReport, now: Duration) {
         let pool = self.scenario.site.domain(target);
         let name = Arc::clone(&self.names[target]);
         self.pools[pool].report(&name, report, now);
--- a/crates/admit/src/drive/target.rs
+++ b/crates/admit/src/drive/target.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::{
-    Report,
+    LoadReport,
     drive::{Fault, Scenario},
 };
 
@@ -58,9 +58,9 @@
         number: usize,
         scenario: &Scenario,
         now: Duration,
-    ) -> Option<Report> {
+    ) -> Option<LoadReport> {
         let busy = self.running.len() as u32;
-        let mut report = Report {
+        let mut report = LoadReport {
             busy,
             slots: scenario.site.slots,
             leaving: false,
@@ -75,7 +75,7 @@
                 Fault::FalseReports => match number % 3 {
                     0 => report.busy = 100,
                     1 => {
-                        report = Report {
+                        report = LoadReport {
                             busy: 0,
                             slots: 100,
                             ..report
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -3,14 +3,14 @@
 //! ```
 //! use {
 //!     dunlinrock_admit::{
-//!         Action, Ending, Offer, Outcome, Pool, PoolRules, Refusal, TargetSpec, Verdict,
+//!         Action, Completion, Decision, Offer, Outcome, Pool, PoolConfig, RefusalReason, TargetSpec,
 //!     },
 //!     std::time::Duration,
 //! };
 //!
 //! let ms = Duration::from_millis;
 //! let target = TargetSpec { name: "worker-1".into(), slots: 1, leaving: false, cold: false };
-//! let mut pool = Pool::open(PoolRules::default(), &[target], ms(0));
+//! let mut pool = Pool::open(PoolConfig::default(), &[target], ms(0));
 //! let offer = |ticket, deadline| Offer {
 //!     ticket,
 //!     caller: 1,
@@ -23,14 +23,14 @@
 //! };
 //!
 //! // The first request starts, the second waits, the third could not be answered in time.
-//! assert_eq!(pool.offer(offer(1, ms(500)), ms(0)), Verdict::Start { target: "worker-1".into() });
-//! assert_eq!(pool.offer(offer(2, ms(500)), ms(0)), Verdict::Queued);
-//! let Verdict::Refused { reason, .. } = pool.offer(offer(3, ms(30)), ms(0)) else { panic!() };
-//! assert_eq!(reason, Refusal::Late);
+//! assert_eq!(pool.offer(offer(1, ms(500)), ms(0)), Decision::Start { target: "worker-1".into() });
+//! assert_eq!(pool.offer(offer(2, ms(500)), ms(0)), Decision::Queued);
+//! let Decision::Refused { reason, .. } = pool.offer(offer(3, ms(30)), ms(0)) else { panic!() };
+//! assert_eq!(reason, RefusalReason::DeadlineExceeded);
 //!
 //! // The end of the first frees its slot for the second.
 //! let end = pool.finish(1, "worker-1", Outcome::Ok, ms(20));
-//! assert_eq!(end, Ending::Final { ran: true });
+//! assert_eq!(end, Completion::Final { ran: true });
 //! let start = Action::Start { ticket: 2, target: "worker-1".into() };
 //! assert_eq!(pool.poll(ms(20)), [start]);
 //! ```
@@ -67,10 +67,10 @@
 mod work;
 
 pub use crate::{
-    choose::{Candidate, choose},
+    choose::{PoolCandidate, choose_pool},
     pool::{
-        Action, Cancelled, Counts, Ending, Load, Offer, Outcome, Pool, PoolRules, PoolState,
-        Refusal, Report, TargetSpec, TargetState, Verdict,
+        Action, Cancelled, Completion, Counts, Decision, Load, LoadReport, Offer, Outcome, Pool,
+        PoolConfig, PoolState, RefusalReason, TargetSpec, TargetState,
     },
-    quarantine::{Grade, Quarantine, Victim, Word},
+    quarantine::{Quarantine, QuarantineStatus, QuarantineUpdate, Victim},
 };
--- a/crates/admit/src/pool/admit.rs
+++ b/crates/admit/src/pool/admit.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::{
-    Grade, Offer, Pool, Refusal, Verdict,
+    Decision, Offer, Pool, QuarantineStatus, RefusalReason,
     pool::request::{Place, Request},
     work::Class,
 };
@@ -49,7 +49,7 @@
     /// Decides at once what becomes of a request. Follow it with [`Pool::poll`].
     ///
     /// A refusal is final: the request has not run and will not.
-    pub fn offer(&mut self, offer: Offer, now: Duration) -> Verdict {
+    pub fn offer(&mut self, offer: Offer, now: Duration) -> Decision {
         self.targets.refresh(&self.rules, now);
         let estimate = self.kinds.estimate(offer.kind);
         let class = self.class(estimate.mean);
@@ -61,7 +61,7 @@
             self.short_need.add(estimate.mean, now);
         }
         let request = Request::open(offer, class, estimate);
-        if self.quarantine.grade(request.fingerprint, now) == Some(Grade::Suspect) {
+        if self.quarantine.status(request.fingerprint, now) == Some(QuarantineStatus::Suspect) {
             return self.offer_trial(request, now);
         }
         match self.place_now(&request, now) {
@@ -71,21 +71,21 @@
     }
 
     /// Reasons to refuse that do not depend on the wait.
-    fn check(&mut self, offer: &Offer, now: Duration) -> Result<(), Refusal> {
+    fn check(&mut self, offer: &Offer, now: Duration) -> Result<(), RefusalReason> {
         if self.tickets.contains_key(&offer.ticket) {
-            return Err(Refusal::Ticket);
+            return Err(RefusalReason::DuplicateTicket);
         }
-        if self.quarantine.grade(offer.fingerprint, now) == Some(Grade::Convict) {
-            return Err(Refusal::Quarantined);
+        if self.quarantine.status(offer.fingerprint, now) == Some(QuarantineStatus::Convict) {
+            return Err(RefusalReason::Quarantined);
         }
         if !self.targets.has_other(&offer.tried, now) {
-            return Err(Refusal::NoTarget);
+            return Err(RefusalReason::NoTarget);
         }
         if now + self.kinds.estimate(offer.kind).mean > offer.deadline {
-            return Err(Refusal::Late);
+            return Err(RefusalReason::DeadlineExceeded);
         }
         if !offer.tried.is_empty() && !self.budget.spend() {
-            return Err(Refusal::Budget);
+            return Err(RefusalReason::RetryBudget);
         }
         Ok(())
     }
@@ -105,17 +105,17 @@
         self.targets.place(&request.ask(self.strain(), now), now)
     }
 
-    fn start_offered(&mut self, request: Request, at: usize, now: Duration) -> Verdict {
+    fn start_offered(&mut self, request: Request, at: usize, now: Duration) -> Decision {
         let ticket = request.ticket;
         self.tickets.insert(ticket, request);
         let target = self.run(ticket, at, now);
         self.counts.started += 1;
         self.budget.earn();
-        Verdict::Start { target }
+        Decision::Start { target }
     }
 
     /// Queues a request if it can be answered in time.
-    fn enqueue(&mut self, mut request: Request, now: Duration) -> Verdict {
+    fn enqueue(&mut self, mut request: Request, now: Duration) -> Decision {
         let queue = &self.queues[request.class as usize];
         let rank = queue.rank(request.caller, request.key);
         let wait = self.wait(request.class, rank, now);
@@ -133,9 +133,9 @@
         if self.crowded(&request, rank, now) {
             return self.refused(request.reason, bounded(wait.mean));
         }
-        if self.waiting() >= self.rules.queue && !self.displace(request.class, rank, now) {
-            let retry_after = self.retry_after(Refusal::Full, request.fingerprint, now);
-            return self.refused(Refusal::Full, retry_after);
+        if self.waiting() >= self.rules.max_queued && !self.displace(request.class, rank, now) {
+            let retry_after = self.retry_after(RefusalReason::QueueFull, request.fingerprint, now);
+            return self.refused(RefusalReason::QueueFull, retry_after);
         }
         let work = request.estimate.mean.as_micros() as u64;
         let (ticket, caller, key) = (request.ticket, request.caller, request.key);
@@ -145,7 +145,7 @@
         let class = request.class;
         self.tickets.insert(ticket, request);
         self.trim(class, now);
-        Verdict::Queued
+        Decision::Queued
     }
 
     /// The queue as a whole holds as much as can be served in the time that this request may wait,
@@ -169,7 +169,7 @@
         let reason = self
             .tickets
             .get(&ticket)
-            .map_or(Refusal::Full, |r| r.reason);
+            .map_or(RefusalReason::QueueFull, |r| r.reason);
         self.refuse(ticket, reason, now);
         false
     }
@@ -205,7 +205,7 @@
         let Some((_, ticket)) = worst else {
             return false;
         };
-        self.refuse(ticket, Refusal::Full, now);
+        self.refuse(ticket, RefusalReason::QueueFull, now);
         true
     }
 
@@ -253,23 +253,32 @@
     }
 
     /// Counts a refusal and puts it into words.
-    pub(super) fn refused(&mut self, reason: Refusal, retry_after: Duration) -> Verdict {
+    pub(super) fn refused(&mut self, reason: RefusalReason, retry_after: Duration) -> Decision {
         self.counts.refused += 1;
-        Verdict::Refused {
+        Decision::Refused {
             reason,
             retry_after,
         }
     }
 
     /// Estimate of the time after which a request refused for `reason` would be let in.
-    pub(super) fn retry_after(&self, reason: Refusal, fingerprint: u64, now: Duration) -> Duration {
+    pub(super) fn retry_after(
+        &self,
+        reason: RefusalReason,
+        fingerprint: u64,
+        now: Duration,
+    ) -> Duration {
         let time = match reason {
-            Refusal::Quarantined => return self.quarantine.remaining(fingerprint, now),
-            Refusal::NoTarget => Duration::from_secs(1),
-            Refusal::Budget => self.turn() * (1.0 / self.rules.retry_share.max(0.01)) as u32,
-            Refusal::Ticket => self.turn(),
+            RefusalReason::Quarantined => return self.quarantine.remaining(fingerprint, now),
+            RefusalReason::NoTarget => Duration::from_secs(1),
+            RefusalReason::RetryBudget => {
+                self.turn() * (1.0 / self.rules.retry_share.max(0.01)) as u32
+            }
+            RefusalReason::DuplicateTicket => self.turn(),
             // Half of what waits has then been served.
-            Refusal::Late | Refusal::Full | Refusal::Patience => {
+            RefusalReason::DeadlineExceeded
+            | RefusalReason::QueueFull
+            | RefusalReason::QueueTimeout => {
                 let rank = self
                     .queues
                     .iter()
--- a/crates/admit/src/pool/due.rs
+++ b/crates/admit/src/pool/due.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use crate::{Action, Pool, Refusal, target::Ask};
+use crate::{Action, Pool, RefusalReason, target::Ask};
 
 impl Pool {
     /// All that is due: starts, refusals, hedges, aborts.
@@ -45,7 +45,7 @@
         if !self.due.is_empty() && !self.targets.hopeful(now) {
             let all: Vec<u64> = self.due.iter().map(|(_, t)| *t).collect();
             all.into_iter()
-                .for_each(|t| self.refuse(t, Refusal::NoTarget, now));
+                .for_each(|t| self.refuse(t, RefusalReason::NoTarget, now));
         }
     }
 
@@ -82,7 +82,7 @@
             && !request.hedged
             && now + request.estimate.mean <= request.deadline
             && self.due.is_empty()
-            && self.quarantine.grade(request.fingerprint, now).is_none();
+            && self.quarantine.status(request.fingerprint, now).is_none();
         if !fits {
             return;
         }
--- a/crates/admit/src/pool/finish.rs
+++ b/crates/admit/src/pool/finish.rs
@@ -3,16 +3,22 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
-    Action, Ending, Grade, Outcome, Pool, Victim,
+    Action, Completion, Outcome, Pool, QuarantineStatus, Victim,
     pool::request::{Place, Run},
     target::Finished,
 };
 
 impl Pool {
     /// A run at a target has ended, which frees its slot. Follow it with [`Pool::poll`].
-    pub fn finish(&mut self, ticket: u64, target: &str, outcome: Outcome, now: Duration) -> Ending {
+    pub fn finish(
+        &mut self,
+        ticket: u64,
+        target: &str,
+        outcome: Outcome,
+        now: Duration,
+    ) -> Completion {
         let Some(run) = self.end_run(ticket, target, outcome, now) else {
-            return Ending::Stale;
+            return Completion::Stale;
         };
         if outcome == Outcome::Died && !run.dead {
             self.died(run, ticket, now);
@@ -87,27 +93,27 @@
     }
 
     /// Decides what the end of a run means for the request.
-    fn conclude(&mut self, ticket: u64, run: Run, outcome: Outcome, now: Duration) -> Ending {
+    fn conclude(&mut self, ticket: u64, run: Run, outcome: Outcome, now: Duration) -> Completion {
         let Some(request) = self.tickets.get_mut(&ticket) else {
-            return Ending::Stale;
+            return Completion::Stale;
         };
         let more = !request.runs.is_empty();
         if request.settled {
             if !more {
                 self.tickets.remove(&ticket);
             }
-            return Ending::Stale;
+            return Completion::Stale;
         }
         let effect = !matches!(outcome, Outcome::Refused);
         request.ran |= effect;
         let name = Arc::clone(&self.targets.get(run.target).name);
         request.tried.push(name);
         if more && !matches!(outcome, Outcome::Ok | Outcome::Cancelled) {
-            return Ending::Other;
+            return Completion::Pending;
         }
         if self.reruns(ticket, outcome, now) {
             self.rerun(ticket, now);
-            return Ending::Again;
+            return Completion::Retry;
         }
         self.settle(ticket)
     }
@@ -124,7 +130,7 @@
         };
         allowed
             && now + request.estimate.mean <= request.deadline
-            && self.quarantine.grade(request.fingerprint, now) != Some(Grade::Convict)
+            && self.quarantine.status(request.fingerprint, now) != Some(QuarantineStatus::Convict)
             && self.targets.has_other(&request.tried, now)
             && self.budget.spend()
     }
@@ -136,11 +142,11 @@
             return;
         };
         self.checks.remove(&(request.check, ticket));
-        request.wait(self.rules.patience, now);
+        request.wait(self.rules.max_wait, now);
         // It was let in; what its first run has cost it must not be the reason to refuse it.
         request.latest = request.latest.max(now);
         self.due.insert((request.latest, ticket));
-        if self.quarantine.grade(request.fingerprint, now) == Some(Grade::Suspect) {
+        if self.quarantine.status(request.fingerprint, now) == Some(QuarantineStatus::Suspect) {
             request.place = Place::Trial;
             self.trials.push(ticket);
             return;
@@ -151,9 +157,9 @@
     }
 
     /// The request has its final outcome: other runs of it are aborted.
-    fn settle(&mut self, ticket: u64) -> Ending {
+    fn settle(&mut self, ticket: u64) -> Completion {
         let Some(request) = self.tickets.get_mut(&ticket) else {
-            return Ending::Stale;
+            return Completion::Stale;
         };
         request.settled = true;
         self.checks.remove(&(request.check, ticket));
@@ -165,6 +171,6 @@
         if request.runs.is_empty() {
             self.tickets.remove(&ticket);
         }
-        Ending::Final { ran }
+        Completion::Final { ran }
     }
 }
--- a/crates/admit/src/pool/mod.rs
+++ b/crates/admit/src/pool/mod.rs
@@ -18,12 +18,12 @@
 };
 
 pub use self::{
-    offer::{Action, Cancelled, Ending, Offer, Outcome, Refusal, Report, Verdict},
-    rules::{PoolRules, TargetSpec},
+    offer::{Action, Cancelled, Completion, Decision, LoadReport, Offer, Outcome, RefusalReason},
+    rules::{PoolConfig, TargetSpec},
     state::{Counts, Load, PoolState, TargetState},
 };
 use crate::{
-    Grade, Quarantine, Word,
+    Quarantine, QuarantineStatus, QuarantineUpdate,
     fair::FairQueue,
     pool::{
         request::{Place, Request},
@@ -45,7 +45,7 @@
 /// not settled; no target runs more than its slots.
 #[derive(Debug)]
 pub struct Pool {
-    rules: PoolRules,
+    rules: PoolConfig,
     targets: Targets,
     tickets: BTreeMap<u64, Request>,
     /// Short work, then long work.
@@ -71,7 +71,7 @@
 
 impl Pool {
     /// Opens a pool. Its targets are warm unless their spec says that they are cold.
-    pub fn open(rules: PoolRules, targets: &[TargetSpec], now: Duration) -> Self {
+    pub fn open(rules: PoolConfig, targets: &[TargetSpec], now: Duration) -> Self {
         let mut pool = Self {
             targets: Targets::open(targets, now),
             tickets: BTreeMap::new(),
@@ -100,7 +100,7 @@
     /// Takes new rules and targets. Requests that run or wait stay; a target that is no longer
     /// listed finishes its runs and gets nothing new; a target that is new starts cold. A new
     /// `guess` or `seed` has no effect on an open pool.
-    pub fn reconfigure(&mut self, rules: PoolRules, targets: &[TargetSpec], now: Duration) {
+    pub fn reconfigure(&mut self, rules: PoolConfig, targets: &[TargetSpec], now: Duration) {
         self.budget.set_share(rules.retry_share);
         self.rules = rules;
         self.targets.reconfigure(targets, now);
@@ -132,22 +132,22 @@
     }
 
     /// Takes a target's report about itself.
-    pub fn report(&mut self, target: &str, report: Report, now: Duration) {
+    pub fn report(&mut self, target: &str, report: LoadReport, now: Duration) {
         self.targets.report(target, report, &self.rules, now);
     }
 
     /// Takes a peer's word about a request that kills its targets.
-    pub fn hear(&mut self, word: Word, now: Duration) {
-        self.quarantine.hear(word, now);
+    pub fn apply_update(&mut self, word: QuarantineUpdate, now: Duration) {
+        self.quarantine.apply_update(word, now);
     }
 
     /// Words for the peers since the last call.
-    pub fn words(&mut self) -> Vec<Word> {
-        self.quarantine.words()
+    pub fn take_updates(&mut self) -> Vec<QuarantineUpdate> {
+        self.quarantine.take_updates()
     }
 
     /// All words that hold, for a peer that is new.
-    pub fn all_words(&self, now: Duration) -> Vec<Word> {
+    pub fn all_updates(&self, now: Duration) -> Vec<QuarantineUpdate> {
         self.quarantine.all(now)
     }
 
@@ -156,14 +156,18 @@
         let work: u64 = self.queues.iter().map(FairQueue::work).sum();
         let slots = self.targets.slots();
         let busy = self.busy[0] + self.busy[1];
-        let turn = self.turn();
-        let full = if busy >= slots { turn } else { Duration::ZERO };
+        let slot_interval = self.turn();
+        let full = if busy >= slots {
+            slot_interval
+        } else {
+            Duration::ZERO
+        };
         Load {
             queued: self.waiting() as u32,
             busy,
             slots: if self.targets.hopeful(now) { slots } else { 0 },
-            wait: full + Duration::from_micros(work / u64::from(slots.max(1))),
-            turn,
+            queue_delay: full + Duration::from_micros(work / u64::from(slots.max(1))),
+            slot_interval,
         }
     }
 
@@ -175,8 +179,8 @@
             long_busy: self.busy[1],
             reserve: self.room(now).reserve,
             budget: self.budget.tokens(),
-            suspects: self.quarantine.count(Grade::Suspect, now) as u32,
-            convicts: self.quarantine.count(Grade::Convict, now) as u32,
+            suspects: self.quarantine.count(QuarantineStatus::Suspect, now) as u32,
+            quarantined: self.quarantine.count(QuarantineStatus::Convict, now) as u32,
             kinds: self.kinds.len() as u32,
             counts: self.counts,
             targets: self
@@ -227,13 +231,13 @@
         let most = if lasts {
             self.rules.standing
         } else {
-            self.rules.patience
+            self.rules.max_wait
         };
         most.max(mean)
     }
 
     fn class(&self, mean: Duration) -> Class {
-        if mean <= self.rules.short {
+        if mean <= self.rules.short_max {
             Class::Short
         } else {
             Class::Long
--- a/crates/admit/src/pool/offer.rs
+++ b/crates/admit/src/pool/offer.rs
@@ -28,7 +28,7 @@
 
 /// The answer to an offer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum Decision {
     /// Send it to this target now.
     Start {
         /// Name of the target.
@@ -39,7 +39,7 @@
     /// It was not run and will not be.
     Refused {
         /// Why.
-        reason: Refusal,
+        reason: RefusalReason,
         /// Estimate of the time after which the same offer would be let in.
         retry_after: Duration,
     },
@@ -47,16 +47,16 @@
 
 /// Why a request is turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
-pub enum Refusal {
+pub enum RefusalReason {
     /// The wait and the work would take longer than the deadline allows.
     #[error("the answer would come after the deadline")]
-    Late,
+    DeadlineExceeded,
     /// The queue is full of requests with a better claim.
     #[error("the queue is full")]
-    Full,
+    QueueFull,
     /// It waited as long as a request may.
     #[error("it waited as long as the pool lets a request wait")]
-    Patience,
+    QueueTimeout,
     /// No target of the pool may be used.
     #[error("no target takes new work")]
     NoTarget,
@@ -65,10 +65,10 @@
     Quarantined,
     /// Another run would exceed the retry budget.
     #[error("the retry budget is spent")]
-    Budget,
+    RetryBudget,
     /// A ticket with this id is in the pool already.
     #[error("the ticket is in use")]
-    Ticket,
+    DuplicateTicket,
 }
 
 /// What the embedder has to do.
@@ -100,7 +100,7 @@
         /// Id of the request.
         ticket: u64,
         /// Why.
-        reason: Refusal,
+        reason: RefusalReason,
         /// Estimate of the time after which a new offer would be let in.
         retry_after: Duration,
         /// An earlier run may have had an effect: the caller is not told `run: no`.
@@ -127,16 +127,16 @@
 
 /// What `finish` says of the request as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ending {
+pub enum Completion {
     /// This outcome is the request's: answer the caller.
     Final {
         /// Some run of it may have had an effect. If false, `run: no` is true.
         ran: bool,
     },
     /// The pool tries again: `poll` will start or refuse it. Say nothing to the caller yet.
-    Again,
+    Retry,
     /// Another run of the request still goes on. Say nothing to the caller yet.
-    Other,
+    Pending,
     /// The request has had its answer, or was cancelled: drop this outcome.
     Stale,
 }
@@ -157,7 +157,7 @@
 
 /// A target's own word about itself. It may lag or be false.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests that it says it runs.
     pub busy: u32,
     /// Slots that it says it has.
--- a/crates/admit/src/pool/request.rs
+++ b/crates/admit/src/pool/request.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
-    Offer, Refusal,
+    Offer, RefusalReason,
     fair::Slot,
     target::Ask,
     work::{Class, Estimate},
@@ -52,7 +52,7 @@
     /// Last moment at which it may start.
     pub(super) latest: Duration,
     /// Why it is refused if it has not started by then.
-    pub(super) reason: Refusal,
+    pub(super) reason: RefusalReason,
     pub(super) runs: Vec<Run>,
     /// When its run is looked at again.
     pub(super) check: Duration,
@@ -79,7 +79,7 @@
             estimate,
             place: Place::Running,
             latest: offer.deadline,
-            reason: Refusal::Late,
+            reason: RefusalReason::DeadlineExceeded,
             runs: Vec::new(),
             check: Duration::MAX,
             hedged: false,
@@ -96,9 +96,9 @@
         let deadline = self.deadline.saturating_sub(self.estimate.tail);
         let patience = now.saturating_add(patience);
         self.reason = if deadline <= patience {
-            Refusal::Late
+            RefusalReason::DeadlineExceeded
         } else {
-            Refusal::Patience
+            RefusalReason::QueueTimeout
         };
         self.latest = deadline.min(patience);
     }
--- a/crates/admit/src/pool/rules.rs
+++ b/crates/admit/src/pool/rules.rs
@@ -4,19 +4,19 @@
 
 /// Settings of a pool. Each default is the one that the sweep named in its module's doc chose.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PoolRules {
+pub struct PoolConfig {
     /// Most requests that wait at once. When it is full, the request with the worst rank leaves.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Longest time that a request waits, whatever its deadline, in a queue that a burst has
     /// made; work that takes longer may wait for as long as it takes.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// The same once waits have been long for `burst`: the overload lasts, and a longer wait would
     /// add to each answer without adding one answer.
     pub standing: Duration,
     /// Longest time that a burst and the queue it leaves may take.
     pub burst: Duration,
     /// Work expected to take up to this long is short; the rest is long.
-    pub short: Duration,
+    pub short_max: Duration,
     /// Share of the slots, 0 to 1, that short work is sure of while it competes with long work.
     pub short_share: f64,
     /// Slots kept free of long work for each slot that short work has lately needed.
@@ -37,14 +37,14 @@
     pub seed: u64,
 }
 
-impl Default for PoolRules {
+impl Default for PoolConfig {
     fn default() -> Self {
         Self {
-            queue: 512,
-            patience: Duration::from_millis(250),
+            max_queued: 512,
+            max_wait: Duration::from_millis(250),
             standing: Duration::from_millis(50),
             burst: Duration::from_millis(500),
-            short: Duration::from_millis(100),
+            short_max: Duration::from_millis(100),
             short_share: 0.5,
             reserve: 1.0,
             guess: Duration::from_millis(20),
--- a/crates/admit/src/pool/start.rs
+++ b/crates/admit/src/pool/start.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
-    Action, Pool, Refusal,
+    Action, Pool, RefusalReason,
     fair::Slot,
     pool::request::{Place, Run},
     work::Class,
@@ -48,7 +48,7 @@
             let Place::Queued(slot) = request.place else {
                 return false;
             };
-            if let Some(grade) = self.quarantine.grade(request.fingerprint, now) {
+            if let Some(grade) = self.quarantine.status(request.fingerprint, now) {
                 self.divert(ticket, grade, now);
                 return true;
             }
@@ -108,7 +108,7 @@
     }
 
     /// Refuses a request that waits.
-    pub(super) fn refuse(&mut self, ticket: u64, reason: Refusal, now: Duration) {
+    pub(super) fn refuse(&mut self, ticket: u64, reason: RefusalReason, now: Duration) {
         self.unqueue(ticket);
         let Some(request) = self.tickets.remove(&ticket) else {
             return;
--- a/crates/admit/src/pool/state.rs
+++ b/crates/admit/src/pool/state.rs
@@ -14,9 +14,9 @@
     /// Slots that may be used now.
     pub slots: u32,
     /// Estimate of the wait of a request that came now.
-    pub wait: Duration,
+    pub queue_delay: Duration,
     /// Estimate of the time between two free slots while all are in use.
-    pub turn: Duration,
+    pub slot_interval: Duration,
 }
 
 /// Everything worth a look in a dump.
@@ -35,7 +35,7 @@
     /// Requests suspected of killing targets.
     pub suspects: u32,
     /// Requests that are refused because they killed targets.
-    pub convicts: u32,
+    pub quarantined: u32,
     /// Kinds of work whose service time is known.
     pub kinds: u32,
     /// What the pool has done since it was opened.
@@ -67,7 +67,7 @@
     /// Slots that may be used now.
     pub limit: u32,
     /// Its service time as a ratio to what is expected of the kind.
-    pub ratio: f64,
+    pub latency_ratio: f64,
     /// It gets nothing new: it is leaving, or no longer configured.
     pub leaving: bool,
     /// It was ejected for being slow.
@@ -75,7 +75,7 @@
     /// It died or failed and is left alone for a while.
     pub down: bool,
     /// Nothing new starts on it, so that a suspect can run alone.
-    pub held: bool,
+    pub isolated: bool,
 }
 
 impl TargetState {
@@ -85,11 +85,11 @@
             busy: target.busy(),
             slots: target.slots,
             limit: target.limit,
-            ratio: target.health.ratio,
+            latency_ratio: target.health.ratio,
             leaving: !target.hopeful(now),
             ejected: target.health.ejected(),
             down: target.health.down(now),
-            held: target.held,
+            isolated: target.held,
         }
     }
 }
--- a/crates/admit/src/quarantine/mod.rs
+++ b/crates/admit/src/quarantine/mod.rs
@@ -10,7 +10,7 @@
 //! began after the first was known: when a whole failure domain dies at once, all its targets die
 //! under popular requests, and none of that is evidence.
 //!
-//! Hosts pass [`Word`]s on, so that a resend through another host meets the same record. A word is
+//! Hosts pass [`QuarantineUpdate`]s on, so that a resend through another host meets the same record. A word is
 //! idempotent, and each ends by itself: a request that was convicted wrongly, or whose cause has
 //! been mended, is let in again after half an hour.
 
@@ -28,7 +28,7 @@
 
 /// How sure the evidence is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Grade {
+pub enum QuarantineStatus {
     /// It ran on a target that died. It runs alone until it has succeeded once.
     Suspect,
     /// Two targets died under it, the second while it ran alone. It is refused.
@@ -37,13 +37,13 @@
 
 /// What hosts tell each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Word {
+pub struct QuarantineUpdate {
     /// Hash of the request.
     pub fingerprint: u64,
     /// How sure the evidence is.
-    pub grade: Grade,
+    pub status: QuarantineStatus,
     /// Time for which the word holds, from its receipt.
-    pub life: Duration,
+    pub ttl: Duration,
 }
 
 /// A run that was on a target when it died.
@@ -57,7 +57,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Record {
-    grade: Grade,
+    grade: QuarantineStatus,
     /// When the death that made it a suspect became known here.
     since: Duration,
     expiry: Duration,
@@ -69,7 +69,7 @@
 ///
 /// ```
 /// use {
-///     dunlinrock_admit::{Grade, Quarantine, Victim},
+///     dunlinrock_admit::{QuarantineStatus, Quarantine, Victim},
 ///     std::time::Duration,
 /// };
 ///
@@ -77,14 +77,14 @@
 /// let mut q = Quarantine::open();
 /// q.death(&[Victim { fingerprint: 7, since: at(0) }, Victim { fingerprint: 8, since: at(0) }], at(1));
 /// q.ran(8);
-/// assert_eq!(q.grade(8, at(2)), None);
+/// assert_eq!(q.status(8, at(2)), None);
 /// q.death(&[Victim { fingerprint: 7, since: at(2) }], at(3));
-/// assert_eq!(q.grade(7, at(3)), Some(Grade::Convict));
+/// assert_eq!(q.status(7, at(3)), Some(QuarantineStatus::Convict));
 /// ```
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: BTreeMap<u64, Record>,
-    words: Vec<Word>,
+    words: Vec<QuarantineUpdate>,
 }
 
 impl Quarantine {
@@ -94,7 +94,7 @@
     }
 
     /// What is held against a request.
-    pub fn grade(&self, fingerprint: u64, now: Duration) -> Option<Grade> {
+    pub fn status(&self, fingerprint: u64, now: Duration) -> Option<QuarantineStatus> {
         let r = self.records.get(&fingerprint)?;
         (now < r.expiry).then_some(r.grade)
     }
@@ -110,16 +110,17 @@
         let alone = victims.len() == 1;
         for v in victims {
             let again = self.records.get(&v.fingerprint).is_some_and(|r| {
-                now < r.expiry && (r.grade == Grade::Convict || (alone && v.since >= r.since))
+                now < r.expiry
+                    && (r.grade == QuarantineStatus::Convict || (alone && v.since >= r.since))
             });
-            let (grade, life) = match again {
-                true => (Grade::Convict, CONVICT_LIFE),
-                false => (Grade::Suspect, SUSPECT_LIFE),
+            let (status, ttl) = match again {
+                true => (QuarantineStatus::Convict, CONVICT_LIFE),
+                false => (QuarantineStatus::Suspect, SUSPECT_LIFE),
             };
-            let word = Word {
+            let word = QuarantineUpdate {
                 fingerprint: v.fingerprint,
-                grade,
-                life,
+                status,
+                ttl,
             };
             if self.note(word, now) && self.words.len() < RECORDS {
                 self.words.push(word);
@@ -132,35 +133,35 @@
         if self
             .records
             .get(&fingerprint)
-            .is_some_and(|r| r.grade == Grade::Suspect)
+            .is_some_and(|r| r.grade == QuarantineStatus::Suspect)
         {
             self.records.remove(&fingerprint);
         }
     }
 
     /// Takes a peer's word.
-    pub fn hear(&mut self, word: Word, now: Duration) {
+    pub fn apply_update(&mut self, word: QuarantineUpdate, now: Duration) {
         self.note(word, now);
     }
 
     /// Words for the peers since the last call.
-    pub fn words(&mut self) -> Vec<Word> {
+    pub fn take_updates(&mut self) -> Vec<QuarantineUpdate> {
         std::mem::take(&mut self.words)
     }
 
     /// All that holds, for a peer that is new.
-    pub fn all(&self, now: Duration) -> Vec<Word> {
+    pub fn all(&self, now: Duration) -> Vec<QuarantineUpdate> {
         let list = self.records.iter().filter(|(_, r)| now < r.expiry);
-        list.map(|(f, r)| Word {
+        list.map(|(f, r)| QuarantineUpdate {
             fingerprint: *f,
-            grade: r.grade,
-            life: r.expiry - now,
+            status: r.grade,
+            ttl: r.expiry - now,
         })
         .collect()
     }
 
     /// Number of records of a grade.
-    pub fn count(&self, grade: Grade, now: Duration) -> usize {
+    pub fn count(&self, grade: QuarantineStatus, now: Duration) -> usize {
         self.records
             .values()
             .filter(|r| r.grade == grade && now < r.expiry)
@@ -168,20 +169,20 @@
     }
 
     /// True if this says more than was known.
-    fn note(&mut self, word: Word, now: Duration) -> bool {
-        let life = word.life.min(match word.grade {
-            Grade::Suspect => SUSPECT_LIFE,
-            Grade::Convict => CONVICT_LIFE,
+    fn note(&mut self, word: QuarantineUpdate, now: Duration) -> bool {
+        let life = word.ttl.min(match word.status {
+            QuarantineStatus::Suspect => SUSPECT_LIFE,
+            QuarantineStatus::Convict => CONVICT_LIFE,
         });
         let known = self
             .records
             .get(&word.fingerprint)
             .filter(|r| now < r.expiry);
-        if known.is_some_and(|r| r.grade >= word.grade) {
+        if known.is_some_and(|r| r.grade >= word.status) {
             return false;
         }
         let record = Record {
-            grade: word.grade,
+            grade: word.status,
             since: now,
             expiry: now + life,
         };
--- a/crates/admit/src/room/mod.rs
+++ b/crates/admit/src/room/mod.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use crate::{PoolRules, work::Class};
+use crate::{PoolConfig, work::Class};
 
 /// Time over which short work is averaged.
 const WINDOW: f64 = 5.0;
@@ -55,7 +55,7 @@
 
 impl Room {
     /// Divides `slots`, given the average need of short work.
-    pub(crate) fn divide(slots: u32, rules: &PoolRules, need: f64, busy: [u32; 2]) -> Self {
+    pub(crate) fn divide(slots: u32, rules: &PoolConfig, need: f64, busy: [u32; 2]) -> Self {
         let most = slots.saturating_sub(1);
         let share = ((f64::from(slots) * rules.short_share).ceil() as u32).min(most);
         let reserve = if need < LEAST {
--- a/crates/admit/src/target/limit.rs
+++ b/crates/admit/src/target/limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::{PoolRules, Report};
+use crate::{LoadReport, PoolConfig};
 
 /// How long a target's word that it leaves holds, should its later reports be lost.
 const LEAVE_LIFE: Duration = Duration::from_secs(60);
@@ -97,10 +97,10 @@
     /// Takes a report; true if it says for the first time in a while that the caches are cold.
     pub(crate) fn report(
         &mut self,
-        report: Report,
+        report: LoadReport,
         slots: u32,
         busy: u32,
-        rules: &PoolRules,
+        rules: &PoolConfig,
         now: Duration,
     ) -> bool {
         match self.leaving {
@@ -137,7 +137,7 @@
 
     /// Slots that may be used at `now`; at least one, as none of these caps means that the target
     /// is out of use.
-    pub(crate) fn allowed(&self, slots: u32, rules: &PoolRules, now: Duration) -> u32 {
+    pub(crate) fn allowed(&self, slots: u32, rules: &PoolConfig, now: Duration) -> u32 {
         let mut n = slots;
         for cap in [self.reported, self.shed] {
             if now < cap.until {
@@ -150,7 +150,12 @@
         n.max(1).min(slots)
     }
 
-    pub(crate) fn changes(&self, slots: u32, rules: &PoolRules, now: Duration) -> Option<Duration> {
+    pub(crate) fn changes(
+        &self,
+        slots: u32,
+        rules: &PoolConfig,
+        now: Duration,
+    ) -> Option<Duration> {
         let ends = [self.reported.until, self.shed.until].into_iter();
         let left = self.leaving.map(|at| at + LEAVE_LIFE);
         let step = self.ramp.map(|at| {
--- a/crates/admit/src/target/mod.rs
+++ b/crates/admit/src/target/mod.rs
@@ -13,7 +13,7 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
-    PoolRules, Report, TargetSpec,
+    LoadReport, PoolConfig, TargetSpec,
     target::{health::Health, limit::Limits},
 };
 
@@ -86,7 +86,7 @@
     }
 
     /// Slots that may be used at `now`.
-    fn allowed(&self, rules: &PoolRules, now: Duration) -> u32 {
+    fn allowed(&self, rules: &PoolConfig, now: Duration) -> u32 {
         if !self.hopeful(now) {
             return 0;
         }
@@ -95,7 +95,7 @@
     }
 
     /// The next time at which `allowed` may change by itself.
-    fn changes(&self, rules: &PoolRules, now: Duration) -> Option<Duration> {
+    fn changes(&self, rules: &PoolConfig, now: Duration) -> Option<Duration> {
         [
             self.limits.changes(self.slots, rules, now),
             self.health.changes(now),
@@ -106,13 +106,13 @@
     }
 
     /// It is slow or fails. A target that warms up is given twice the time.
-    fn bad(&self, rules: &PoolRules, norm: f64, now: Duration) -> bool {
+    fn bad(&self, rules: &PoolConfig, norm: f64, now: Duration) -> bool {
         let warms = self.limits.ramping(rules.ramp, now);
         let slow = if warms { 2.0 * rules.slow } else { rules.slow };
         self.health.bad(slow, norm)
     }
 
-    fn take_report(&mut self, report: Report, rules: &PoolRules, now: Duration) {
+    fn take_report(&mut self, report: LoadReport, rules: &PoolConfig, now: Duration) {
         let busy = self.busy();
         if self.limits.report(report, self.slots, busy, rules, now) {
             // That it was slow has been explained: it warms only if it is given work.
--- a/crates/admit/src/target/set.rs
+++ b/crates/admit/src/target/set.rs
@@ -2,7 +2,7 @@
 
 use std::{cmp::Ordering, sync::Arc, time::Duration};
 
-use crate::{Outcome, PoolRules, Report, TargetSpec, target::Target};
+use crate::{LoadReport, Outcome, PoolConfig, TargetSpec, target::Target};
 
 /// Ejections are limited to one target in this many. Above that the fault is likely to be shared,
 /// and the rest of the pool could not carry the load.
@@ -110,7 +110,7 @@
     }
 
     /// Brings the limits up to date.
-    pub(crate) fn refresh(&mut self, rules: &PoolRules, now: Duration) {
+    pub(crate) fn refresh(&mut self, rules: &PoolConfig, now: Duration) {
         if !self.stale && self.until.is_none_or(|t| now < t) {
             return;
         }
@@ -130,7 +130,7 @@
     }
 
     /// Ejects slow targets, or keeps them as a last resort.
-    fn judge(&mut self, rules: &PoolRules, now: Duration) {
+    fn judge(&mut self, rules: &PoolConfig, now: Duration) {
         self.norm = self.median(now);
         let usable = self.list.iter().filter(|t| t.hopeful(now)).count();
         let most = usable / EJECT_PART;
@@ -194,7 +194,7 @@
             .any(|t| t.hopeful(now) && !tried.contains(&t.name))
     }
 
-    pub(crate) fn start(&mut self, at: usize, ticket: u64, rules: &PoolRules, now: Duration) {
+    pub(crate) fn start(&mut self, at: usize, ticket: u64, rules: &PoolConfig, now: Duration) {
         let t = &mut self.list[at];
         t.health.started(rules.eject, now);
         t.running.push(ticket);
@@ -202,7 +202,13 @@
         t.limits.note(busy, now);
     }
 
-    pub(crate) fn report(&mut self, name: &str, report: Report, rules: &PoolRules, now: Duration) {
+    pub(crate) fn report(
+        &mut self,
+        name: &str,
+        report: LoadReport,
+        rules: &PoolConfig,
+        now: Duration,
+    ) {
         if let Some(t) = self.list.iter_mut().find(|t| &*t.name == name) {
             t.take_report(report, rules, now);
             self.stale = true;
@@ -217,7 +223,7 @@
 
     /// Frees the slot of a run. True if its time is usual for the pool, so that it may count in
     /// the estimate of its kind: a slow target's times must not.
-    pub(crate) fn finish(&mut self, end: &Finished, rules: &PoolRules, now: Duration) -> bool {
+    pub(crate) fn finish(&mut self, end: &Finished, rules: &PoolConfig, now: Duration) -> bool {
         let norm = self.norm;
         let t = &mut self.list[end.target];
         t.running.retain(|x| *x != end.ticket);
--- a/crates/node/src/dump/mod.rs
+++ b/crates/node/src/dump/mod.rs
@@ -49,8 +49,8 @@
         "control": control,
         "words": view.words.iter().map(|word| json!({
             "fingerprint": format!("{:016x}", word.fingerprint),
-            "grade": format!("{:?}", word.grade).to_lowercase(),
-            "life_ms": millis(word.life),
+            "grade": format!("{:?}", word.status).to_lowercase(),
+            "life_ms": millis(word.ttl),
         })).collect::<Vec<_>>(),
         "counts": COUNTS
             .iter()
@@ -103,7 +103,7 @@
         "reserve": state.reserve,
         "retry_budget": state.budget,
         "suspects": state.suspects,
-        "convicts": state.convicts,
+        "convicts": state.quarantined,
         "targets": state.targets.iter().map(target).collect::<Vec<_>>(),
     })
 }
@@ -114,11 +114,11 @@
         "busy": target.busy,
         "slots": target.slots,
         "limit": target.limit,
-        "ratio": target.ratio,
+        "ratio": target.latency_ratio,
         "leaving": target.leaving,
         "ejected": target.ejected,
         "down": target.down,
-        "held": target.held,
+        "held": target.isolated,
     })
 }
 
@@ -127,7 +127,7 @@
         "queued": load.queued,
         "busy": load.busy,
         "slots": load.slots,
-        "wait_us": u64::try_from(load.wait.as_micros()).unwrap_or(u64::MAX),
+        "wait_us": u64::try_from(load.queue_delay.as_micros()).unwrap_or(u64::MAX),
     })
 }
 
--- a/crates/node/src/duties/control/publish.rs
+++ b/crates/node/src/duties/control/publish.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use dunlinrock_decide::admit::Word;
+use dunlinrock_decide::admit::QuarantineUpdate;
 use dunlinrock_schema::config::Target;
 
 use super::{following::InForce, routes, steering::Steering};
@@ -18,7 +18,7 @@
     pub members: &'a BTreeMap<Arc<str>, Arc<Member>>,
     pub steering: &'a Steering,
     pub reports: &'a [PoolReport],
-    pub words: Vec<Word>,
+    pub words: Vec<QuarantineUpdate>,
     pub ready: bool,
     /// Whether this host may take work up; see the membership.
     pub caught_up: bool,
--- a/crates/node/src/duties/control/routes.rs
+++ b/crates/node/src/duties/control/routes.rs
@@ -15,7 +15,7 @@
 
 use dunlinrock_config::goal::{drained, link};
 use dunlinrock_coord::rendezvous;
-use dunlinrock_decide::admit::{Load, PoolRules, TargetSpec, Word};
+use dunlinrock_decide::admit::{Load, PoolConfig, QuarantineUpdate, TargetSpec};
 use dunlinrock_schema::config::{Config, Service, Target};
 
 use crate::{
@@ -152,7 +152,7 @@
     pub(super) fn plans(
         &self,
         routes: &BTreeMap<Arc<PoolId>, Arc<PoolRoute>>,
-        words: &[Word],
+        words: &[QuarantineUpdate],
     ) -> Vec<PoolPlan> {
         let mut plans = Vec::new();
         for (id, targets) in self.pools {
@@ -190,13 +190,13 @@
     }
 }
 
-fn pool_rules(service: &Service) -> PoolRules {
-    PoolRules {
-        queue: usize::try_from(service.queue).unwrap_or(usize::MAX),
-        patience: Duration::from_millis(service.queue_ms),
-        short: Duration::from_millis(service.short_ms),
+fn pool_rules(service: &Service) -> PoolConfig {
+    PoolConfig {
+        max_queued: usize::try_from(service.queue).unwrap_or(usize::MAX),
+        max_wait: Duration::from_millis(service.queue_ms),
+        short_max: Duration::from_millis(service.short_ms),
         short_share: service.short_slots,
-        ..PoolRules::default()
+        ..PoolConfig::default()
     }
 }
 
--- a/crates/node/src/duties/control/state.rs
+++ b/crates/node/src/duties/control/state.rs
@@ -14,7 +14,7 @@
     pieces::Hash,
     relay, wire as coord_wire,
 };
-use dunlinrock_decide::admit::Word;
+use dunlinrock_decide::admit::QuarantineUpdate;
 use dunlinrock_schema::{
     coord::{Facts, Message, PieceGive, RootAsk},
     peer::SteerAsk,
@@ -64,7 +64,7 @@
     members: BTreeMap<Arc<str>, Arc<Member>>,
     reports: Vec<PoolReport>,
     /// Requests that kill their targets, with the time until which that holds.
-    words: BTreeMap<u64, (Word, Duration)>,
+    words: BTreeMap<u64, (QuarantineUpdate, Duration)>,
     /// Hosts that wait for shares and room until the next tick.
     waiting: Vec<(SteerAsk, oneshot::Sender<Reply>)>,
     leave: Option<Leave>,
@@ -383,7 +383,7 @@
 
     fn pools(&mut self, reports: Vec<PoolReport>) {
         let now = self.shared.now();
-        let words: Vec<Word> = reports
+        let words: Vec<QuarantineUpdate> = reports
             .iter()
             .flat_map(|report| report.words.clone())
             .collect();
@@ -395,16 +395,15 @@
     }
 
     /// Keeps words that say more than what was known, and passes them to the pools; which.
-    fn hear_words(&mut self, words: &[Word], now: Duration) -> Vec<Word> {
+    fn hear_words(&mut self, words: &[QuarantineUpdate], now: Duration) -> Vec<QuarantineUpdate> {
         let mut fresh = Vec::new();
         for word in words {
             let known = self
                 .words
                 .get(&word.fingerprint)
                 .filter(|(_, end)| *end > now);
-            if known.is_none_or(|(known, _)| known.grade < word.grade) {
-                self.words
-                    .insert(word.fingerprint, (*word, now + word.life));
+            if known.is_none_or(|(known, _)| known.status < word.status) {
+                self.words.insert(word.fingerprint, (*word, now + word.ttl));
                 fresh.push(*word);
             }
         }
--- a/crates/node/src/duties/control/words.rs
+++ b/crates/node/src/duties/control/words.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use dunlinrock_decide::admit::{Grade, Word};
+use dunlinrock_decide::admit::{QuarantineStatus, QuarantineUpdate};
 use dunlinrock_schema::coord::{Quarantine, QuarantineKind};
 
 use crate::clock::millis;
@@ -12,32 +12,32 @@
 /// Before the fingerprint of a request that is refused.
 const CONVICT: &str = "convict:";
 
-pub(super) fn write(word: &Word) -> Quarantine {
-    let grade = match word.grade {
-        Grade::Suspect => SUSPECT,
-        Grade::Convict => CONVICT,
+pub(super) fn write(word: &QuarantineUpdate) -> Quarantine {
+    let grade = match word.status {
+        QuarantineStatus::Suspect => SUSPECT,
+        QuarantineStatus::Convict => CONVICT,
     };
     Quarantine {
         kind: QuarantineKind::Request,
         id: format!("{grade}{:016x}", word.fingerprint).into(),
-        ttl_ms: millis(word.life),
+        ttl_ms: millis(word.ttl),
     }
 }
 
 /// Reads a word; none where it is about something else, or of a kind that this host does not know.
-pub(super) fn read(quarantine: &Quarantine) -> Option<Word> {
+pub(super) fn read(quarantine: &Quarantine) -> Option<QuarantineUpdate> {
     if quarantine.kind != QuarantineKind::Request {
         return None;
     }
     let id: &Arc<str> = &quarantine.id;
-    let (grade, hash) = match (id.strip_prefix(SUSPECT), id.strip_prefix(CONVICT)) {
-        (Some(hash), _) => (Grade::Suspect, hash),
-        (_, Some(hash)) => (Grade::Convict, hash),
+    let (status, hash) = match (id.strip_prefix(SUSPECT), id.strip_prefix(CONVICT)) {
+        (Some(hash), _) => (QuarantineStatus::Suspect, hash),
+        (_, Some(hash)) => (QuarantineStatus::Convict, hash),
         _ => return None,
     };
-    Some(Word {
+    Some(QuarantineUpdate {
         fingerprint: u64::from_str_radix(hash, 16).ok()?,
-        grade,
-        life: Duration::from_millis(quarantine.ttl_ms),
+        status,
+        ttl: Duration::from_millis(quarantine.ttl_ms),
     })
 }
--- a/crates/node/src/duties/pools/input.rs
+++ b/crates/node/src/duties/pools/input.rs
@@ -2,7 +2,9 @@
 
 use std::{sync::Arc, time::Duration};
 
-use dunlinrock_decide::admit::{Ending, Load, Offer, Outcome, PoolState, Refusal, Report, Word};
+use dunlinrock_decide::admit::{
+    Completion, Load, LoadReport, Offer, Outcome, PoolState, QuarantineUpdate, RefusalReason,
+};
 use tokio::sync::{mpsc, oneshot};
 
 use super::{PoolId, PoolPlan};
@@ -32,7 +34,7 @@
         /// How it ended.
         outcome: Outcome,
         /// The target's word about its own load, where its answer brought one.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// A holder is gone: its request leaves the queue, its runs have been aborted. Full ring:
     /// delivered later.
@@ -43,7 +45,7 @@
         ticket: u64,
     },
     /// Words of other hosts about requests that kill their targets. Full ring: delivered later.
-    Hear(Vec<Word>),
+    Hear(Vec<QuarantineUpdate>),
     /// Asks for the state of every pool. Full ring: the asker goes without.
     Ask(oneshot::Sender<Vec<PoolReport>>),
     /// Looks at what is due.
@@ -60,11 +62,11 @@
     /// Drop the run at this target.
     Abort(Arc<str>),
     /// What a run's end means for the request.
-    Ended(Ending),
+    Ended(Completion),
     /// The request is turned away.
     Refused {
         /// Why.
-        reason: Refusal,
+        reason: RefusalReason,
         /// When a new try may help.
         retry_after: Duration,
         /// Whether an earlier run of it may have had an effect.
@@ -102,7 +104,7 @@
     /// All of it.
     pub state: PoolState,
     /// Words about requests that kill their targets, all that hold.
-    pub words: Vec<Word>,
+    pub words: Vec<QuarantineUpdate>,
     /// Whether it is only kept until its last run ends.
     pub released: bool,
 }
--- a/crates/node/src/duties/pools/owned.rs
+++ b/crates/node/src/duties/pools/owned.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, mem, sync::Arc, time::Duration};
 
 use dunlinrock_decide::admit::{
-    Action, Cancelled, Ending, Offer, Outcome, Pool, Report, Verdict, Word,
+    Action, Cancelled, Completion, Decision, LoadReport, Offer, Outcome, Pool, QuarantineUpdate,
 };
 
 use super::{Event, Events, PoolId, PoolPlan, PoolReport};
@@ -31,7 +31,7 @@
     pub(super) fn open(plan: &PoolPlan, now: Duration) -> Owned {
         let mut pool = Pool::open(plan.rules.clone(), &plan.targets, now);
         for word in &plan.words {
-            pool.hear(*word, now);
+            pool.apply_update(*word, now);
         }
         Owned {
             pool,
@@ -57,7 +57,7 @@
         let waiting: BTreeMap<u64, Holder> = wait;
         for (ticket, holder) in waiting {
             let event = match self.pool.cancel(ticket, now) {
-                Cancelled::Queued { ran: true } => Event::Ended(Ending::Final { ran: true }),
+                Cancelled::Queued { ran: true } => Event::Ended(Completion::Final { ran: true }),
                 _ => Event::NotOwner,
             };
             holder.events.tell(event);
@@ -80,11 +80,11 @@
         }
         let ticket = offer.ticket;
         match self.pool.offer(offer, now) {
-            Verdict::Start { target } => {
+            Decision::Start { target } => {
                 events.tell(Event::Start(target));
                 self.holders.insert(ticket, Holder { events, runs: true });
             }
-            Verdict::Queued => {
+            Decision::Queued => {
                 self.holders.insert(
                     ticket,
                     Holder {
@@ -93,7 +93,7 @@
                     },
                 );
             }
-            Verdict::Refused {
+            Decision::Refused {
                 reason,
                 retry_after,
             } => {
@@ -111,7 +111,7 @@
         &mut self,
         ticket: u64,
         target: &str,
-        (outcome, report): (Outcome, Option<Report>),
+        (outcome, report): (Outcome, Option<LoadReport>),
         now: Duration,
     ) {
         if let Some(report) = report {
@@ -119,18 +119,18 @@
         }
         let ending = self.pool.finish(ticket, target, outcome, now);
         match ending {
-            Ending::Final { .. } => {
+            Completion::Final { .. } => {
                 if let Some(holder) = self.holders.remove(&ticket) {
                     holder.events.tell(Event::Ended(ending));
                 }
             }
-            Ending::Again | Ending::Other => {
+            Completion::Retry | Completion::Pending => {
                 if let Some(holder) = self.holders.get_mut(&ticket) {
-                    holder.runs = ending == Ending::Other;
+                    holder.runs = ending == Completion::Pending;
                     holder.events.tell(Event::Ended(ending));
                 }
             }
-            Ending::Stale => {}
+            Completion::Stale => {}
         }
         self.poll(now);
     }
@@ -146,9 +146,9 @@
         self.poll(now);
     }
 
-    pub(super) fn hear(&mut self, words: &[Word], now: Duration) {
+    pub(super) fn hear(&mut self, words: &[QuarantineUpdate], now: Duration) {
         for word in words {
-            self.pool.hear(*word, now);
+            self.pool.apply_update(*word, now);
         }
         self.poll(now);
     }
@@ -160,7 +160,7 @@
             state: self.pool.state(now),
             // All that hold, whoever asks: the control duty tells what is new to it, and a dump must
             // not take a word away before other hosts have heard of it.
-            words: self.pool.all_words(now),
+            words: self.pool.all_updates(now),
             released: self.released,
         }
     }
--- a/crates/node/src/duties/pools/plan.rs
+++ b/crates/node/src/duties/pools/plan.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use dunlinrock_decide::admit::{PoolRules, TargetSpec, Word};
+use dunlinrock_decide::admit::{PoolConfig, QuarantineUpdate, TargetSpec};
 
 /// Names a pool: the targets of one service in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,9 +19,9 @@
     /// Which pool.
     pub id: Arc<PoolId>,
     /// Its rules.
-    pub rules: PoolRules,
+    pub rules: PoolConfig,
     /// Its targets.
     pub targets: Vec<TargetSpec>,
     /// Requests known to kill their targets, for a pool that is new here.
-    pub words: Vec<Word>,
+    pub words: Vec<QuarantineUpdate>,
 }
--- a/crates/node/src/run/dispatch.rs
+++ b/crates/node/src/run/dispatch.rs
@@ -6,7 +6,7 @@
 };
 
 use dunlinrock_decide::{
-    admit::{Candidate, choose},
+    admit::{PoolCandidate, choose_pool},
     steer::{Reason, Refusal, Shortage, spill::free},
 };
 use dunlinrock_schema::api::Run;
@@ -224,14 +224,14 @@
         .filter(|r| r.owner.is_some() && !tried.contains(&r.id))
         .collect();
     let now = shared.now();
-    let candidates: Vec<Candidate> = left.iter().map(|route| candidate(route, now)).collect();
-    let at = choose(&candidates, rand::random())?;
+    let candidates: Vec<PoolCandidate> = left.iter().map(|route| candidate(route, now)).collect();
+    let at = choose_pool(&candidates, rand::random())?;
     left.get(at).map(|route| Arc::clone(route))
 }
 
-fn candidate(route: &PoolRoute, now: Duration) -> Candidate {
+fn candidate(route: &PoolRoute, now: Duration) -> PoolCandidate {
     let heard = route.heard();
-    Candidate {
+    PoolCandidate {
         load: heard.load,
         age: now.saturating_sub(heard.at),
         delay: route.delay,
--- a/crates/node/src/run/forward.rs
+++ b/crates/node/src/run/forward.rs
@@ -214,8 +214,8 @@
         queued: load.queued,
         busy: load.busy,
         slots: load.slots,
-        wait_us: micros(load.wait),
-        turn_us: micros(load.turn),
+        wait_us: micros(load.queue_delay),
+        turn_us: micros(load.slot_interval),
     }
 }
 
@@ -224,8 +224,8 @@
         queued: load.queued,
         busy: load.busy,
         slots: load.slots,
-        wait: Duration::from_micros(load.wait_us),
-        turn: Duration::from_micros(load.turn_us),
+        queue_delay: Duration::from_micros(load.wait_us),
+        slot_interval: Duration::from_micros(load.turn_us),
     }
 }
 
--- a/crates/node/src/run/holder.rs
+++ b/crates/node/src/run/holder.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use dunlinrock_decide::admit::{Ending, Offer, Outcome, Refusal, Report};
+use dunlinrock_decide::admit::{Completion, LoadReport, Offer, Outcome, RefusalReason};
 use futures::{FutureExt, StreamExt, future::BoxFuture, stream::FuturesUnordered};
 use tokio::time::{Instant, sleep_until};
 
@@ -51,7 +51,7 @@
 }
 
 impl Ticket<'_> {
-    fn finish(&self, target: &Arc<str>, outcome: Outcome, report: Option<Report>) {
+    fn finish(&self, target: &Arc<str>, outcome: Outcome, report: Option<LoadReport>) {
         self.shared.pools.deliver(Input::Finish {
             pool: Arc::clone(&self.pool),
             ticket: self.number,
@@ -116,7 +116,7 @@
                     runs.push(start(links, route, call, name));
                 }
                 Some(Event::Abort(name)) => running.retain(|other| *other != name),
-                Some(Event::Ended(Ending::Final { ran })) => {
+                Some(Event::Ended(Completion::Final { ran })) => {
                     ticket.open = false;
                     return ended(last, ran);
                 }
@@ -204,10 +204,10 @@
     Held::Trouble(Trouble::unknown(kind, last.detail))
 }
 
-fn refused(reason: Refusal, retry_after: Duration, ran: bool) -> Trouble {
+fn refused(reason: RefusalReason, retry_after: Duration, ran: bool) -> Trouble {
     let kind = match reason {
-        Refusal::Quarantined => Kind::Quarantined,
-        Refusal::NoTarget => Kind::Unavailable,
+        RefusalReason::Quarantined => Kind::Quarantined,
+        RefusalReason::NoTarget => Kind::Unavailable,
         _ => Kind::Overloaded,
     };
     let trouble = match ran {
--- a/crates/node/src/run/target.rs
+++ b/crates/node/src/run/target.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use dunlinrock_decide::admit::{Outcome, Report};
+use dunlinrock_decide::admit::{LoadReport, Outcome};
 use http_body_util::Full;
 use hyper::{HeaderMap, Request, StatusCode, header::HeaderValue};
 use tokio::{net::TcpStream, time::Instant};
@@ -30,7 +30,7 @@
     /// What went wrong, where something did.
     pub detail: String,
     /// The target's word about its load.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// Time from its start to its end.
     pub time: Duration,
 }
@@ -123,14 +123,14 @@
 
 /// Reads `busy/slots;leaving;cold`, as targets put it into their answers. A field that does not
 /// read so is passed over: the host's own counts are exact without it.
-pub(crate) fn load_report(headers: &HeaderMap) -> Option<Report> {
+pub(crate) fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
     let text = headers.get(wire::TARGET_LOAD)?.to_str().ok()?;
     let mut parts = text.split(';');
     let (busy, slots) = parts.next()?.split_once('/')?;
-    let mut report = Report {
+    let mut report = LoadReport {
         busy: busy.trim().parse().ok()?,
         slots: slots.trim().parse().ok()?,
-        ..Report::default()
+        ..LoadReport::default()
     };
     for flag in parts {
         match flag.trim() {
--- a/crates/node/src/view/mod.rs
+++ b/crates/node/src/view/mod.rs
@@ -10,7 +10,7 @@
 use std::{collections::BTreeMap, net::IpAddr, sync::Arc};
 
 use dunlinrock_decide::{
-    admit::Word,
+    admit::QuarantineUpdate,
     steer::{Blocks, Shares},
 };
 use dunlinrock_schema::config::{Config, Service};
@@ -50,7 +50,7 @@
     /// Client blocks and their regions.
     pub blocks: Arc<Blocks>,
     /// Requests known to kill their targets.
-    pub words: Arc<Vec<Word>>,
+    pub words: Arc<Vec<QuarantineUpdate>>,
 }
 
 impl View {
