--- a/crates/admit/src/direct/budget.rs
+++ b/crates/admit/src/direct/budget.rs
@@ -30,7 +30,7 @@
 
 /// The bound for all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetRules {
+pub struct RetryLimits {
     /// Second runs for each first run.
     pub ratio: f64,
     /// Second runs in a window beyond the ratio.
@@ -57,39 +57,39 @@
 
 /// First and second runs of one service in the last window, at one host.
 #[derive(Clone, Debug, Default)]
-pub struct SharedBudget {
+pub struct RetryBudget {
     /// When the host started, if another process may have spent its part before.
     since: Option<Duration>,
     /// Oldest first.
     slices: VecDeque<Slice>,
 }
 
-impl SharedBudget {
+impl RetryBudget {
     /// Opens a budget of which nothing was spent.
-    pub fn open() -> SharedBudget {
-        SharedBudget::default()
+    pub fn open() -> RetryBudget {
+        RetryBudget::default()
     }
 
     /// Opens the budget of a host that started at `since`, and may be the successor of one that was
     /// killed.
-    pub fn resume(since: Duration) -> SharedBudget {
-        SharedBudget {
+    pub fn open_restarted(since: Duration) -> RetryBudget {
+        RetryBudget {
             since: Some(since),
-            ..SharedBudget::default()
+            ..RetryBudget::default()
         }
     }
 
     /// Notes a request that a caller sent.
-    pub fn first(&mut self, rules: &BudgetRules, now: Duration) {
+    pub fn record_request(&mut self, rules: &RetryLimits, now: Duration) {
         self.slice(rules, now).first += 1;
     }
 
     /// Takes a second run for a request of `rank` if this host's part has one left, and the more urgent
     /// have not asked for it lately. `hosts` is the number of hosts that share the slack; `draw` is even
     /// in 0 to 1.
-    pub fn second(
+    pub fn try_retry(
         &mut self,
-        rules: &BudgetRules,
+        rules: &RetryLimits,
         hosts: usize,
         rank: u8,
         draw: f64,
@@ -111,7 +111,7 @@
     }
 
     /// Second runs in the window that this host's part allows.
-    fn most(&self, rules: &BudgetRules, hosts: usize, now: Duration) -> f64 {
+    fn most(&self, rules: &RetryLimits, hosts: usize, now: Duration) -> f64 {
         let first: u32 = self.slices.iter().map(|s| s.first).sum();
         let slack = rules.slack / hosts.max(1) as f64;
         let ratio = f64::from(first) * rules.ratio;
@@ -131,18 +131,18 @@
 
     /// Time that a host has lived which may succeed a killed one, while what that one spent may still
     /// be in the window.
-    fn fresh_for(&self, rules: &BudgetRules, now: Duration) -> Option<Duration> {
+    fn fresh_for(&self, rules: &RetryLimits, now: Duration) -> Option<Duration> {
         let lived = now.saturating_sub(self.since?);
         (lived < rules.window).then_some(lived)
     }
 
     /// What the slice of `now` holds of a rank.
-    fn of_rank(&mut self, rules: &BudgetRules, rank: u8, now: Duration) -> &mut Repeats {
+    fn of_rank(&mut self, rules: &RetryLimits, rank: u8, now: Duration) -> &mut Repeats {
         self.slice(rules, now).repeats.entry(rank).or_default()
     }
 
     /// The slice of `now`; those that left the window go.
-    fn slice(&mut self, rules: &BudgetRules, now: Duration) -> &mut Slice {
+    fn slice(&mut self, rules: &RetryLimits, now: Duration) -> &mut Slice {
         let length = rules.window / SLICES;
         while self
             .slices
--- a/crates/admit/src/direct/bytes.rs
+++ b/crates/admit/src/direct/bytes.rs
@@ -11,22 +11,22 @@
 
 /// Bytes of bodies held, and how many may be.
 #[derive(Clone, Debug)]
-pub struct BodyBytes {
+pub struct BodyBudget {
     most: u64,
     held: u64,
 }
 
-impl BodyBytes {
+impl BodyBudget {
     /// Opens the budget of a process with `memory` bytes, none of them taken.
-    pub fn open(memory: u64) -> BodyBytes {
-        BodyBytes {
+    pub fn open(memory: u64) -> BodyBudget {
+        BodyBudget {
             most: (memory as f64 * PART) as u64,
             held: 0,
         }
     }
 
     /// Takes room for a body. A single body always has room: refused, it would be refused for ever.
-    pub fn take(&mut self, bytes: u64) -> bool {
+    pub fn try_reserve(&mut self, bytes: u64) -> bool {
         if self.held > 0 && self.held + bytes > self.most {
             return false;
         }
@@ -35,12 +35,12 @@
     }
 
     /// Gives room back that was taken.
-    pub fn give(&mut self, bytes: u64) {
+    pub fn release(&mut self, bytes: u64) {
         self.held = self.held.saturating_sub(bytes);
     }
 
     /// Bytes held.
-    pub fn held(&self) -> u64 {
+    pub fn used(&self) -> u64 {
         self.held
     }
 }
--- a/crates/admit/src/direct/cold.rs
+++ b/crates/admit/src/direct/cold.rs
@@ -12,7 +12,7 @@
 
 /// What a cold target bears from all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdRules {
+pub struct ColdStartLimits {
     /// Requests a second that it tolerates.
     pub rate: f64,
     /// How far above that rate still counts as tolerated.
@@ -25,14 +25,14 @@
 /// and until then the parts of all add up to more.
 const SPENT: f64 = 0.8;
 
-impl ColdRules {
+impl ColdStartLimits {
     /// Requests a second that one host may send to a target.
     ///
     /// Where the bound has a request or more for each host, each gets the same. Where it has fewer,
     /// one each goes to as many hosts as it has requests, chosen by hash, so that all hosts name the
     /// same ones. A longer time between two requests of every host would not do: the first ones of
     /// all hosts could still come in the same second, which is when the target is coldest.
-    pub fn part(&self, me: u64, hosts: &[u64], target: u64) -> u32 {
+    pub fn host_rate(&self, me: u64, hosts: &[u64], target: u64) -> u32 {
         let most = ((self.rate * self.factor + self.slack) * SPENT).max(1.0) as usize;
         let each = most / hosts.len().max(1);
         if each > 0 {
@@ -57,18 +57,18 @@
 
 /// Requests that one host sent to one cold target.
 #[derive(Clone, Debug, Default)]
-pub struct ColdRate {
+pub struct ColdStartLimiter {
     sent: VecDeque<Duration>,
 }
 
-impl ColdRate {
+impl ColdStartLimiter {
     /// Opens a rate with nothing sent.
-    pub fn open() -> ColdRate {
-        ColdRate::default()
+    pub fn open() -> ColdStartLimiter {
+        ColdStartLimiter::default()
     }
 
     /// Takes one request if this host's part has room in the last second.
-    pub fn admit(&mut self, part: u32, now: Duration) -> bool {
+    pub fn try_admit(&mut self, part: u32, now: Duration) -> bool {
         while self.sent.front().is_some_and(|at| *at + WINDOW <= now) {
             self.sent.pop_front();
         }
--- a/crates/admit/src/direct/connections.rs
+++ b/crates/admit/src/direct/connections.rs
@@ -36,16 +36,16 @@
 
 /// How many connections a host may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ConnectionRules {
+pub struct ConnectionLimits {
     /// Connections of callers and to targets together.
-    pub most: u32,
+    pub max_open: u32,
     /// Connections that the control duty serves.
     pub control: u32,
 }
 
 /// Connections that a host holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct OpenConnections {
     /// Connections of callers, idle ones too.
     pub callers: u32,
     /// Connections to targets, idle ones too.
@@ -54,53 +54,53 @@
 
 /// What becomes of a connection that a caller has just opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Arrival {
+pub enum AcceptDecision {
     /// It is served.
-    Serve,
+    Accept,
     /// It is served, and so many of those that have been idle longest are closed.
-    ServeAndClose(u32),
+    AcceptAndEvict(u32),
     /// Its request is refused at once, and it is closed; so are idle ones.
-    TurnAway(u32),
+    Refuse(u32),
 }
 
-impl ConnectionRules {
+impl ConnectionLimits {
     /// The bound of a process that may have `descriptors` open files.
-    pub fn of_limit(descriptors: u32) -> ConnectionRules {
+    pub fn for_descriptors(descriptors: u32) -> ConnectionLimits {
         let part = (f64::from(descriptors) * PART) as u32;
         let control = CONTROL.min(part);
-        ConnectionRules {
-            most: descriptors - control - FILES.min(part),
+        ConnectionLimits {
+            max_open: descriptors - control - FILES.min(part),
             control,
         }
     }
 
     /// Whether so many are held that idle ones should go.
-    pub fn is_pressed(&self, held: Held) -> bool {
+    pub fn above_low_watermark(&self, held: OpenConnections) -> bool {
         self.has_part(held, PRESSED)
     }
 
     /// Whether so many are held that each should end with its next answer.
-    pub fn is_tight(&self, held: Held) -> bool {
+    pub fn above_high_watermark(&self, held: OpenConnections) -> bool {
         self.has_part(held, TIGHT)
     }
 
-    fn has_part(&self, held: Held, part: f64) -> bool {
-        f64::from(held.callers + held.targets) >= f64::from(self.most) * part
+    fn has_part(&self, held: OpenConnections, part: f64) -> bool {
+        f64::from(held.callers + held.targets) >= f64::from(self.max_open) * part
     }
 
     /// Decides about a connection that arrives; `held` does not count it.
-    pub fn arrival(&self, held: Held) -> Arrival {
-        if held.callers + held.targets >= self.most {
-            Arrival::TurnAway(CLOSED)
-        } else if self.is_pressed(held) {
-            Arrival::ServeAndClose(CLOSED)
+    pub fn on_accept(&self, held: OpenConnections) -> AcceptDecision {
+        if held.callers + held.targets >= self.max_open {
+            AcceptDecision::Refuse(CLOSED)
+        } else if self.above_low_watermark(held) {
+            AcceptDecision::AcceptAndEvict(CLOSED)
         } else {
-            Arrival::Serve
+            AcceptDecision::Accept
         }
     }
 
     /// Idle connections to targets that may be kept.
-    pub fn most_kept(&self) -> u32 {
-        (f64::from(self.most) * KEPT) as u32
+    pub fn max_idle(&self) -> u32 {
+        (f64::from(self.max_open) * KEPT) as u32
     }
 }
--- a/crates/admit/src/direct/forecast.rs
+++ b/crates/admit/src/direct/forecast.rs
@@ -22,20 +22,20 @@
 
 /// Usual time of a route's runs.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Forecast {
+pub struct LatencyEstimator {
     usual: Option<Duration>,
 }
 
-impl Forecast {
+impl LatencyEstimator {
     /// Opens a forecast that knows of no run; it expects no time at all and refuses nothing.
-    pub fn open() -> Forecast {
-        Forecast::default()
+    pub fn open() -> LatencyEstimator {
+        LatencyEstimator::default()
     }
 
     /// Notes how long a target took that had `busy` requests for its `slots` when it was asked. The
     /// part of that time that went into its queue is taken off; counted as work, the wait would
     /// feed on itself, and a queue would never be used again.
-    pub fn note(&mut self, time: Duration, busy: u32, slots: u32) {
+    pub fn record(&mut self, time: Duration, busy: u32, slots: u32) {
         let ahead = f64::from((busy + 1).saturating_sub(slots));
         let time = time.div_f64(1.0 + ahead / f64::from(slots.max(1)));
         let usual = self.usual.unwrap_or(time);
@@ -43,7 +43,7 @@
     }
 
     /// Expected time until a request starts at a target that has `busy` requests for its `slots`.
-    pub fn wait(&self, busy: u32, slots: u32) -> Duration {
+    pub fn queue_delay(&self, busy: u32, slots: u32) -> Duration {
         let usual = self.usual.unwrap_or_default();
         let ahead = (busy + 1).saturating_sub(slots);
         usual.mul_f64(f64::from(ahead) / f64::from(slots.max(1)))
@@ -54,12 +54,12 @@
         let Some(usual) = self.usual else {
             return false;
         };
-        time > self.wait(busy, slots) + usual.mul_f64(SLOW)
+        time > self.queue_delay(busy, slots) + usual.mul_f64(SLOW)
     }
 
     /// Requests that a target with `slots` may have, for one more to be answered within `time`;
     /// never less than its slots.
-    pub fn room(&self, slots: u32, time: Duration) -> u32 {
+    pub fn concurrency_limit(&self, slots: u32, time: Duration) -> u32 {
         let Some(usual) = self.usual.filter(|usual| !usual.is_zero()) else {
             return slots * UNKNOWN_ROOM;
         };
--- a/crates/admit/src/direct/limit.rs
+++ b/crates/admit/src/direct/limit.rs
@@ -34,7 +34,7 @@
 
 /// How far all hosts together may go beyond a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitRules {
+pub struct RateLimitConfig {
     /// Length of the window; any span of this length is bounded.
     pub window: Duration,
     /// Share of the limit beyond it.
@@ -43,9 +43,9 @@
     pub slack: f64,
 }
 
-impl LimitRules {
+impl RateLimitConfig {
     /// How long a token may be used after it was asked for.
-    pub fn life(&self) -> Duration {
+    pub fn token_ttl(&self) -> Duration {
         LIFE
     }
 
@@ -55,10 +55,10 @@
     }
 
     /// One of `slices` equal slices of a limit.
-    pub fn slice(&self, rate: f64, burst: f64, slices: usize) -> Slice {
+    pub fn share(&self, rate: f64, burst: f64, slices: usize) -> LimitShare {
         let most = self.most(rate, burst) * GIVEN_PART / slices.max(1) as f64;
         let span = self.window + LIFE;
-        Slice {
+        LimitShare {
             most,
             span,
             rate: most / span.as_secs_f64(),
@@ -69,7 +69,7 @@
 
 /// A part of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Slice {
+pub struct LimitShare {
     /// Tokens that may be given out in any span of the length `span`.
     pub most: f64,
     /// That length.
@@ -86,7 +86,7 @@
 /// a burst given out beyond the slice's rate: without this, what a host gave out just before it died, and
 /// what its successor gives, could be twice the slice.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     /// Tokens that may be given out at once; below zero at first.
     level: Option<f64>,
     at: Duration,
@@ -96,18 +96,18 @@
 
 /// Answer to a host that asked for tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Given {
+pub struct TokenGrant {
     /// Tokens.
     pub count: u32,
     /// Where there are none, time until there is one.
-    pub due: Duration,
+    pub retry_after: Duration,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Opens the bucket of a slice that is counted here since `since`. It is a burst behind: whoever counted
     /// before may just have given that out.
-    pub fn open(since: Duration) -> Bucket {
-        Bucket {
+    pub fn open(since: Duration) -> TokenBucket {
+        TokenBucket {
             level: None,
             at: since,
             given: VecDeque::new(),
@@ -115,7 +115,7 @@
     }
 
     /// Takes up to `want` tokens.
-    pub fn take(&mut self, slice: &Slice, want: u32, now: Duration) -> Given {
+    pub fn take(&mut self, slice: &LimitShare, want: u32, now: Duration) -> TokenGrant {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         let level = self.level.unwrap_or(-slice.burst);
         let level = (level + passed * slice.rate).min(slice.burst);
@@ -133,9 +133,9 @@
         self.level = Some(level - f64::from(count));
         if count > 0 || want == 0 {
             self.note(count, now);
-            return Given {
+            return TokenGrant {
                 count,
-                due: Duration::ZERO,
+                retry_after: Duration::ZERO,
             };
         }
         let due = (1.0 - level).max(0.0) / slice.rate.max(f64::MIN_POSITIVE);
@@ -144,9 +144,9 @@
         let leaves = leaves.map_or(Duration::ZERO, |(start, _)| {
             (*start + SPAN + slice.span).saturating_sub(now)
         });
-        Given {
+        TokenGrant {
             count,
-            due: due.max(leaves),
+            retry_after: due.max(leaves),
         }
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Notes that a token is needed.
-    pub fn need(&mut self, now: Duration) {
+    pub fn record_demand(&mut self, now: Duration) {
         self.needed = (self.needed(now) + 1.0, now);
     }
 
@@ -191,24 +191,24 @@
     }
 
     /// Gives a token back whose request did not run.
-    pub fn put_back(&mut self, end: Duration) {
+    pub fn return_token(&mut self, end: Duration) {
         let at = self.ends.partition_point(|held| *held <= end);
         self.ends.insert(at, end);
     }
 
     /// Tokens to ask for: one, and as many more as are likely to be needed while they live. While they are
     /// `scarce` one alone: what is not used is missing elsewhere.
-    pub fn want(&self, rules: &LimitRules, scarce: bool, now: Duration) -> u32 {
+    pub fn refill_size(&self, rules: &RateLimitConfig, scarce: bool, now: Duration) -> u32 {
         if scarce {
             return 1;
         }
         let rate = self.needed(now) / DEMAND_TIME.as_secs_f64();
-        1 + (rate * rules.life().as_secs_f64()) as u32
+        1 + (rate * rules.token_ttl().as_secs_f64()) as u32
     }
 
     /// Takes in tokens that were asked for at `asked`.
-    pub fn put(&mut self, count: u32, asked: Duration, rules: &LimitRules) {
-        (0..count).for_each(|_| self.put_back(asked + rules.life()));
+    pub fn add(&mut self, count: u32, asked: Duration, rules: &RateLimitConfig) {
+        (0..count).for_each(|_| self.return_token(asked + rules.token_ttl()));
     }
 
     fn needed(&self, now: Duration) -> f64 {
--- a/crates/admit/src/direct/mod.rs
+++ b/crates/admit/src/direct/mod.rs
@@ -15,13 +15,13 @@
 mod sharers;
 
 pub use self::{
-    budget::{BudgetRules, SharedBudget},
-    bytes::BodyBytes,
-    cold::{ColdRate, ColdRules},
-    connections::{Arrival, ConnectionRules, Held},
-    forecast::Forecast,
-    limit::{Bucket, Given, LimitRules, Slice, TokenCache},
-    ranks::Ranks,
-    set_aside::{BadShare, Evidence, SetAside},
-    sharers::Sharers,
+    budget::{RetryBudget, RetryLimits},
+    bytes::BodyBudget,
+    cold::{ColdStartLimiter, ColdStartLimits},
+    connections::{AcceptDecision, ConnectionLimits, OpenConnections},
+    forecast::LatencyEstimator,
+    limit::{LimitShare, RateLimitConfig, TokenBucket, TokenCache, TokenGrant},
+    ranks::PriorityShedder,
+    set_aside::{Ejection, Evidence, FailureRate},
+    sharers::RecentHosts,
 };
--- a/crates/admit/src/direct/ranks.rs
+++ b/crates/admit/src/direct/ranks.rs
@@ -39,24 +39,31 @@
 
 /// What a service's requests found lately, by rank; 0 is the most urgent.
 #[derive(Clone, Debug, Default)]
-pub struct Ranks {
+pub struct PriorityShedder {
     refused: BTreeMap<u8, Refused>,
 }
 
-impl Ranks {
+impl PriorityShedder {
     /// Opens ranks of which nothing is known; all have the same room.
-    pub fn open() -> Ranks {
-        Ranks::default()
+    pub fn open() -> PriorityShedder {
+        PriorityShedder::default()
     }
 
     /// Notes whether a request was refused for want of room.
-    pub fn note(&mut self, rank: u8, is_refused: bool, now: Duration) {
+    pub fn record(&mut self, rank: u8, is_refused: bool, now: Duration) {
         self.refused.entry(rank).or_default().note(is_refused, now);
     }
 
     /// Requests that a target with `slots` may have for one of `rank` to be sent to it, where one of the
     /// most urgent may be up to `room`; never less than its slots. `draw` is even in 0 to 1.
-    pub fn room(&self, rank: u8, room: u32, slots: u32, draw: f64, now: Duration) -> u32 {
+    pub fn concurrency_limit(
+        &self,
+        rank: u8,
+        room: u32,
+        slots: u32,
+        draw: f64,
+        now: Duration,
+    ) -> u32 {
         if draw < EQUAL_PART {
             return room;
         }
--- a/crates/admit/src/direct/set_aside.rs
+++ b/crates/admit/src/direct/set_aside.rs
@@ -50,22 +50,22 @@
 
 /// Share of bad answers among all targets of a service, as one host sees them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct BadShare(f64);
+pub struct FailureRate(f64);
 
-impl BadShare {
+impl FailureRate {
     /// Opens the share of a service whose targets are presumed sound.
-    pub fn open() -> BadShare {
-        BadShare::default()
+    pub fn open() -> FailureRate {
+        FailureRate::default()
     }
 
     /// Whether bad answers are so common that another target is no better.
-    pub fn is_common(&self) -> bool {
+    pub fn is_high(&self) -> bool {
         self.0 > BAD_SHARE
     }
 
     /// Notes how a request at one of the targets ended. One that was not reached is held against that
     /// target alone.
-    pub fn note(&mut self, evidence: Evidence) {
+    pub fn record(&mut self, evidence: Evidence) {
         let bad = match evidence {
             Evidence::Good => 0.0,
             Evidence::Bad => 1.0,
@@ -77,7 +77,7 @@
 
 /// What one host holds against one target.
 #[derive(Clone, Debug, Default)]
-pub struct SetAside {
+pub struct Ejection {
     failures: f64,
     pause: Duration,
     until: Option<Duration>,
@@ -87,10 +87,10 @@
     trying: bool,
 }
 
-impl SetAside {
+impl Ejection {
     /// Opens the record of a target that is presumed sound.
-    pub fn open() -> SetAside {
-        SetAside::default()
+    pub fn open() -> Ejection {
+        Ejection::default()
     }
 
     /// Whether requests may go to the target: it is sound, or its pause is over and nobody tries it.
@@ -99,7 +99,7 @@
     }
 
     /// Whether the target is set aside, its pause over or not.
-    pub fn is_set(&self) -> bool {
+    pub fn is_ejected(&self) -> bool {
         self.until.is_some()
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// A request goes to the target.
-    pub fn start(&mut self, now: Duration) {
+    pub fn on_start(&mut self, now: Duration) {
         if self.until.is_some_and(|until| now >= until) {
             self.trying = true;
         }
@@ -117,7 +117,7 @@
 
     /// A request at the target ended; `service` is what all targets of its service answer. Tells whether
     /// the target is newly set aside.
-    pub fn end(&mut self, evidence: Evidence, service: BadShare, now: Duration) -> bool {
+    pub fn on_end(&mut self, evidence: Evidence, service: FailureRate, now: Duration) -> bool {
         let bad = if evidence == Evidence::Good { 0.0 } else { 1.0 };
         self.failures += (bad - self.failures) * WEIGHT;
         let tried = std::mem::take(&mut self.trying);
@@ -125,14 +125,14 @@
             Evidence::Good => {
                 self.downs = 0;
                 if tried {
-                    *self = SetAside::open();
+                    *self = Ejection::open();
                 }
                 false
             }
             Evidence::Bad if self.failures > BAD_SHARE + service.0 * SERVICE_FACTOR => {
                 self.set(now)
             }
-            Evidence::Bad if tried && !service.is_common() => self.set(now),
+            Evidence::Bad if tried && !service.is_high() => self.set(now),
             Evidence::Bad => {
                 if tried {
                     (self.until, self.pause) = (None, Duration::ZERO);
@@ -148,7 +148,7 @@
     }
 
     /// A request that tried the target was withdrawn and says nothing about it.
-    pub fn withdraw(&mut self) {
+    pub fn cancel_probe(&mut self) {
         self.trying = false;
     }
 
--- a/crates/admit/src/direct/sharers.rs
+++ b/crates/admit/src/direct/sharers.rs
@@ -13,21 +13,21 @@
 
 /// Hosts that share bounds, as the hashes of their names.
 #[derive(Clone, Debug, Default)]
-pub struct Sharers {
+pub struct RecentHosts {
     /// When each was last listed.
     listed: BTreeMap<u64, Duration>,
 }
 
-impl Sharers {
+impl RecentHosts {
     /// Opens a record without hosts.
-    pub fn open() -> Sharers {
-        Sharers::default()
+    pub fn open() -> RecentHosts {
+        RecentHosts::default()
     }
 
     /// Takes in which hosts are listed now; tells which ones share the bounds, in order.
     ///
     /// To be called with each change of the list. `before` are the hosts that were listed until now.
-    pub fn note(&mut self, before: &[u64], now_listed: &[u64], now: Duration) -> Vec<u64> {
+    pub fn update(&mut self, before: &[u64], now_listed: &[u64], now: Duration) -> Vec<u64> {
         let seen = before.iter().chain(now_listed);
         self.listed.extend(seen.map(|host| (*host, now)));
         self.listed.retain(|_, at| *at + MEMORY > now);
--- a/crates/edge/src/control/tokens.rs
+++ b/crates/edge/src/control/tokens.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
-use dunlinrock_decide::admit::direct::Given;
+use dunlinrock_decide::admit::direct::TokenGrant;
 use dunlinrock_node::wire::{Client, Failure, PackError, pack, unpack};
 use http::{Request, StatusCode};
 use http_body_util::Full;
@@ -24,7 +24,8 @@
 struct Told {
     count: u32,
     /// Where there are none, time until there is one.
-    due: Duration,
+    #[serde(rename = "due")]
+    retry_after: Duration,
 }
 
 /// Why another host gives nothing.
@@ -53,7 +54,7 @@
     address: SocketAddr,
     asked: &Asked,
     time: Duration,
-) -> Result<BTreeMap<Arc<str>, Given>, TokenError> {
+) -> Result<BTreeMap<Arc<str>, TokenGrant>, TokenError> {
     let body = Full::from(pack(asked)?);
     let request = Request::post(format!("http://{address}{PATH}")).body(body)?;
     let answer = client.call(request, time).await?;
@@ -62,11 +63,11 @@
         return Err(TokenError::Status(answer.status, cause));
     }
     let told: BTreeMap<Arc<str>, Told> = unpack(&answer.body)?;
-    let given = told.into_iter().map(|(name, Told { count, due })| {
+    let given = told.into_iter().map(|(name, Told { count, retry_after })| {
         // Never more than was asked for, whatever the other side says.
         let want = asked.wants.get(&name).copied().unwrap_or_default();
         let count = count.min(want);
-        (name, Given { count, due })
+        (name, TokenGrant { count, retry_after })
     });
     Ok(given.collect())
 }
@@ -89,7 +90,8 @@
         Ok(given) => given.into_iter(),
         Err(e) => return (StatusCode::CONFLICT, e.to_string()).into_response(),
     };
-    let told = given.map(|(name, Given { count, due })| (name, Told { count, due }));
+    let told =
+        given.map(|(name, TokenGrant { count, retry_after })| (name, Told { count, retry_after }));
     match pack(&told.collect::<BTreeMap<_, _>>()) {
         Ok(bytes) => bytes.into_response(),
         Err(e) => (StatusCode::INTERNAL_SERVER_ERROR, e.to_string()).into_response(),
--- a/crates/edge/src/front/accept.rs
+++ b/crates/edge/src/front/accept.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use dunlinrock_decide::admit::direct::{Arrival, Held};
+use dunlinrock_decide::admit::direct::{AcceptDecision, OpenConnections};
 use tokio::{
     net::{TcpListener, TcpStream},
     time::Instant,
@@ -91,15 +91,15 @@
         meters.gauge("callers_open", held.callers.into());
         meters.gauge("callers_idle", front.idle.count().into());
         meters.gauge("targets_open", held.targets.into());
-        meters.gauge("body_bytes", front.bytes.borrow().held());
+        meters.gauge("body_bytes", front.bytes.borrow().used());
         front.note_pressure(held);
     }
 }
 
 impl Front {
     /// Connections held now.
-    pub(super) fn held(&self) -> Held {
-        Held {
+    pub(super) fn held(&self) -> OpenConnections {
+        OpenConnections {
             callers: self.open.get(),
             targets: self.links.count(),
         }
@@ -107,19 +107,22 @@
 
     /// Whether connections end with the next answer, as few more may be opened.
     pub(super) fn is_tight(&self) -> bool {
-        self.shared.settings.connections.is_tight(self.held())
+        self.shared
+            .settings
+            .connections
+            .above_high_watermark(self.held())
     }
 
     /// A caller has opened a connection. Closes idle ones where the bound is near; tells whether the
     /// new one's request must be refused, as the host is full.
     fn arrives(&self) -> bool {
-        match self.shared.settings.connections.arrival(self.held()) {
-            Arrival::Serve => false,
-            Arrival::ServeAndClose(idle) => {
+        match self.shared.settings.connections.on_accept(self.held()) {
+            AcceptDecision::Accept => false,
+            AcceptDecision::AcceptAndEvict(idle) => {
                 self.close_idle(idle);
                 false
             }
-            Arrival::TurnAway(idle) => {
+            AcceptDecision::Refuse(idle) => {
                 self.close_idle(idle);
                 true
             }
@@ -133,9 +136,9 @@
     }
 
     /// One line where the host comes near its bound, and one where it is below it again.
-    fn note_pressure(&self, held: Held) {
+    fn note_pressure(&self, held: OpenConnections) {
         let rules = self.shared.settings.connections;
-        let pressed = rules.is_pressed(held);
+        let pressed = rules.above_low_watermark(held);
         if self.pressed.replace(pressed) == pressed {
             return;
         }
@@ -143,12 +146,12 @@
         if pressed {
             log::warn!(
                 target: "host", event = "pressed", callers = callers, idle = idle,
-                targets = targets, most = rules.most; "connections are near their bound"
+                targets = targets, most = rules.max_open; "connections are near their bound"
             );
         } else {
             log::info!(
                 target: "host", event = "eased", callers = callers, idle = idle,
-                targets = targets, most = rules.most; "connections are below their bound again"
+                targets = targets, most = rules.max_open; "connections are below their bound again"
             );
         }
     }
--- a/crates/edge/src/front/attempt.rs
+++ b/crates/edge/src/front/attempt.rs
@@ -7,7 +7,7 @@
 };
 
 use bytes::Bytes;
-use dunlinrock_decide::admit::direct::{BadShare, Evidence};
+use dunlinrock_decide::admit::direct::{Evidence, FailureRate};
 use http::{HeaderMap, HeaderValue, Method, Request, StatusCode, Uri, header};
 use http_body_util::Full;
 use tokio::time::Instant;
@@ -252,19 +252,19 @@
     /// Whether the targets of a service turn so much away that another one is no better.
     pub(super) fn is_bad_common(&self, service: &Arc<str>) -> bool {
         let shares = self.bad.borrow();
-        shares.get(service).is_some_and(BadShare::is_common)
+        shares.get(service).is_some_and(FailureRate::is_high)
     }
 
     fn learn(&self, lane: &Lane, evidence: Option<Evidence>) {
         let mut aside = lane.aside.borrow_mut();
         let Some(evidence) = evidence else {
-            aside.withdraw();
+            aside.cancel_probe();
             return;
         };
         let mut shares = self.bad.borrow_mut();
         let share = shares.entry(Arc::clone(&lane.target.service)).or_default();
-        share.note(evidence);
-        let is_new = aside.end(evidence, *share, self.shared.now());
+        share.record(evidence);
+        let is_new = aside.on_end(evidence, *share, self.shared.now());
         drop(shares);
         let is_down = aside.is_down();
         drop(aside);
--- a/crates/edge/src/front/lanes.rs
+++ b/crates/edge/src/front/lanes.rs
@@ -9,7 +9,7 @@
 };
 
 use dunlinrock_decide::{
-    admit::direct::{ColdRate, SetAside},
+    admit::direct::{ColdStartLimiter, Ejection},
     steer::hash,
 };
 
@@ -34,8 +34,8 @@
 pub(super) struct Lane {
     pub(super) target: Arc<Target>,
     pub(super) seed: u64,
-    pub(super) aside: RefCell<SetAside>,
-    pub(super) cold: RefCell<ColdRate>,
+    pub(super) aside: RefCell<Ejection>,
+    pub(super) cold: RefCell<ColdStartLimiter>,
     /// Tells those whose requests are at the target that it is down.
     pub(super) fell: Notify,
     /// Requests of this host that are at the target.
@@ -50,8 +50,8 @@
         Lane {
             seed: hash::text(&target.id),
             target,
-            aside: RefCell::new(SetAside::open()),
-            cold: RefCell::new(ColdRate::open()),
+            aside: RefCell::new(Ejection::open()),
+            cold: RefCell::new(ColdStartLimiter::open()),
             fell: Notify::new(),
             own: Cell::new(0),
             others: Cell::new((0, Duration::ZERO)),
--- a/crates/edge/src/front/mod.rs
+++ b/crates/edge/src/front/mod.rs
@@ -27,7 +27,7 @@
 };
 
 use dunlinrock_decide::{
-    admit::direct::{BadShare, BodyBytes, Forecast, Ranks, SharedBudget},
+    admit::direct::{BodyBudget, FailureRate, LatencyEstimator, PriorityShedder, RetryBudget},
     steer::hash,
 };
 use dunlinrock_node::wire::Client;
@@ -102,12 +102,12 @@
     /// Hash of this host's name.
     seed: u64,
     lanes: Lanes,
-    budgets: RefCell<BTreeMap<Arc<str>, SharedBudget>>,
-    forecasts: RefCell<BTreeMap<Arc<str>, Forecast>>,
+    budgets: RefCell<BTreeMap<Arc<str>, RetryBudget>>,
+    forecasts: RefCell<BTreeMap<Arc<str>, LatencyEstimator>>,
     /// What the targets of each service answer.
-    bad: RefCell<BTreeMap<Arc<str>, BadShare>>,
+    bad: RefCell<BTreeMap<Arc<str>, FailureRate>>,
     /// What each service's requests found lately, by rank.
-    ranks: RefCell<BTreeMap<Arc<str>, Ranks>>,
+    ranks: RefCell<BTreeMap<Arc<str>, PriorityShedder>>,
     /// Shortest time in which a connection to a target of a region was opened: the way there and back.
     ways: RefCell<BTreeMap<Arc<str>, Duration>>,
     say: Say,
@@ -126,7 +126,7 @@
     /// Connections to targets.
     links: Rc<Links>,
     /// Bytes of bodies being held.
-    bytes: RefCell<BodyBytes>,
+    bytes: RefCell<BodyBudget>,
     /// Whether the connections were last seen near their bound.
     pressed: Cell<bool>,
     /// When the host was asked to stop.
@@ -153,11 +153,11 @@
         seed: hash::text(&shared.settings.name),
         lanes: Lanes::default(),
         idle: Rc::default(),
-        links: Links::open(shared.settings.connections.most_kept()),
+        links: Links::open(shared.settings.connections.max_idle()),
         tokens: RefCell::default(),
         limits_of: Cell::new(0),
         client: Client::open_from(Some(shared.settings.listen.peers.ip()), TOKEN_BYTES),
-        bytes: RefCell::new(BodyBytes::open(shared.settings.memory)),
+        bytes: RefCell::new(BodyBudget::open(shared.settings.memory)),
         pressed: Cell::new(false),
         shared,
         budgets: RefCell::default(),
--- a/crates/edge/src/front/place.rs
+++ b/crates/edge/src/front/place.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, rc::Rc, sync::Arc, time::Duration};
 
 use dunlinrock_decide::{
-    admit::direct::ColdRules,
+    admit::direct::ColdStartLimits,
     steer::{
         affinity::{self, Candidate, Choice},
         hash::{mix, text, unit},
@@ -96,7 +96,7 @@
                 continue;
             }
             let busy = candidates[index].busy;
-            lanes[index].aside.borrow_mut().start(now);
+            lanes[index].aside.borrow_mut().on_start(now);
             let lane = Rc::clone(&lanes[index]);
             return Ok(Place {
                 lane,
@@ -132,13 +132,13 @@
             .as_ref()
             .and_then(|c| c.services.get(service))
             .map(|s| s.rate);
-        let rules = ColdRules {
+        let rules = ColdStartLimits {
             rate: rate.unwrap_or_default(),
             ..self.shared.live.load().cold
         };
-        let part = rules.part(self.seed, &view.sharers, lane.seed);
+        let part = rules.host_rate(self.seed, &view.sharers, lane.seed);
         let part = if now < FRESH_TIME { part.min(1) } else { part };
-        lane.cold.borrow_mut().admit(part, now)
+        lane.cold.borrow_mut().try_admit(part, now)
     }
 }
 
--- a/crates/edge/src/front/request.rs
+++ b/crates/edge/src/front/request.rs
@@ -110,7 +110,7 @@
 
 impl Drop for BodyRoom<'_> {
     fn drop(&mut self) {
-        self.front.bytes.borrow_mut().give(self.bytes);
+        self.front.bytes.borrow_mut().release(self.bytes);
     }
 }
 
@@ -239,7 +239,7 @@
     fn body_room(&self, body: Option<&Incoming>, most: usize) -> Option<BodyRoom<'_>> {
         let bytes = body.map_or(0, |body| body.size_hint().upper().unwrap_or(most as u64));
         let bytes = bytes.min(most as u64);
-        let has_room = self.bytes.borrow_mut().take(bytes);
+        let has_room = self.bytes.borrow_mut().try_reserve(bytes);
         has_room.then_some(BodyRoom { front: self, bytes })
     }
 
@@ -329,11 +329,11 @@
             Err(NoPlace::Cold) => return Some(course.give_up("all targets are cold", MOST_RETRY)),
         };
         if let Some((cause, retry)) = self.hopeless(rights, service, &place, work) {
-            place.lane.aside.borrow_mut().withdraw();
+            place.lane.aside.borrow_mut().cancel_probe();
             return Some(course.give_up(&cause, retry));
         }
         if course.arrived > 0 && !self.second(service, view.sharer_count(), rights.rank()) {
-            place.lane.aside.borrow_mut().withdraw();
+            place.lane.aside.borrow_mut().cancel_probe();
             return Some(course.give_up("the retry budget is spent", LEAST_RETRY));
         }
         course.spend(true);
@@ -394,12 +394,12 @@
         let (route, slots) = (&rights.route, place.lane.target.slots);
         let left = work.end.saturating_duration_since(Instant::now());
         let forecast = self.forecast(&route.name);
-        let whole = forecast.room(slots, left.min(route.objective.mul_f64(PATIENCE)));
+        let whole = forecast.concurrency_limit(slots, left.min(route.objective.mul_f64(PATIENCE)));
         let room = self.room_of(rights, service, place, whole);
         if place.busy < room {
             return None;
         }
-        let wait = forecast.wait(place.busy, slots);
+        let wait = forecast.queue_delay(place.busy, slots);
         let why = match place.busy < whole {
             true => ", the rest of its queue is for more urgent ones",
             false => "",
@@ -418,8 +418,8 @@
         let mut all = self.ranks.borrow_mut();
         let ranks = all.entry(Arc::clone(service)).or_default();
         let slots = place.lane.target.slots;
-        let room = ranks.room(rank, whole, slots, rand::random(), now);
-        ranks.note(rank, place.busy >= room, now);
+        let room = ranks.concurrency_limit(rank, whole, slots, rand::random(), now);
+        ranks.record(rank, place.busy >= room, now);
         room
     }
 }
--- a/crates/edge/src/front/say.rs
+++ b/crates/edge/src/front/say.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefMut, sync::Arc, time::Duration};
 
-use dunlinrock_decide::admit::direct::{Evidence, Forecast, SharedBudget};
+use dunlinrock_decide::admit::direct::{Evidence, LatencyEstimator, RetryBudget};
 use dunlinrock_node::clock::millis;
 use tokio::time::Instant;
 
@@ -234,7 +234,7 @@
         );
     }
 
-    pub(super) fn forecast(&self, route: &Arc<str>) -> Forecast {
+    pub(super) fn forecast(&self, route: &Arc<str>) -> LatencyEstimator {
         self.forecasts
             .borrow()
             .get(route)
@@ -246,27 +246,28 @@
         self.shared.meters.time("run", time);
         let mut forecasts = self.forecasts.borrow_mut();
         let forecast = forecasts.entry(Arc::clone(route)).or_default();
-        forecast.note(time, place.busy, place.lane.target.slots);
+        forecast.record(time, place.busy, place.lane.target.slots);
     }
 
     pub(super) fn first(&self, service: &Arc<str>) {
         let rules = self.shared.live.load().budget;
-        self.budget(service).first(&rules, self.shared.now());
+        self.budget(service)
+            .record_request(&rules, self.shared.now());
     }
 
     pub(super) fn second(&self, service: &Arc<str>, hosts: usize, rank: u8) -> bool {
         let rules = self.shared.live.load().budget;
         let now = self.shared.now();
         self.budget(service)
-            .second(&rules, hosts, rank, rand::random(), now)
+            .try_retry(&rules, hosts, rank, rand::random(), now)
     }
 
-    fn budget(&self, service: &Arc<str>) -> RefMut<'_, SharedBudget> {
+    fn budget(&self, service: &Arc<str>) -> RefMut<'_, RetryBudget> {
         RefMut::map(self.budgets.borrow_mut(), |budgets| {
             let budget = budgets.entry(Arc::clone(service));
             budget.or_insert_with(|| match self.shared.settings.first {
-                true => SharedBudget::open(),
-                false => SharedBudget::resume(START),
+                true => RetryBudget::open(),
+                false => RetryBudget::open_restarted(START),
             })
         })
     }
--- a/crates/edge/src/front/tokens.rs
+++ b/crates/edge/src/front/tokens.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use dunlinrock_decide::admit::direct::{Given, LimitRules, TokenCache};
+use dunlinrock_decide::admit::direct::{RateLimitConfig, TokenCache, TokenGrant};
 use dunlinrock_node::clock::{millis, since_boot};
 use tokio::sync::oneshot;
 
@@ -69,7 +69,7 @@
     wanted: Asked,
     waiting: Vec<oneshot::Sender<()>>,
     /// What it last gave of each workspace, until those that waited have seen it.
-    given: Rc<BTreeMap<Arc<str>, Given>>,
+    given: Rc<BTreeMap<Arc<str>, TokenGrant>>,
 }
 
 /// Tokens of one workspace.
@@ -117,7 +117,7 @@
         if !self.spent.get() {
             let mut tokens = self.front.tokens.borrow_mut();
             if let Some(held) = tokens.held.get_mut(&self.workspace) {
-                held.cache.put_back(self.end);
+                held.cache.return_token(self.end);
             }
         }
     }
@@ -132,7 +132,7 @@
     ) -> Result<Token, NoToken> {
         let rules = self.shared.live.load().limit;
         let name = &workspace.name;
-        self.with_held(name, |held| held.cache.need(since_boot()));
+        self.with_held(name, |held| held.cache.record_demand(since_boot()));
         if let Some(token) = self.held_token(name) {
             return Ok(token);
         }
@@ -145,7 +145,7 @@
                 return Ok(token);
             }
             // None, or fewer than there are requests that wait for one.
-            let time = given.due.max(LEAST_PAUSE);
+            let time = given.retry_after.max(LEAST_PAUSE);
             due = Some(due.map_or(time, |due| due.min(time)));
         }
         Err(due.map_or(NoToken::Uncounted, NoToken::Spent))
@@ -168,19 +168,19 @@
         view: &View,
         name: &Arc<str>,
         slice: &Arc<str>,
-        rules: &LimitRules,
-    ) -> Option<Given> {
+        rules: &RateLimitConfig,
+    ) -> Option<TokenGrant> {
         let now = since_boot();
         let host = view.roster.counter(slice, name, now)?;
         let until = self.with_held(name, |held| held.exhausted.get(&host.peers).copied());
         if let Some(until) = until.filter(|until| now < *until) {
-            return Some(Given {
+            return Some(TokenGrant {
                 count: 0,
-                due: until - now,
+                retry_after: until - now,
             });
         }
         let want = self.with_held(name, |held| {
-            held.cache.want(rules, held.is_scarce(now), now)
+            held.cache.refill_size(rules, held.is_scarce(now), now)
         });
         self.given(host, name, want).await
     }
@@ -191,7 +191,7 @@
         host: &Arc<HostEntry>,
         name: &Arc<str>,
         want: u32,
-    ) -> Option<Given> {
+    ) -> Option<TokenGrant> {
         let (tell, told) = oneshot::channel();
         let is_idle = {
             let mut tokens = self.tokens.borrow_mut();
@@ -242,7 +242,7 @@
         &self,
         host: &HostEntry,
         asked: &Asked,
-    ) -> Result<BTreeMap<Arc<str>, Given>, Duration> {
+    ) -> Result<BTreeMap<Arc<str>, TokenGrant>, Duration> {
         if host.name == self.shared.settings.name {
             return self.shared.give(asked).map_err(|_| IDLE_TIME);
         }
@@ -268,7 +268,7 @@
     fn take_in(
         &self,
         host: &HostEntry,
-        given: Result<BTreeMap<Arc<str>, Given>, Duration>,
+        given: Result<BTreeMap<Arc<str>, TokenGrant>, Duration>,
         sent: Duration,
     ) {
         let rules = self.shared.live.load().limit;
@@ -281,9 +281,9 @@
         });
         for (name, given) in &given {
             let held = held.entry(Arc::clone(name)).or_default();
-            held.cache.put(given.count, sent, &rules);
+            held.cache.add(given.count, sent, &rules);
             if given.count == 0 {
-                let pause = given.due.clamp(LEAST_PAUSE, MOST_PAUSE);
+                let pause = given.retry_after.clamp(LEAST_PAUSE, MOST_PAUSE);
                 held.exhausted.insert(host.peers, since_boot() + pause);
             }
         }
--- a/crates/edge/src/host/shared.rs
+++ b/crates/edge/src/host/shared.rs
@@ -7,7 +7,7 @@
 };
 
 use arc_swap::ArcSwap;
-use dunlinrock_decide::admit::direct::{Given, Sharers};
+use dunlinrock_decide::admit::direct::{RecentHosts, TokenGrant};
 use dunlinrock_node::clock::Clock;
 use tokio::sync::watch;
 
@@ -74,7 +74,7 @@
 struct Past {
     /// Until when targets of domains that were evacuated are taken for cold.
     warmed: BTreeMap<Arc<str>, Duration>,
-    sharers: Sharers,
+    sharers: RecentHosts,
 }
 
 impl Shared {
@@ -182,7 +182,10 @@
     }
 
     /// Gives out tokens of a slice that this host counts.
-    pub(crate) fn give(&self, asked: &Asked) -> Result<BTreeMap<Arc<str>, Given>, NotCounting> {
+    pub(crate) fn give(
+        &self,
+        asked: &Asked,
+    ) -> Result<BTreeMap<Arc<str>, TokenGrant>, NotCounting> {
         if *self.phase.borrow() != Phase::Serving {
             return Err(NotCounting::Unleased);
         }
@@ -239,7 +242,7 @@
             view = View::open(world, &live.domains, &past.warmed, &before);
         }
         self.counter.keep(&self.settings.name, &view);
-        view.sharers = past.sharers.note(&before.seeds, &view.seeds, now);
+        view.sharers = past.sharers.update(&before.seeds, &view.seeds, now);
         crate::trace::believed(&before, &view);
         self.view.store(Arc::new(view));
         self.changed.send_replace(Mark {
--- a/crates/edge/src/limits/counter.rs
+++ b/crates/edge/src/limits/counter.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use dunlinrock_decide::admit::direct::{Bucket, Given, LimitRules};
+use dunlinrock_decide::admit::direct::{RateLimitConfig, TokenBucket, TokenGrant};
 use dunlinrock_node::clock::{millis, since_boot};
 use serde::{Deserialize, Serialize};
 
@@ -41,7 +41,7 @@
 pub(crate) struct Counter {
     /// Start of the process, as time since the machine's start.
     opened: Duration,
-    buckets: Mutex<BTreeMap<Arc<str>, Bucket>>,
+    buckets: Mutex<BTreeMap<Arc<str>, TokenBucket>>,
     /// Until when the host's lease has certainly not ended, as time since the machine's start, in
     /// milliseconds.
     leased: AtomicU64,
@@ -78,8 +78,8 @@
         me: &str,
         asked: &Asked,
         (age, view): (Duration, &View),
-        rules: &LimitRules,
-    ) -> Result<BTreeMap<Arc<str>, Given>, NotCounting> {
+        rules: &RateLimitConfig,
+    ) -> Result<BTreeMap<Arc<str>, TokenGrant>, NotCounting> {
         let now = since_boot();
         if age > KNOWN_AGE {
             return Err(NotCounting::Outdated);
@@ -101,14 +101,20 @@
         Ok(given)
     }
 
-    fn take(&self, name: &str, want: u32, view: &View, rules: &LimitRules) -> Option<Given> {
+    fn take(
+        &self,
+        name: &str,
+        want: u32,
+        view: &View,
+        rules: &RateLimitConfig,
+    ) -> Option<TokenGrant> {
         let workspace = view.config.as_ref()?.workspace(name);
         let workspace = workspace.filter(|w| w.is_limited())?;
         let (roster, now) = (&view.roster, since_boot());
-        let slice = rules.slice(workspace.rate, workspace.burst, roster.slices().len());
+        let slice = rules.share(workspace.rate, workspace.burst, roster.slices().len());
         let mut buckets = self.buckets.lock().unwrap_or_else(PoisonError::into_inner);
         let bucket = buckets.entry(Arc::clone(&workspace.name));
-        let bucket = bucket.or_insert_with(|| Bucket::open(roster.since().max(self.opened)));
+        let bucket = bucket.or_insert_with(|| TokenBucket::open(roster.since().max(self.opened)));
         Some(bucket.take(&slice, want, now))
     }
 
--- a/crates/edge/src/limits/mod.rs
+++ b/crates/edge/src/limits/mod.rs
@@ -8,7 +8,7 @@
 //!   is too old.
 //! * A host whose lease ended announces itself anew. It gives out nothing until it has heard the store's
 //!   word from after that, and then takes itself for one that joined.
-//! * Who takes a slice over starts a burst behind: see `dunlinrock_decide::admit::direct::Bucket`.
+//! * Who takes a slice over starts a burst behind: see `dunlinrock_decide::admit::direct::TokenBucket`.
 
 mod counter;
 mod roster;
--- a/crates/edge/src/settings/mod.rs
+++ b/crates/edge/src/settings/mod.rs
@@ -3,7 +3,9 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use anyhow::bail;
-use dunlinrock_decide::admit::direct::{BudgetRules, ColdRules, ConnectionRules, LimitRules};
+use dunlinrock_decide::admit::direct::{
+    ColdStartLimits, ConnectionLimits, RateLimitConfig, RetryLimits,
+};
 use dunlinrock_schema::edge::{EdgeBounds, EdgeSettings};
 
 /// Open files of a process where the settings do not say: what systems usually allow.
@@ -50,13 +52,13 @@
     /// Longest time for which a look-up may be kept.
     pub ttl: Duration,
     /// Bound on second runs, over all hosts.
-    pub budget: BudgetRules,
+    pub budget: RetryLimits,
     /// Bound on requests to cold targets, over all hosts; the rate comes with the configuration.
-    pub cold: ColdRules,
+    pub cold: ColdStartLimits,
     /// Time after which a key that was taken away serves nowhere, where that is asked for.
     pub revoke: Option<Duration>,
     /// Bound on the requests of a workspace, over all hosts; its rate comes with the configuration.
-    pub limit: LimitRules,
+    pub limit: RateLimitConfig,
 }
 
 /// Checked settings.
@@ -75,7 +77,7 @@
     /// Whether no host of the deployment ran before.
     pub first: bool,
     /// Connections that the process may hold, from its limit on open files.
-    pub connections: ConnectionRules,
+    pub connections: ConnectionLimits,
     /// Part of a core that the process may use.
     pub processor: f64,
     /// Memory that the process may use, in bytes.
@@ -112,7 +114,7 @@
         grace: check.time("bounds.grace", bounds.grace.as_deref(), "6s"),
         ttl: check.time("bounds.lookup_ttl", bounds.lookup_ttl.as_deref(), "5s"),
         budget: budget(&bounds, &mut check),
-        cold: ColdRules {
+        cold: ColdStartLimits {
             rate: 0.0,
             factor: check.number("bounds.cold_factor", bounds.cold_factor, 1.5),
             slack: check.number("bounds.cold_slack", bounds.cold_slack, 2.0),
@@ -136,7 +138,7 @@
     }
     let settings = Settings {
         processor,
-        connections: ConnectionRules::of_limit(descriptors),
+        connections: ConnectionLimits::for_descriptors(descriptors),
         memory: (memory * 1e6) as u64,
         first: raw.first_start.unwrap_or_default(),
         name: raw.name,
@@ -174,8 +176,8 @@
     }
 }
 
-fn budget(bounds: &EdgeBounds, check: &mut Check) -> BudgetRules {
-    BudgetRules {
+fn budget(bounds: &EdgeBounds, check: &mut Check) -> RetryLimits {
+    RetryLimits {
         ratio: check.number("bounds.retry_ratio", bounds.retry_ratio, 0.2),
         slack: check.number("bounds.retry_slack", bounds.retry_slack, 10.0),
         window: check.time("bounds.retry_window", bounds.retry_window.as_deref(), "10s"),
@@ -191,8 +193,8 @@
     Some(time)
 }
 
-fn limit(bounds: &EdgeBounds, check: &mut Check) -> LimitRules {
-    let rules = LimitRules {
+fn limit(bounds: &EdgeBounds, check: &mut Check) -> RateLimitConfig {
+    let rules = RateLimitConfig {
         window: check.time("bounds.limit_window", bounds.limit_window.as_deref(), "5s"),
         over: check.number("bounds.limit_over", bounds.limit_over, 0.1),
         slack: check.number("bounds.limit_slack", bounds.limit_slack, 10.0),
