--- a/crates/steer/src/shift/lane.rs
+++ b/crates/steer/src/shift/lane.rs
@@ -111,7 +111,12 @@
     }
 
     /// Takes one step towards the goal.
-    pub(super) fn steer(&mut self, goal: &DesiredSplit, ceilings: Option<&RegionShares>, now: Duration) {
+    pub(super) fn steer(
+        &mut self,
+        goal: &DesiredSplit,
+        ceilings: Option<&RegionShares>,
+        now: Duration,
+    ) {
         self.window = goal.window;
         if self.parts.is_empty() {
             // Nothing was served, so nothing moves.
