--- a/crates/steer/examples/shifts.rs
+++ b/crates/steer/examples/shifts.rs
@@ -5,12 +5,12 @@
 //! cargo run --release -p dunlinrock-steer --example shifts [SEED [PART OF AN EVENT'S NAME]]
 //! ```
 
-#[path = "../tests/drive/mod.rs"]
-mod drive;
+#[path = "../tests/simulation/mod.rs"]
+mod simulation;
 
 use std::time::Duration;
 
-use drive::{Policy, run, scenarios};
+use simulation::{Policy, run, scenarios};
 
 /// Seed of all runs where none is given.
 const SEED: u64 = 1;
--- a/crates/steer/src/grants/grantee.rs
+++ b/crates/steer/src/grants/grantee.rs
@@ -4,7 +4,7 @@
 
 use thiserror::Error;
 
-use super::{GRANT_TTL, Grant, GrantRequest, Need, bucket::Bucket};
+use super::{GRANT_TTL, Grant, GrantRequest, Need, token_bucket::Bucket};
 
 /// No room for a request now.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
--- a/crates/steer/src/grants/grantor.rs
+++ b/crates/steer/src/grants/grantor.rs
@@ -4,9 +4,9 @@
 
 use super::{
     FRESH_AGE, GRANT_TTL, Grant, GrantRequest, LinkCapacity, Need, REQUEST_FRACTION, STALE_AGE,
-    book::{Amount, Book},
-    most::Most,
-    own::{LocalUsage, Measured},
+    local_usage::{LocalUsage, Measured},
+    outstanding::{Amount, Book},
+    window_max::Most,
 };
 use crate::divide::{Demand, dominant};
 
--- a/crates/steer/src/grants/own.rs
+++ b/crates/steer/src/grants/local_usage.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-use super::{PEAK_WINDOW, most::Most};
+use super::{PEAK_WINDOW, window_max::Most};
 
 /// Capacity of one service's targets that a host owns, and its use by work that needs no grant.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/steer/src/grants/mod.rs
+++ b/crates/steer/src/grants/mod.rs
@@ -26,19 +26,19 @@
 //!
 //! `docs/decisions/grants.md` holds the figures.
 
-mod book;
-mod bucket;
 mod grantee;
 mod grantor;
-mod most;
-mod own;
+mod local_usage;
+mod outstanding;
+mod token_bucket;
+mod window_max;
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 pub use {
     grantee::{Grantee, NoCapacity},
     grantor::Grantor,
-    own::LocalUsage,
+    local_usage::LocalUsage,
 };
 
 /// Time after which a grant ends by itself.
--- a/crates/steer/src/shift/mod.rs
+++ b/crates/steer/src/shift/mod.rs
@@ -20,17 +20,17 @@
 //!
 //! `docs/decisions/shift.md` holds the sweep behind these figures.
 
-mod lane;
-mod pick;
-mod start;
+mod flow;
+mod initial_split;
+mod pick_region;
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use dunlinrock_config::goal::Row;
 
 use crate::DesiredSplits;
-use lane::Lane;
-pub use pick::{Refusal, UnservableReason};
+use flow::Lane;
+pub use pick_region::{Refusal, UnservableReason};
 
 /// Part of the cap's speed at which a host moves. The rest is kept for what is not a host's own
 /// move: steps that began before a window (at most [`MAX_STEP`]), and callers who change hosts when a
@@ -66,7 +66,7 @@
 pub struct TrafficSplit {
     /// Empty until the host knows where to start.
     lanes: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Lane>>,
-    start: start::Start,
+    start: initial_split::Start,
 }
 
 impl TrafficSplit {
@@ -81,7 +81,7 @@
     /// from the goal once all were heard and none has. Later, peers that lag hold it back.
     pub fn update_peers(&mut self, peers: &[PeerSplit<'_>]) {
         if !self.ready() {
-            self.start = start::Start::from_peers(peers);
+            self.start = initial_split::Start::from_peers(peers);
         }
         for (service, lanes) in &mut self.lanes {
             for (callers, lane) in lanes {
@@ -103,7 +103,7 @@
             for (callers, lane) in lanes.iter_mut().filter(|(name, _)| ***name != *own) {
                 let rows = peers.get(callers).into_iter().flatten();
                 let rows = rows.filter_map(|rows| rows.get(service)?.get(callers));
-                let mean = start::mean_row(rows);
+                let mean = initial_split::mean_row(rows);
                 if !mean.is_empty() {
                     lane.follow(&mean);
                 }
@@ -160,7 +160,7 @@
     ) -> Result<&Arc<str>, Refusal> {
         let lane = self.lanes.get(service).and_then(|row| row.get(callers));
         match lane {
-            Some(lane) => pick::pick(lane, value),
+            Some(lane) => pick_region::pick(lane, value),
             None if self.ready() => Err(Refusal::nowhere()),
             None => Err(Refusal::starting()),
         }
--- a/crates/steer/src/shift/pick.rs
+++ b/crates/steer/src/shift/pick_region.rs
@@ -4,7 +4,7 @@
 
 use thiserror::Error;
 
-use super::lane::{Lane, Part};
+use super::flow::{Lane, Part};
 use crate::hash;
 
 /// Why a request cannot be served now.
