--- a/crates/steer/src/affinity/mod.rs
+++ b/crates/steer/src/affinity/mod.rs
@@ -30,7 +30,7 @@
 
 /// Targets drawn for a request that may go to any. Two leave a busy pair one time in ten at half load;
 /// four next to never, and a host's word of the load is too old for more to be of use.
-const DRAWN: usize = 4;
+const CANDIDATES_DRAWN: usize = 4;
 
 /// A target that may take the request.
 #[derive(Clone, Copy, Debug)]
@@ -99,17 +99,17 @@
 pub fn choose_affine(
     object: u64,
     candidates: &[Candidate],
-    rules: &AffinityConfig,
+    config: &AffinityConfig,
 ) -> Option<Choice> {
-    let ranked = rank(object, candidates, rules);
-    for (rank, (_, index)) in ranked.iter().take(rules.choices).enumerate() {
+    let ranked = rank(object, candidates, config);
+    for (rank, (_, index)) in ranked.iter().take(config.choices).enumerate() {
         let candidate = &candidates[*index];
-        let room = if rank == 0 {
-            candidate.slots * rules.max_per_slot
+        let limit = if rank == 0 {
+            candidate.slots * config.max_per_slot
         } else {
             candidate.slots
         };
-        if candidate.busy < room {
+        if candidate.busy < limit {
             return Some(Choice {
                 index: *index,
                 rank,
@@ -122,7 +122,7 @@
             rank: 0,
         });
     }
-    any(object, candidates)
+    any_candidate(object, candidates)
 }
 
 /// Chooses a target for a request that is answered no sooner where its object was handled lately: the
@@ -136,23 +136,30 @@
 pub fn choose_least_loaded(
     point: u64,
     candidates: &[Candidate],
-    rules: &AffinityConfig,
+    config: &AffinityConfig,
 ) -> Option<Choice> {
-    let ranked = rank(point, candidates, rules);
+    let ranked = rank(point, candidates, config);
     let Some((_, first)) = ranked.first() else {
-        return any(point, candidates);
+        return any_candidate(point, candidates);
     };
     let first = &candidates[*first];
-    let is_beside = |c: &Candidate| (c.is_local, c.rtt_ratio) == (first.is_local, first.rtt_ratio);
-    let beside = ranked.iter().filter(|(_, i)| is_beside(&candidates[*i]));
-    let beside: Vec<usize> = beside.take(DRAWN).map(|(_, i)| *i).collect();
-    let all: Vec<usize> = ranked.iter().take(DRAWN).map(|(_, i)| *i).collect();
-    let least = |drawn: &[usize]| {
-        let parts = drawn.iter().map(|i| (part(&candidates[*i]), *i));
-        parts.min_by(|a, b| a.0.total_cmp(&b.0))
+    let same_region =
+        |c: &Candidate| (c.is_local, c.rtt_ratio) == (first.is_local, first.rtt_ratio);
+    let in_region = ranked.iter().filter(|(_, i)| same_region(&candidates[*i]));
+    let in_region: Vec<usize> = in_region.take(CANDIDATES_DRAWN).map(|(_, i)| *i).collect();
+    let all: Vec<usize> = ranked
+        .iter()
+        .take(CANDIDATES_DRAWN)
+        .map(|(_, i)| *i)
+        .collect();
+    let least_loaded = |drawn: &[usize]| {
+        let loads = drawn.iter().map(|i| (load_per_slot(&candidates[*i]), *i));
+        loads.min_by(|a, b| a.0.total_cmp(&b.0))
     };
-    let has_room = |found: &(f64, usize)| found.0 < 1.0;
-    let found = least(&beside).filter(has_room).or_else(|| least(&all))?;
+    let has_free_slot = |found: &(f64, usize)| found.0 < 1.0;
+    let found = least_loaded(&in_region)
+        .filter(has_free_slot)
+        .or_else(|| least_loaded(&all))?;
     let rank = ranked.iter().position(|(_, index)| *index == found.1)?;
     Some(Choice {
         index: found.1,
@@ -161,34 +168,34 @@
 }
 
 /// Sound candidates with their scores, the first choice first.
-fn rank(object: u64, candidates: &[Candidate], rules: &AffinityConfig) -> Vec<(f64, usize)> {
+fn rank(object: u64, candidates: &[Candidate], config: &AffinityConfig) -> Vec<(f64, usize)> {
     let mut ranked: Vec<(f64, usize)> = candidates
         .iter()
         .enumerate()
         .filter(|(_, c)| c.healthy)
-        .map(|(index, c)| (score(c.name_hash, object, weight(c, rules)), index))
+        .map(|(index, c)| (score(c.name_hash, object, weight(c, config)), index))
         .collect();
     ranked.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     ranked
 }
 
 /// Nobody answers: any of them may be back by now.
-fn any(object: u64, candidates: &[Candidate]) -> Option<Choice> {
+fn any_candidate(object: u64, candidates: &[Candidate]) -> Option<Choice> {
     let all = 0..candidates.len();
     let index = all.min_by_key(|i| mix64(candidates[*i].name_hash ^ mix64(object)))?;
     Some(Choice { index, rank: 0 })
 }
 
 /// Requests of a target for each of its slots.
-fn part(candidate: &Candidate) -> f64 {
+fn load_per_slot(candidate: &Candidate) -> f64 {
     f64::from(candidate.busy) / f64::from(candidate.slots.max(1))
 }
 
-fn weight(candidate: &Candidate, rules: &AffinityConfig) -> f64 {
+fn weight(candidate: &Candidate, config: &AffinityConfig) -> f64 {
     let locality = if candidate.is_local {
-        rules.local_weight
+        config.local_weight
     } else {
-        1.0 / (1.0 + (candidate.rtt_ratio / rules.half_rtt).powi(3))
+        1.0 / (1.0 + (candidate.rtt_ratio / config.half_rtt).powi(3))
     };
     f64::from(candidate.slots.max(1)) * locality
 }
--- a/crates/steer/src/blocks/builder.rs
+++ b/crates/steer/src/blocks/builder.rs
@@ -5,13 +5,13 @@
 use ipnet::IpNet;
 use thiserror::Error;
 
-use super::{Blocks, NOWHERE, Site, table::Table};
+use super::{Blocks, NO_NAME, NameIndex, table::Table};
 
 /// More names than a table can tell apart.
 #[derive(Debug, Error)]
 #[error(
     "more than {} names of regions or sites; a table cannot tell more apart",
-    NOWHERE
+    NO_NAME
 )]
 pub struct TooManyNames;
 
@@ -19,16 +19,16 @@
 #[derive(Debug)]
 pub struct BlocksBuilder {
     names: Vec<Arc<str>>,
-    sites: BTreeMap<Arc<str>, Site>,
-    v4: BTreeMap<(u32, u8), Site>,
-    v6: BTreeMap<(u128, u8), Site>,
+    indices: BTreeMap<Arc<str>, NameIndex>,
+    v4: BTreeMap<(u32, u8), NameIndex>,
+    v6: BTreeMap<(u128, u8), NameIndex>,
 }
 
 impl BlocksBuilder {
     pub(super) fn open() -> Self {
         Self {
             names: Vec::new(),
-            sites: BTreeMap::new(),
+            indices: BTreeMap::new(),
             v4: BTreeMap::new(),
             v6: BTreeMap::new(),
         }
@@ -40,41 +40,41 @@
     ///
     /// [`TooManyNames`] where there are too many names.
     pub fn add(&mut self, net: IpNet, name: &Arc<str>) -> Result<(), TooManyNames> {
-        let site = self.site(name)?;
+        let index = self.index_of(name)?;
         match net.trunc() {
             IpNet::V4(net) => self
                 .v4
-                .insert((net.network().to_bits(), net.prefix_len()), site),
+                .insert((net.network().to_bits(), net.prefix_len()), index),
             IpNet::V6(net) => self
                 .v6
-                .insert((net.network().to_bits(), net.prefix_len()), site),
+                .insert((net.network().to_bits(), net.prefix_len()), index),
         };
         Ok(())
     }
 
-    fn site(&mut self, name: &Arc<str>) -> Result<Site, TooManyNames> {
-        if let Some(site) = self.sites.get(name) {
-            return Ok(*site);
+    fn index_of(&mut self, name: &Arc<str>) -> Result<NameIndex, TooManyNames> {
+        if let Some(index) = self.indices.get(name) {
+            return Ok(*index);
         }
-        let site = Site::try_from(self.names.len()).map_err(|_| TooManyNames)?;
-        if site == NOWHERE {
+        let index = NameIndex::try_from(self.names.len()).map_err(|_| TooManyNames)?;
+        if index == NO_NAME {
             return Err(TooManyNames);
         }
         self.names.push(name.clone());
-        self.sites.insert(name.clone(), site);
-        Ok(site)
+        self.indices.insert(name.clone(), index);
+        Ok(index)
     }
 
     /// Builds the table.
     pub fn finish(self) -> Blocks {
         let count = self.v4.len() + self.v6.len();
-        let v4 = self.v4.into_iter().map(|((start, prefix), site)| {
+        let v4 = self.v4.into_iter().map(|((start, prefix), index)| {
             let rest = u32::MAX.checked_shr(u32::from(prefix)).unwrap_or(0);
-            (start, start | rest, site)
+            (start, start | rest, index)
         });
-        let v6 = self.v6.into_iter().map(|((start, prefix), site)| {
+        let v6 = self.v6.into_iter().map(|((start, prefix), index)| {
             let rest = u128::MAX.checked_shr(u32::from(prefix)).unwrap_or(0);
-            (start, start | rest, site)
+            (start, start | rest, index)
         });
         Blocks {
             v4: Table::open(flatten(v4, |last| last.checked_add(1))),
@@ -87,32 +87,32 @@
 
 /// Turns nested blocks, the outer before the inner, into ranges that follow one another.
 fn flatten<A: Copy + Ord>(
-    blocks: impl Iterator<Item = (A, A, Site)>,
+    blocks: impl Iterator<Item = (A, A, NameIndex)>,
     after: impl Fn(A) -> Option<A>,
-) -> Vec<(A, Site)> {
+) -> Vec<(A, NameIndex)> {
     let mut ranges = Vec::new();
     // Blocks that cover the place at hand, the outermost first, with their last addresses.
-    let mut open: Vec<(A, Site)> = Vec::new();
-    for (start, last, site) in blocks {
-        close(&mut open, &mut ranges, |end| end < start, &after);
-        ranges.push((start, site));
-        open.push((last, site));
+    let mut open: Vec<(A, NameIndex)> = Vec::new();
+    for (start, last, index) in blocks {
+        close_blocks(&mut open, &mut ranges, |end| end < start, &after);
+        ranges.push((start, index));
+        open.push((last, index));
     }
-    close(&mut open, &mut ranges, |_| true, &after);
+    close_blocks(&mut open, &mut ranges, |_| true, &after);
     ranges
 }
 
 /// Ends the innermost blocks while they are over; what is around them goes on.
-fn close<A: Copy + Ord>(
-    open: &mut Vec<(A, Site)>,
-    ranges: &mut Vec<(A, Site)>,
-    over: impl Fn(A) -> bool,
+fn close_blocks<A: Copy + Ord>(
+    open: &mut Vec<(A, NameIndex)>,
+    ranges: &mut Vec<(A, NameIndex)>,
+    ended: impl Fn(A) -> bool,
     after: impl Fn(A) -> Option<A>,
 ) {
-    while let Some((last, _)) = open.pop_if(|(last, _)| over(*last)) {
-        let around = open.last().map_or(NOWHERE, |(_, site)| *site);
+    while let Some((last, _)) = open.pop_if(|(last, _)| ended(*last)) {
+        let enclosing = open.last().map_or(NO_NAME, |(_, index)| *index);
         if let Some(next) = after(last) {
-            ranges.push((next, around));
+            ranges.push((next, enclosing));
         }
     }
 }
--- a/crates/steer/src/blocks/mod.rs
+++ b/crates/steer/src/blocks/mod.rs
@@ -19,10 +19,10 @@
 use table::Table;
 
 /// Index of a name; [`NOWHERE`] where no block covers the address.
-type Site = u16;
+type NameIndex = u16;
 
 /// What stands in a table where no block covers the address.
-const NOWHERE: Site = Site::MAX;
+const NO_NAME: NameIndex = NameIndex::MAX;
 
 /// Blocks of client addresses, each with a name.
 #[derive(Clone, Debug)]
@@ -57,11 +57,11 @@
     /// The name of the smallest block that covers an address. An IPv4 address that is written as
     /// an IPv6 one counts as IPv4.
     pub fn find(&self, address: IpAddr) -> Option<&Arc<str>> {
-        let site = match address.to_canonical() {
+        let name = match address.to_canonical() {
             IpAddr::V4(address) => self.v4.find(address.to_bits()),
             IpAddr::V6(address) => self.v6.find(address.to_bits()),
         };
-        self.names.get(usize::from(site))
+        self.names.get(usize::from(name))
     }
 
     /// Blocks that the table was built from.
--- a/crates/steer/src/blocks/table.rs
+++ b/crates/steer/src/blocks/table.rs
@@ -1,6 +1,6 @@
 //! Sorted ranges of addresses with an index over the first bits.
 
-use super::{NOWHERE, Site};
+use super::{NO_NAME, NameIndex};
 
 /// Bits of an address that the index covers: 65,536 entries, a quarter of a megabyte. With 760,000
 /// blocks spread evenly a range holds a dozen bounds, within two cache lines.
@@ -34,7 +34,7 @@
     /// Ascending; the first is the lowest address, or there are none.
     bounds: Vec<A>,
     /// What each range maps to; as long as `bounds`. Neighbours differ.
-    sites: Vec<Site>,
+    names: Vec<NameIndex>,
     /// For each head, the number of bounds with a lower head; one entry more than heads. Empty
     /// where there are no bounds.
     index: Vec<u32>,
@@ -42,49 +42,49 @@
 
 impl<A: Address> Table<A> {
     /// Takes ranges in ascending order of their starts.
-    pub(super) fn open(ranges: impl IntoIterator<Item = (A, Site)>) -> Self {
+    pub(super) fn open(ranges: impl IntoIterator<Item = (A, NameIndex)>) -> Self {
         let mut bounds = Vec::new();
-        let mut sites = Vec::new();
-        for (start, site) in ranges {
+        let mut names = Vec::new();
+        for (start, name) in ranges {
             if bounds.is_empty() && start > A::ZERO {
                 bounds.push(A::ZERO);
-                sites.push(NOWHERE);
+                names.push(NO_NAME);
             }
             if bounds.last() == Some(&start) {
                 bounds.pop();
-                sites.pop();
+                names.pop();
             }
-            if sites.last() != Some(&site) {
+            if names.last() != Some(&name) {
                 bounds.push(start);
-                sites.push(site);
+                names.push(name);
             }
         }
         bounds.shrink_to_fit();
-        sites.shrink_to_fit();
+        names.shrink_to_fit();
         let index = index(&bounds);
         Self {
             bounds,
-            sites,
+            names,
             index,
         }
     }
 
-    pub(super) fn find(&self, address: A) -> Site {
+    pub(super) fn find(&self, address: A) -> NameIndex {
         let head = address.head();
         let Some([from, to]) = self.index.get(head..head + 2) else {
-            return NOWHERE;
+            return NO_NAME;
         };
         let (from, to) = (*from as usize, *to as usize);
         // The range that covers the address starts within its head, or is the last one before.
         let within = self.bounds[from..to].partition_point(|bound| *bound <= address);
         match (from + within).checked_sub(1) {
-            Some(at) => self.sites[at],
-            None => NOWHERE,
+            Some(at) => self.names[at],
+            None => NO_NAME,
         }
     }
 
     pub(super) fn bytes(&self) -> usize {
-        size_of_val(&*self.bounds) + size_of_val(&*self.sites) + size_of_val(&*self.index)
+        size_of_val(&*self.bounds) + size_of_val(&*self.names) + size_of_val(&*self.index)
     }
 }
 
--- a/crates/steer/src/divide/adaptive.rs
+++ b/crates/steer/src/divide/adaptive.rs
@@ -3,7 +3,7 @@
 use super::{Demand, dominant_use};
 
 /// Part of a resource below which it counts as used up.
-const SPENT: f64 = 1e-12;
+const EPSILON: f64 = 1e-12;
 
 /// Gives each user an equal part first, then raises those who mostly use the one resource and
 /// those who mostly use the other at a ratio that depends on what is left.
@@ -15,7 +15,7 @@
 pub fn adaptive(capacity: [f64; 2], demands: &[Demand]) -> Vec<f64> {
     let mut state = State::open(capacity, demands);
     if let Some(speed) = state.speed() {
-        while state.rise(speed) {}
+        while state.advance(speed) {}
     }
     let units = state.users.iter().zip(demands);
     units
@@ -29,20 +29,20 @@
     /// Use of each resource for one part of the dominant one; the larger is 1.
     uses: [f64; 2],
     /// Part of the dominant resource that it has.
-    part: f64,
+    fraction: f64,
     /// Part of the dominant resource that one unit uses.
-    unit: f64,
+    unit_fraction: f64,
 }
 
 impl User {
     fn open(capacity: [f64; 2], demand: &Demand, users: f64) -> Self {
-        let unit = dominant_use(&capacity, demand);
+        let unit_fraction = dominant_use(&capacity, demand);
         // The rule divides by the smaller use: one of nothing is taken as next to nothing.
-        let uses = |r: usize| (demand.uses[r] / capacity[r] / unit).clamp(1e-9, 1.0);
+        let uses = |r: usize| (demand.uses[r] / capacity[r] / unit_fraction).clamp(1e-9, 1.0);
         Self {
             uses: [uses(0), uses(1)],
-            part: 1.0 / users,
-            unit,
+            fraction: 1.0 / users,
+            unit_fraction,
         }
     }
 
@@ -52,13 +52,13 @@
     }
 
     /// Use of the resource that is not its dominant one.
-    fn other(&self) -> f64 {
+    fn secondary_use(&self) -> f64 {
         self.uses[1 - self.group()]
     }
 
     fn units(&self) -> f64 {
-        if self.unit > 0.0 {
-            self.part / self.unit
+        if self.unit_fraction > 0.0 {
+            self.fraction / self.unit_fraction
         } else {
             f64::INFINITY
         }
@@ -68,7 +68,7 @@
 struct State {
     users: Vec<User>,
     /// Parts of the resources that are left.
-    left: [f64; 2],
+    remaining: [f64; 2],
 }
 
 /// What a group does in a step.
@@ -88,13 +88,13 @@
             .iter()
             .map(|demand| User::open(capacity, demand, count))
             .collect();
-        let mut left = [1.0, 1.0];
+        let mut remaining = [1.0, 1.0];
         for user in &users {
-            for (left, uses) in left.iter_mut().zip(user.uses) {
-                *left -= user.part * uses;
+            for (remaining, uses) in remaining.iter_mut().zip(user.uses) {
+                *remaining -= user.fraction * uses;
             }
         }
-        Self { users, left }
+        Self { users, remaining }
     }
 
     /// The ratio at which the first group's parts rise to the second's; `None` where a group is
@@ -103,12 +103,15 @@
         let count = self.users.len() as f64;
         let least = |group: usize| {
             let users = self.users.iter().filter(|user| user.group() == group);
-            users.map(User::other).reduce(f64::min)
+            users.map(User::secondary_use).reduce(f64::min)
         };
         // What is left, with the smallest use of each resource by those who mostly use the other
         // given back: a user could else gain by overstating it.
         let (least0, least1) = (least(0)?, least(1)?);
-        let rest = [self.left[0] + least1 / count, self.left[1] + least0 / count];
+        let rest = [
+            self.remaining[0] + least1 / count,
+            self.remaining[1] + least0 / count,
+        ];
         let second = self.users.iter().filter(|user| user.group() == 1).count();
         let second = second as f64 / count;
         let slack = |rest: f64, group: f64| 1.0 - (rest - 1.0 / count) / group;
@@ -126,29 +129,32 @@
         let members: Vec<usize> = (0..self.users.len())
             .filter(|n| self.users[*n].group() == group)
             .collect();
-        let has = |n: &usize| self.users[*n].part * self.users[*n].other();
+        let has = |n: &usize| self.users[*n].fraction * self.users[*n].secondary_use();
         let least = members.iter().map(has).fold(f64::INFINITY, f64::min);
         let same = |n: &usize| has(n) <= least * (1.0 + 1e-9);
         let active: Vec<usize> = members.iter().copied().filter(same).collect();
         let later = members.iter().filter(|n| !same(n)).map(has);
         Group {
-            ratio: active.iter().map(|n| 1.0 / self.users[*n].other()).sum(),
+            ratio: active
+                .iter()
+                .map(|n| 1.0 / self.users[*n].secondary_use())
+                .sum(),
             next: later.fold(f64::INFINITY, f64::min) - least,
             active,
         }
     }
 
     /// Takes one step; `false` once a resource is used up.
-    fn rise(&mut self, speed: f64) -> bool {
+    fn advance(&mut self, speed: f64) -> bool {
         let groups = [self.group(0), self.group(1)];
         // Rises of the two groups' dominant parts, in all, for a step of 1.
         let rises = [speed, 1.0];
-        let other = |g: usize| rises[g] / groups[g].ratio * groups[g].active.len() as f64;
-        let spend = [rises[0] + other(1), rises[1] + other(0)];
+        let secondary_rise = |g: usize| rises[g] / groups[g].ratio * groups[g].active.len() as f64;
+        let spend = [rises[0] + secondary_rise(1), rises[1] + secondary_rise(0)];
         let mut step = f64::INFINITY;
         for g in 0..2 {
             step = step.min(groups[g].next * groups[g].ratio / rises[g]);
-            step = step.min(self.left[g] / spend[g]);
+            step = step.min(self.remaining[g] / spend[g]);
         }
         if !step.is_finite() || step <= 0.0 {
             return false;
@@ -156,12 +162,12 @@
         for (g, group) in groups.iter().enumerate() {
             for n in &group.active {
                 let user = &mut self.users[*n];
-                user.part += step * rises[g] / group.ratio / user.other();
+                user.fraction += step * rises[g] / group.ratio / user.secondary_use();
             }
         }
-        for (left, spend) in self.left.iter_mut().zip(spend) {
-            *left -= step * spend;
+        for (remaining, spend) in self.remaining.iter_mut().zip(spend) {
+            *remaining -= step * spend;
         }
-        self.left.iter().all(|left| *left > SPENT)
+        self.remaining.iter().all(|remaining| *remaining > EPSILON)
     }
 }
--- a/crates/steer/src/divide/dominant.rs
+++ b/crates/steer/src/divide/dominant.rs
@@ -3,7 +3,7 @@
 use super::{Demand, dominant_use};
 
 /// Part of a resource below which it counts as used up; rounding would else go on for ever.
-const SPENT: f64 = 1e-12;
+const EPSILON: f64 = 1e-12;
 
 /// Raises all users' dominant parts at one speed; a user stops at what it wants or where a
 /// resource that it uses is used up.
@@ -11,30 +11,31 @@
 /// Ghodsi et al., *Dominant Resource Fairness* (NSDI 2011), with limited demands: what one user
 /// leaves is divided among the others.
 pub fn dominant(capacity: &[f64], demands: &[Demand]) -> Vec<f64> {
-    let mut left: Vec<f64> = capacity.to_vec();
-    let mut given = vec![0.0; demands.len()];
+    let mut remaining: Vec<f64> = capacity.to_vec();
+    let mut units_given = vec![0.0; demands.len()];
     let speeds: Vec<f64> = demands
         .iter()
         .map(|demand| speed(capacity, demand))
         .collect();
     loop {
         let active: Vec<usize> = (0..demands.len())
-            .filter(|n| speeds[*n] > 0.0 && given[*n] < demands[*n].max_units)
-            .filter(|n| open(capacity, &left, &demands[*n]))
+            .filter(|n| speeds[*n] > 0.0 && units_given[*n] < demands[*n].max_units)
+            .filter(|n| has_capacity(capacity, &remaining, &demands[*n]))
             .collect();
         if active.is_empty() {
-            return given;
+            return units_given;
         }
-        let step = step(&left, demands, &given, &speeds, &active);
+        let step = step(&remaining, demands, &units_given, &speeds, &active);
         for n in active {
-            let units = (step * speeds[n]).min(demands[n].max_units - given[n]);
+            let units = (step * speeds[n]).min(demands[n].max_units - units_given[n]);
             // A step that ends at what a user wants must end there, whatever rounding says.
-            given[n] = match units >= (demands[n].max_units - given[n]) * (1.0 - SPENT) {
-                true => demands[n].max_units,
-                false => given[n] + units,
-            };
-            for (left, uses) in left.iter_mut().zip(&demands[n].uses) {
-                *left -= units * uses;
+            units_given[n] =
+                match units >= (demands[n].max_units - units_given[n]) * (1.0 - EPSILON) {
+                    true => demands[n].max_units,
+                    false => units_given[n] + units,
+                };
+            for (remaining, uses) in remaining.iter_mut().zip(&demands[n].uses) {
+                *remaining -= units * uses;
             }
         }
     }
@@ -55,26 +56,32 @@
 }
 
 /// Whether something is left of all that a user uses.
-fn open(capacity: &[f64], left: &[f64], demand: &Demand) -> bool {
-    let resources = demand.uses.iter().zip(capacity).zip(left);
+fn has_capacity(capacity: &[f64], remaining: &[f64], demand: &Demand) -> bool {
+    let resources = demand.uses.iter().zip(capacity).zip(remaining);
     resources
         .filter(|((uses, _), _)| **uses > 0.0)
-        .all(|((_, capacity), left)| *left > capacity * SPENT)
+        .all(|((_, capacity), remaining)| *remaining > capacity * EPSILON)
 }
 
 /// How far all may rise until one has what it wants or a resource is used up.
-fn step(left: &[f64], demands: &[Demand], given: &[f64], speeds: &[f64], active: &[usize]) -> f64 {
+fn step(
+    remaining: &[f64],
+    demands: &[Demand],
+    units_given: &[f64],
+    speeds: &[f64],
+    active: &[usize],
+) -> f64 {
     let wants = active
         .iter()
-        .map(|n| (demands[*n].max_units - given[*n]) / speeds[*n]);
+        .map(|n| (demands[*n].max_units - units_given[*n]) / speeds[*n]);
     let mut step = wants.fold(f64::INFINITY, f64::min);
-    for (resource, left) in left.iter().enumerate() {
+    for (resource, remaining) in remaining.iter().enumerate() {
         let uses = active
             .iter()
             .map(|n| demands[*n].uses[resource] * speeds[*n]);
         let sum: f64 = uses.sum();
         if sum > 0.0 {
-            step = step.min(left / sum);
+            step = step.min(remaining / sum);
         }
     }
     step.max(0.0)
--- a/crates/steer/src/grants/grantee.rs
+++ b/crates/steer/src/grants/grantee.rs
@@ -4,7 +4,7 @@
 
 use thiserror::Error;
 
-use super::{GRANT_TTL, Grant, GrantRequest, Need, token_bucket::Bucket};
+use super::{GRANT_TTL, Grant, GrantRequest, Need, token_bucket::TokenBucket};
 
 /// No room for a request now.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
@@ -16,47 +16,50 @@
 }
 
 /// Shortest time to wait; rounding would else end a wait just before its time.
-const SHORTEST: Duration = Duration::from_millis(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(1);
 
 /// Time after which a request tries again where no grant was ever heard of. Room is asked for once a
 /// lane has traffic, and the answer is a round trip away; told to wait for a grant's whole life, the
 /// first requests of a lane were refused while most slots were free.
-const UNHEARD: Duration = Duration::from_millis(50);
+const FIRST_GRANT_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Buckets of one region and service.
 #[derive(Clone, Debug)]
-struct Pool {
+struct RegionGrants {
     /// By grantor, with the time at which each ends.
-    grants: BTreeMap<Arc<str>, (Duration, Grant)>,
-    requests: Bucket,
-    request_bytes: Bucket,
-    answer_bytes: Bucket,
+    by_grantor: BTreeMap<Arc<str>, (Duration, Grant)>,
+    requests: TokenBucket,
+    request_bytes: TokenBucket,
+    answer_bytes: TokenBucket,
     /// Sizes of the last request and of its expected answer.
     sizes: (f64, f64),
 }
 
 /// Sums of the grants that hold now.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sum {
+struct GrantSum {
     rate: f64,
     request_bytes: f64,
     answer_bytes: f64,
 }
 
-impl Pool {
+impl RegionGrants {
     fn open(now: Duration) -> Self {
         Self {
-            grants: BTreeMap::new(),
-            requests: Bucket::open(now),
-            request_bytes: Bucket::open(now),
-            answer_bytes: Bucket::open(now),
+            by_grantor: BTreeMap::new(),
+            requests: TokenBucket::open(now),
+            request_bytes: TokenBucket::open(now),
+            answer_bytes: TokenBucket::open(now),
             sizes: (0.0, 0.0),
         }
     }
 
-    fn sum(&self, now: Duration) -> Sum {
-        let live = self.grants.values().filter(|(until, _)| *until > now);
-        live.fold(Sum::default(), |sum, (_, grant)| Sum {
+    fn sum(&self, now: Duration) -> GrantSum {
+        let active = self
+            .by_grantor
+            .values()
+            .filter(|(expires_at, _)| *expires_at > now);
+        active.fold(GrantSum::default(), |sum, (_, grant)| GrantSum {
             rate: sum.rate + grant.rate,
             request_bytes: sum.request_bytes + grant.request_bytes,
             answer_bytes: sum.answer_bytes + grant.answer_bytes,
@@ -70,7 +73,8 @@
         self.requests.fill(sum.rate, 1.0, now);
         self.request_bytes.fill(sum.request_bytes, request, now);
         self.answer_bytes.fill(sum.answer_bytes, answer, now);
-        self.grants.retain(|_, (until, _)| *until > now);
+        self.by_grantor
+            .retain(|_, (expires_at, _)| *expires_at > now);
     }
 }
 
@@ -79,7 +83,7 @@
 pub struct Grantee {
     host: Arc<str>,
     region: Arc<str>,
-    pools: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Pool>>,
+    regions: BTreeMap<Arc<str>, BTreeMap<Arc<str>, RegionGrants>>,
 }
 
 impl Grantee {
@@ -88,13 +92,13 @@
         Self {
             host: host.clone(),
             region: region.clone(),
-            pools: BTreeMap::new(),
+            regions: BTreeMap::new(),
         }
     }
 
     /// An ask to one of `grantors` hosts of a region: its even part of what is needed.
     pub fn request(&self, needs: &[Need], grantors: usize, now: Duration) -> GrantRequest {
-        let part = |need: &Need| Need {
+        let share = |need: &Need| Need {
             rate: need.rate / grantors.max(1) as f64,
             ..need.clone()
         };
@@ -102,28 +106,30 @@
             host: self.host.clone(),
             region: self.region.clone(),
             sent_at: now,
-            needs: needs.iter().map(part).collect(),
+            needs: needs.iter().map(share).collect(),
         }
     }
 
     /// Takes a grant in. One for another host, or one that was asked for before the grant it would
     /// replace, is left aside.
     pub fn receive(&mut self, grant: Grant, now: Duration) {
-        let until = grant.requested_at + GRANT_TTL;
-        if grant.grantee != self.host || until <= now || grant.requested_at > now {
+        let expires_at = grant.requested_at + GRANT_TTL;
+        if grant.grantee != self.host || expires_at <= now || grant.requested_at > now {
             return;
         }
-        let pools = self.pools.entry(grant.region.clone()).or_default();
-        let pool = pools
+        let services = self.regions.entry(grant.region.clone()).or_default();
+        let grants = services
             .entry(grant.service.clone())
-            .or_insert_with(|| Pool::open(now));
-        if let Some((known, _)) = pool.grants.get(&grant.grantor)
-            && *known > until
+            .or_insert_with(|| RegionGrants::open(now));
+        if let Some((known, _)) = grants.by_grantor.get(&grant.grantor)
+            && *known > expires_at
         {
             return;
         }
-        pool.fill(now);
-        pool.grants.insert(grant.grantor.clone(), (until, grant));
+        grants.fill(now);
+        grants
+            .by_grantor
+            .insert(grant.grantor.clone(), (expires_at, grant));
     }
 
     /// Takes room for one request, by its size and the size that its answer is expected to have.
@@ -139,56 +145,56 @@
         (request, answer): (f64, f64),
         now: Duration,
     ) -> Result<(), NoCapacity> {
-        let Some(pool) = self.pool(region, service) else {
+        let Some(grants) = self.grants(region, service) else {
             return Err(NoCapacity {
-                retry_after: UNHEARD,
+                retry_after: FIRST_GRANT_RETRY_AFTER,
             });
         };
-        pool.sizes = (request, answer);
-        pool.fill(now);
-        let sum = pool.sum(now);
-        let wait = pool
+        grants.sizes = (request, answer);
+        grants.fill(now);
+        let sum = grants.sum(now);
+        let wait = grants
             .requests
             .wait(1.0, sum.rate)
-            .max(pool.request_bytes.wait(request, sum.request_bytes))
-            .max(pool.answer_bytes.wait(answer, sum.answer_bytes));
-        if wait > 0.0 || pool.grants.is_empty() {
+            .max(grants.request_bytes.wait(request, sum.request_bytes))
+            .max(grants.answer_bytes.wait(answer, sum.answer_bytes));
+        if wait > 0.0 || grants.by_grantor.is_empty() {
             let wait = Duration::try_from_secs_f64(wait).unwrap_or(GRANT_TTL);
             return Err(NoCapacity {
-                retry_after: wait.clamp(SHORTEST, GRANT_TTL),
+                retry_after: wait.clamp(MIN_RETRY_AFTER, GRANT_TTL),
             });
         }
-        pool.requests.take(1.0);
-        pool.request_bytes.take(request);
-        pool.answer_bytes.take(answer);
+        grants.requests.take(1.0);
+        grants.request_bytes.take(request);
+        grants.answer_bytes.take(answer);
         Ok(())
     }
 
     /// Puts an answer's size right, once it is known: `more` bytes than expected, below 0 for
     /// less.
-    pub fn adjust_bytes(&mut self, region: &str, service: &str, more: f64) {
-        if let Some(pool) = self.pool(region, service) {
-            pool.answer_bytes.take(more);
+    pub fn adjust_bytes(&mut self, region: &str, service: &str, difference: f64) {
+        if let Some(grants) = self.grants(region, service) {
+            grants.answer_bytes.take(difference);
         }
     }
 
     /// Requests a second that a region takes now, by rate and by bytes.
     pub fn rate(&self, region: &str, need: &Need, now: Duration) -> f64 {
-        let pool = self
-            .pools
+        let grants = self
+            .regions
             .get(region)
-            .and_then(|pools| pools.get(&need.service));
-        let sum = pool.map(|pool| pool.sum(now)).unwrap_or_default();
-        let by = |bytes: f64, size: f64| match size > 0.0 {
+            .and_then(|services| services.get(&need.service));
+        let sum = grants.map(|grants| grants.sum(now)).unwrap_or_default();
+        let rate_limit = |bytes: f64, size: f64| match size > 0.0 {
             true => bytes / size,
             false => f64::INFINITY,
         };
         sum.rate
-            .min(by(sum.request_bytes, need.request_bytes))
-            .min(by(sum.answer_bytes, need.answer_bytes))
+            .min(rate_limit(sum.request_bytes, need.request_bytes))
+            .min(rate_limit(sum.answer_bytes, need.answer_bytes))
     }
 
-    fn pool(&mut self, region: &str, service: &str) -> Option<&mut Pool> {
-        self.pools.get_mut(region)?.get_mut(service)
+    fn grants(&mut self, region: &str, service: &str) -> Option<&mut RegionGrants> {
+        self.regions.get_mut(region)?.get_mut(service)
     }
 }
--- a/crates/steer/src/grants/grantor.rs
+++ b/crates/steer/src/grants/grantor.rs
@@ -4,14 +4,14 @@
 
 use super::{
     FRESH_AGE, GRANT_TTL, Grant, GrantRequest, LinkCapacity, Need, REQUEST_FRACTION, STALE_AGE,
-    local_usage::{LocalUsage, Measured},
-    outstanding::{Amount, Book},
-    window_max::Most,
+    local_usage::{LocalUsage, UsageHistory},
+    outstanding::{GrantAmount, OutstandingGrants},
+    window_max::WindowMax,
 };
 use crate::divide::{Demand, dominant};
 
 /// Part of a need below which a grant is not worth its message.
-const LEAST: f64 = 1e-6;
+const EPSILON: f64 = 1e-6;
 
 /// A resource that grants use up.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -34,16 +34,16 @@
     region: Arc<str>,
     /// Until when it grants nothing: its region's other hosts have not counted it yet, and what
     /// was lent on its targets before it came may still be used.
-    quiet: Duration,
+    quiet_until: Duration,
     /// Part of the region's slots that is left free, of 1.
     headroom: f64,
     links: LinkCapacity,
-    own: BTreeMap<Arc<str>, Measured>,
+    usage: BTreeMap<Arc<str>, UsageHistory>,
     /// Hosts of the region.
-    hosts: Most,
+    hosts: WindowMax,
     /// The last ask of each host, with the time it came.
-    asks: BTreeMap<Arc<str>, (Duration, GrantRequest)>,
-    book: Book,
+    requests: BTreeMap<Arc<str>, (Duration, GrantRequest)>,
+    outstanding: OutstandingGrants,
 }
 
 impl Grantor {
@@ -52,13 +52,13 @@
         Self {
             host: host.clone(),
             region: region.clone(),
-            quiet: now + GRANT_TTL,
+            quiet_until: now + GRANT_TTL,
             headroom: 1.0,
             links: LinkCapacity::new(),
-            own: BTreeMap::new(),
-            hosts: Most::default(),
-            asks: BTreeMap::new(),
-            book: Book::default(),
+            usage: BTreeMap::new(),
+            hosts: WindowMax::default(),
+            requests: BTreeMap::new(),
+            outstanding: OutstandingGrants::default(),
         }
     }
 
@@ -69,12 +69,12 @@
     }
 
     /// Notes a measurement of the host's own targets.
-    pub fn record_usage(&mut self, service: &Arc<str>, own: LocalUsage, now: Duration) {
-        match self.own.get_mut(service) {
-            Some(measured) => measured.add(own, now),
+    pub fn record_usage(&mut self, service: &Arc<str>, usage: LocalUsage, now: Duration) {
+        match self.usage.get_mut(service) {
+            Some(measured) => measured.add(usage, now),
             None => {
-                let measured = Measured::open(own, now);
-                self.own.insert(service.clone(), measured);
+                let measured = UsageHistory::open(usage, now);
+                self.usage.insert(service.clone(), measured);
             }
         }
     }
@@ -85,30 +85,30 @@
     }
 
     /// Notes what a host wants; it is answered by the next [`Grantor::grant`].
-    pub fn on_request(&mut self, ask: GrantRequest, now: Duration) {
+    pub fn on_request(&mut self, request: GrantRequest, now: Duration) {
         // A late ask must not take the place of a newer one.
-        if let Some((_, known)) = self.asks.get(&ask.host)
-            && known.sent_at > ask.sent_at
+        if let Some((_, known)) = self.requests.get(&request.host)
+            && known.sent_at > request.sent_at
         {
             return;
         }
-        self.asks.insert(ask.host.clone(), (now, ask));
+        self.requests.insert(request.host.clone(), (now, request));
     }
 
     /// Divides the room among all that asked lately and gives the grants to send.
     pub fn grant(&mut self, now: Duration) -> Vec<Grant> {
-        self.book.expire(now);
-        self.asks
-            .retain(|_, (came, _)| now.saturating_sub(*came) < GRANT_TTL);
-        let wants = self.wants(now);
-        let room = self.room(now);
-        let targets = divide(&room, &wants);
-        let mut free = self.free(&room);
+        self.outstanding.expire(now);
+        self.requests
+            .retain(|_, (received_at, _)| now.saturating_sub(*received_at) < GRANT_TTL);
+        let demands = self.demands(now);
+        let capacity = self.capacity(now);
+        let targets = divide(&capacity, &demands);
+        let mut available = self.unused(&capacity);
         let mut grants = Vec::new();
-        for (want, target) in wants.iter().zip(targets) {
-            let units = self.fit(want, target, &mut free);
-            if units * want.slots > LEAST * want.slots && units > 0.0 {
-                grants.push(self.lend(want, units, now));
+        for (demand, target) in demands.iter().zip(targets) {
+            let units = self.fit(demand, target, &mut available);
+            if units * demand.slots > EPSILON * demand.slots && units > 0.0 {
+                grants.push(self.issue(demand, units, now));
             }
         }
         grants
@@ -117,81 +117,84 @@
     /// Requests a second of a service that the host's own callers may send here beyond what they
     /// do, lent room left out; none where the last measurement is old.
     pub fn spare_rate(&self, service: &str, now: Duration) -> f64 {
-        let Some(measured) = self.own.get(service) else {
+        let Some(measured) = self.usage.get(service) else {
             return 0.0;
         };
         if now.saturating_sub(measured.at) > FRESH_AGE {
             return 0.0;
         }
-        let lent = self.book.iter().filter(|(name, _, _)| ***name == *service);
-        let lent: f64 = lent.map(|(_, _, amount)| amount.slots).sum();
-        (measured.room(self.headroom) - lent).max(0.0) / measured.work()
+        let granted = self
+            .outstanding
+            .iter()
+            .filter(|(name, _, _)| ***name == *service);
+        let granted: f64 = granted.map(|(_, _, amount)| amount.slots).sum();
+        (measured.available_slots(self.headroom) - granted).max(0.0) / measured.service_seconds()
     }
 
     /// All that is asked for, in a fixed order. Needs without a target here are left out.
-    fn wants(&self, now: Duration) -> Vec<Want> {
-        let mut wants = Vec::new();
-        for (_, ask) in self.asks.values() {
-            for need in &ask.needs {
-                let Some(measured) = self.own.get(&need.service) else {
+    fn demands(&self, now: Duration) -> Vec<GrantDemand> {
+        let mut demands = Vec::new();
+        for (_, request) in self.requests.values() {
+            for need in &request.needs {
+                let Some(measured) = self.usage.get(&need.service) else {
                     continue;
                 };
                 let age = now.saturating_sub(measured.at);
-                let key = (ask.host.clone(), need.service.clone());
-                let lent = self.book.lent(&key).slots / measured.work();
-                let most = match age {
+                let key = (request.host.clone(), need.service.clone());
+                let granted = self.outstanding.amount(&key).slots / measured.service_seconds();
+                let max_rate = match age {
                     age if age <= FRESH_AGE => need.rate,
-                    age if age < STALE_AGE => need.rate.min(lent),
+                    age if age < STALE_AGE => need.rate.min(granted),
                     _ => 0.0,
                 };
-                if sound(need) && most > 0.0 {
-                    wants.push(Want {
+                if is_valid(need) && max_rate > 0.0 {
+                    demands.push(GrantDemand {
                         key,
-                        region: ask.region.clone(),
-                        asked: ask.sent_at,
-                        most,
-                        slots: measured.work(),
+                        region: request.region.clone(),
+                        requested_at: request.sent_at,
+                        max_rate,
+                        slots: measured.service_seconds(),
                         request_bytes: need.request_bytes,
                         answer_bytes: need.answer_bytes,
                     });
                 }
             }
         }
-        wants
+        demands
     }
 
     /// What the host may lend in all, by resource.
-    fn room(&self, now: Duration) -> BTreeMap<Resource, f64> {
-        let mut room = BTreeMap::new();
-        for (service, measured) in &self.own {
-            let slots = match now < self.quiet {
+    fn capacity(&self, now: Duration) -> BTreeMap<Resource, f64> {
+        let mut capacity = BTreeMap::new();
+        for (service, measured) in &self.usage {
+            let slots = match now < self.quiet_until {
                 true => 0.0,
-                false => measured.room(self.headroom),
+                false => measured.available_slots(self.headroom),
             };
-            room.insert(Resource::Slots(service.clone()), slots);
+            capacity.insert(Resource::Slots(service.clone()), slots);
         }
         let hosts = self.hosts.get().unwrap_or(0.0);
         for (region, bytes) in &self.links {
-            let part = match now < self.quiet || hosts < 1.0 {
+            let share = match now < self.quiet_until || hosts < 1.0 {
                 true => 0.0,
                 false => bytes / hosts,
             };
-            room.insert(Resource::Requests(region.clone()), part * REQUEST_FRACTION);
-            room.insert(
+            capacity.insert(Resource::Requests(region.clone()), share * REQUEST_FRACTION);
+            capacity.insert(
                 Resource::Answers(region.clone()),
-                part * (1.0 - REQUEST_FRACTION),
+                share * (1.0 - REQUEST_FRACTION),
             );
         }
-        room
+        capacity
     }
 
     /// What is left of the room beside all that is lent; below 0 where the room has shrunk.
-    fn free(&self, room: &BTreeMap<Resource, f64>) -> BTreeMap<Resource, f64> {
-        let mut free = room.clone();
-        for (service, region, amount) in self.book.iter() {
+    fn unused(&self, capacity: &BTreeMap<Resource, f64>) -> BTreeMap<Resource, f64> {
+        let mut available = capacity.clone();
+        for (service, region, amount) in self.outstanding.iter() {
             let mut take = |resource, amount| {
-                if let Some(free) = free.get_mut(&resource) {
-                    *free -= amount;
+                if let Some(available) = available.get_mut(&resource) {
+                    *available -= amount;
                 }
             };
             take(Resource::Slots(service.clone()), amount.slots);
@@ -200,40 +203,46 @@
                 take(Resource::Answers(region.clone()), amount.answer_bytes);
             }
         }
-        free
+        available
     }
 
     /// Units of a target that fit beside all other grants; takes what it adds out of `free`.
-    fn fit(&self, want: &Want, target: f64, free: &mut BTreeMap<Resource, f64>) -> f64 {
-        let lent = self.book.lent(&want.key);
-        let uses = want.uses(&self.region);
+    fn fit(
+        &self,
+        demand: &GrantDemand,
+        target: f64,
+        available: &mut BTreeMap<Resource, f64>,
+    ) -> f64 {
+        let granted = self.outstanding.amount(&demand.key);
+        let uses = demand.uses(&self.region);
         let mut units = target;
-        for (resource, uses, lent) in uses.iter(&lent) {
-            let Some(free) = free.get(resource) else {
+        for (resource, uses, granted) in uses.iter(&granted) {
+            let Some(available) = available.get(resource) else {
                 return 0.0;
             };
             if uses > 0.0 {
                 // What the host was lent already is its own to use again.
-                units = units.min((lent + free.max(0.0)) / uses);
+                units = units.min((granted + available.max(0.0)) / uses);
             }
         }
-        for (resource, uses, lent) in uses.iter(&lent) {
-            if let Some(free) = free.get_mut(resource) {
-                *free -= (units * uses - lent).max(0.0);
+        for (resource, uses, granted) in uses.iter(&granted) {
+            if let Some(available) = available.get_mut(resource) {
+                *available -= (units * uses - granted).max(0.0);
             }
         }
         units
     }
 
-    fn lend(&mut self, want: &Want, units: f64, now: Duration) -> Grant {
-        let amount = Amount {
-            slots: units * want.slots,
-            request_bytes: units * want.request_bytes,
-            answer_bytes: units * want.answer_bytes,
+    fn issue(&mut self, demand: &GrantDemand, units: f64, now: Duration) -> Grant {
+        let amount = GrantAmount {
+            slots: units * demand.slots,
+            request_bytes: units * demand.request_bytes,
+            answer_bytes: units * demand.answer_bytes,
         };
-        let key = want.key.clone();
-        self.book.add(key, &want.region, now + GRANT_TTL, amount);
-        let (grantee, service) = want.key.clone();
+        let key = demand.key.clone();
+        self.outstanding
+            .add(key, &demand.region, now + GRANT_TTL, amount);
+        let (grantee, service) = demand.key.clone();
         Grant {
             grantor: self.host.clone(),
             region: self.region.clone(),
@@ -242,18 +251,18 @@
             rate: units,
             request_bytes: amount.request_bytes,
             answer_bytes: amount.answer_bytes,
-            requested_at: want.asked,
+            requested_at: demand.requested_at,
         }
     }
 }
 
 /// One need of one host; a unit is a request a second.
-struct Want {
+struct GrantDemand {
     /// Host and service.
     key: (Arc<str>, Arc<str>),
     region: Arc<str>,
-    asked: Duration,
-    most: f64,
+    requested_at: Duration,
+    max_rate: f64,
     /// Slots that a unit takes up.
     slots: f64,
     request_bytes: f64,
@@ -261,60 +270,60 @@
 }
 
 /// What a unit uses of each resource; no link where the host is in the grantor's own region.
-struct Uses {
+struct UnitUses {
     list: Vec<(Resource, f64)>,
 }
 
-impl Uses {
+impl UnitUses {
     /// Each resource with its use and with what of it is lent already.
-    fn iter(&self, lent: &Amount) -> impl Iterator<Item = (&Resource, f64, f64)> {
-        let lent = *lent;
+    fn iter(&self, granted: &GrantAmount) -> impl Iterator<Item = (&Resource, f64, f64)> {
+        let granted = *granted;
         self.list.iter().map(move |(resource, uses)| {
-            let lent = match resource {
-                Resource::Slots(_) => lent.slots,
-                Resource::Requests(_) => lent.request_bytes,
-                Resource::Answers(_) => lent.answer_bytes,
+            let granted = match resource {
+                Resource::Slots(_) => granted.slots,
+                Resource::Requests(_) => granted.request_bytes,
+                Resource::Answers(_) => granted.answer_bytes,
             };
-            (resource, *uses, lent)
+            (resource, *uses, granted)
         })
     }
 }
 
-impl Want {
-    fn uses(&self, own: &Arc<str>) -> Uses {
+impl GrantDemand {
+    fn uses(&self, own: &Arc<str>) -> UnitUses {
         let mut list = vec![(Resource::Slots(self.key.1.clone()), self.slots)];
         if self.region != *own {
             list.push((Resource::Requests(self.region.clone()), self.request_bytes));
             list.push((Resource::Answers(self.region.clone()), self.answer_bytes));
         }
-        Uses { list }
+        UnitUses { list }
     }
 }
 
 /// Whether a need's figures can be reckoned with; they come from another host.
-fn sound(need: &Need) -> bool {
+fn is_valid(need: &Need) -> bool {
     let figures = [need.rate, need.request_bytes, need.answer_bytes];
     figures.iter().all(|n| n.is_finite() && *n >= 0.0)
 }
 
 /// Units for each want, by dominant-resource fairness over all resources.
-fn divide(room: &BTreeMap<Resource, f64>, wants: &[Want]) -> Vec<f64> {
-    let resources: Vec<&Resource> = room.keys().collect();
-    let capacity: Vec<f64> = room.values().copied().collect();
-    let demands: Vec<Demand> = wants
+fn divide(capacity: &BTreeMap<Resource, f64>, demands: &[GrantDemand]) -> Vec<f64> {
+    let resources: Vec<&Resource> = capacity.keys().collect();
+    let capacity: Vec<f64> = capacity.values().copied().collect();
+    let unit_demands: Vec<Demand> = demands
         .iter()
-        .map(|want| Demand {
+        .map(|demand| Demand {
             uses: resources
                 .iter()
-                .map(|resource| want.unit(resource))
+                .map(|resource| demand.unit(resource))
                 .collect(),
-            max_units: want.most,
+            max_units: demand.max_rate,
         })
         .collect();
-    dominant(&capacity, &demands)
+    dominant(&capacity, &unit_demands)
 }
 
-impl Want {
+impl GrantDemand {
     /// What a unit uses of a resource.
     fn unit(&self, resource: &Resource) -> f64 {
         match resource {
--- a/crates/steer/src/grants/local_usage.rs
+++ b/crates/steer/src/grants/local_usage.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-use super::{PEAK_WINDOW, window_max::Most};
+use super::{PEAK_WINDOW, window_max::WindowMax};
 
 /// Capacity of one service's targets that a host owns, and its use by work that needs no grant.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,7 +27,7 @@
 
 /// The measurements of the last while.
 #[derive(Clone, Debug)]
-pub(super) struct Measured {
+pub(super) struct UsageHistory {
     last: LocalUsage,
     /// When it was taken.
     pub(super) at: Duration,
@@ -35,24 +35,24 @@
     peaks: VecDeque<(Duration, f64)>,
     /// Slots, below 0, so that the least of late counts: those that are new to this host may be
     /// lent out by the host that had them before, for the lifetime of a grant.
-    slots: Most,
+    min_slots: WindowMax,
 }
 
-impl Measured {
-    pub(super) fn open(own: LocalUsage, now: Duration) -> Self {
-        let mut slots = Most::default();
-        slots.add(-own.slots, now);
+impl UsageHistory {
+    pub(super) fn open(usage: LocalUsage, now: Duration) -> Self {
+        let mut min_slots = WindowMax::default();
+        min_slots.add(-usage.slots, now);
         Self {
-            last: own,
+            last: usage,
             at: now,
-            peaks: VecDeque::from([(now, own.used())]),
-            slots,
+            peaks: VecDeque::from([(now, usage.used())]),
+            min_slots,
         }
     }
 
-    pub(super) fn add(&mut self, own: LocalUsage, now: Duration) {
-        let used = own.used();
-        self.last = own;
+    pub(super) fn add(&mut self, usage: LocalUsage, now: Duration) {
+        let used = usage.used();
+        self.last = usage;
         self.at = now;
         while self.peaks.pop_back_if(|(_, busy)| *busy <= used).is_some() {}
         self.peaks.push_back((now, used));
@@ -61,22 +61,22 @@
             .pop_front_if(|(at, _)| now.saturating_sub(*at) > PEAK_WINDOW)
             .is_some()
         {}
-        self.slots.add(-own.slots, now);
+        self.min_slots.add(-usage.slots, now);
     }
 
     /// Slots that may be lent, while `headroom` of all is left free.
-    pub(super) fn room(&self, headroom: f64) -> f64 {
+    pub(super) fn available_slots(&self, headroom: f64) -> f64 {
         let peak = self
             .peaks
             .front()
             .map_or(self.last.used(), |(_, busy)| *busy);
-        let slots = self.slots.get().map_or(self.last.slots, |slots| -slots);
+        let slots = self.min_slots.get().map_or(self.last.slots, |slots| -slots);
         (slots * (1.0 - headroom) - peak).max(0.0)
     }
 
     /// Seconds that a request takes up a slot; not less than a microsecond, since a rate is slots
     /// by this.
-    pub(super) fn work(&self) -> f64 {
+    pub(super) fn service_seconds(&self) -> f64 {
         self.last.service_time.as_secs_f64().max(1e-6)
     }
 }
--- a/crates/steer/src/hosts/table.rs
+++ b/crates/steer/src/hosts/table.rs
@@ -15,7 +15,7 @@
     /// As long as `hosts`: hash of the name, and the weight.
     keys: Vec<(u64, u16)>,
     /// For each region of callers, the hosts of each region (a range of `hosts`), nearest first.
-    near: BTreeMap<Arc<str>, Vec<(usize, usize)>>,
+    by_distance: BTreeMap<Arc<str>, Vec<(usize, usize)>>,
 }
 
 impl HostTable {
@@ -26,19 +26,25 @@
             .iter()
             .map(|host| (hash::hash_str(&host.name), host.weight()))
             .collect();
-        let near = config.regions.keys().map(|callers| {
-            let ranges = order(config, callers).into_iter().map(|region| {
-                let from = hosts.partition_point(|host| host.region < region);
-                let to = hosts.partition_point(|host| host.region <= region);
-                (from, to)
-            });
+        let by_distance = config.regions.keys().map(|callers| {
+            let ranges = regions_by_distance(config, callers)
+                .into_iter()
+                .map(|region| {
+                    let from = hosts.partition_point(|host| host.region < region);
+                    let to = hosts.partition_point(|host| host.region <= region);
+                    (from, to)
+                });
             (
                 callers.clone(),
                 ranges.filter(|(from, to)| from < to).collect(),
             )
         });
-        let near = near.collect();
-        Self { hosts, keys, near }
+        let by_distance = by_distance.collect();
+        Self {
+            hosts,
+            keys,
+            by_distance,
+        }
     }
 
     /// The hosts for a block of callers near to a region; allocates nothing.
@@ -48,13 +54,13 @@
     pub fn lookup(&self, callers: &str, block: u64) -> ChosenHosts {
         let mut choices = ChosenHosts::default();
         let mut count = 0;
-        let Some(near) = self.near.get(callers) else {
+        let Some(by_distance) = self.by_distance.get(callers) else {
             return choices;
         };
-        for least in [SUSPECT_WEIGHT + 1, SUSPECT_WEIGHT] {
-            for (from, to) in near {
+        for min_weight in [SUSPECT_WEIGHT + 1, SUSPECT_WEIGHT] {
+            for (from, to) in by_distance {
                 if count < MAX_HOSTS {
-                    count = self.fill(&mut choices, count, block, *from..*to, least);
+                    count = self.fill(&mut choices, count, block, *from..*to, min_weight);
                 }
             }
         }
@@ -68,32 +74,32 @@
         count: usize,
         block: u64,
         range: std::ops::Range<usize>,
-        least: u16,
+        min_weight: u16,
     ) -> usize {
         let value = hash::mix64(block);
         let mut best: [Option<(u64, usize)>; MAX_HOSTS] = [None; MAX_HOSTS];
-        let most = if least > SUSPECT_WEIGHT {
+        let max_weight = if min_weight > SUSPECT_WEIGHT {
             FULL_WEIGHT
         } else {
             SUSPECT_WEIGHT
         };
         for at in range {
             let (key, weight) = self.keys[at];
-            if weight < least || weight > most {
+            if weight < min_weight || weight > max_weight {
                 continue;
             }
             // The order goes by the name alone: a change of load must not send callers elsewhere.
             let score = hash::mix64(key ^ value);
-            let place = best.partition_point(|other| other.is_some_and(|(o, _)| o >= score));
-            if place < MAX_HOSTS {
-                best[place..].rotate_right(1);
-                best[place] = Some((score, at));
+            let position = best.partition_point(|other| other.is_some_and(|(o, _)| o >= score));
+            if position < MAX_HOSTS {
+                best[position..].rotate_right(1);
+                best[position] = Some((score, at));
             }
         }
         let found = best.iter().flatten();
-        let free = choices.list[count..].iter_mut();
+        let empty = choices.list[count..].iter_mut();
         let mut added = 0;
-        for (slot, (_, at)) in free.zip(found) {
+        for (slot, (_, at)) in empty.zip(found) {
             *slot = Some(WeightedHost {
                 host: *at as u32,
                 weight: self.keys[*at].1,
@@ -110,7 +116,7 @@
 }
 
 /// All regions, the callers' own first, then by delay; those without a link last.
-fn order(config: &Config, callers: &Arc<str>) -> Vec<Arc<str>> {
+fn regions_by_distance(config: &Config, callers: &Arc<str>) -> Vec<Arc<str>> {
     let delay = |region: &Arc<str>| {
         if region == callers {
             return 0;
--- a/crates/steer/src/naive/mod.rs
+++ b/crates/steer/src/naive/mod.rs
@@ -8,18 +8,18 @@
 /// TrafficSplit that are always at their goal.
 #[derive(Clone, Debug, Default)]
 pub struct UncappedSplit {
-    goals: DesiredSplits,
+    desired_splits: DesiredSplits,
 }
 
 impl UncappedSplit {
     /// Follows goals from now on.
-    pub fn steer(&mut self, goals: &DesiredSplits) {
-        self.goals = goals.clone();
+    pub fn set_desired(&mut self, desired_splits: &DesiredSplits) {
+        self.desired_splits = desired_splits.clone();
     }
 
     /// The region that serves a request; `None` where the goal has none.
-    pub fn pick(&self, service: &str, callers: &str, value: u64) -> Option<&Arc<str>> {
-        let row = &self.goals.find(service, callers)?.shares;
+    pub fn pick_region(&self, service: &str, callers: &str, value: u64) -> Option<&Arc<str>> {
+        let row = &self.desired_splits.find(service, callers)?.shares;
         let mut rest = hash::to_unit_f64(hash::mix64(value));
         for (region, share) in row {
             rest -= share;
--- a/crates/steer/src/shift/initial_split.rs
+++ b/crates/steer/src/shift/initial_split.rs
@@ -8,7 +8,7 @@
 
 /// What a host without shares knows of where to start.
 #[derive(Clone, Debug, Default)]
-pub(super) enum Start {
+pub(super) enum InitialSplit {
     /// Peers are alive that were not heard, and no other peer has shares.
     #[default]
     Unknown,
@@ -18,12 +18,12 @@
     Mean(SplitTable),
 }
 
-impl Start {
+impl InitialSplit {
     pub(super) fn from_peers(peers: &[PeerSplit<'_>]) -> Self {
-        let heard = peers.iter().filter_map(|peer| peer.table);
-        let with: Vec<&SplitTable> = heard.filter(|rows| !rows.is_empty()).collect();
+        let known = peers.iter().filter_map(|peer| peer.table);
+        let with: Vec<&SplitTable> = known.filter(|table| !table.is_empty()).collect();
         if !with.is_empty() {
-            return Self::Mean(mean(&with));
+            return Self::Mean(mean_table(&with));
         }
         if peers.iter().all(|peer| peer.table.is_some()) {
             return Self::Desired;
@@ -36,41 +36,41 @@
     }
 
     /// The row to start a lane from, if any peer has one.
-    pub(super) fn row(&self, service: &str, callers: &str) -> Option<&Row> {
+    pub(super) fn find(&self, service: &str, callers: &str) -> Option<&Row> {
         match self {
-            Self::Mean(rows) => rows.get(service)?.get(callers),
+            Self::Mean(table) => table.get(service)?.get(callers),
             Self::Unknown | Self::Desired => None,
         }
     }
 }
 
 /// Mean of rows; empty where there are none.
-pub(super) fn mean_row<'r>(rows: impl Iterator<Item = &'r Row>) -> Row {
+pub(super) fn mean_split<'r>(splits: impl Iterator<Item = &'r Row>) -> Row {
     let mut sum = Row::new();
-    for row in rows {
-        for (region, share) in row {
+    for split in splits {
+        for (region, share) in split {
             *sum.entry(region.clone()).or_default() += share;
         }
     }
     normal(sum)
 }
 
-fn mean(all: &[&SplitTable]) -> SplitTable {
-    let mut lists: BTreeMap<_, BTreeMap<_, Vec<&Row>>> = BTreeMap::new();
-    for (service, lanes) in all.iter().copied().flatten() {
-        let lists = lists.entry(service).or_default();
-        for (callers, row) in lanes {
-            lists.entry(callers).or_default().push(row);
+fn mean_table(all: &[&SplitTable]) -> SplitTable {
+    let mut groups: BTreeMap<_, BTreeMap<_, Vec<&Row>>> = BTreeMap::new();
+    for (service, flows) in all.iter().copied().flatten() {
+        let groups = groups.entry(service).or_default();
+        for (callers, split) in flows {
+            groups.entry(callers).or_default().push(split);
         }
     }
-    let mean = |rows: Vec<&Row>| mean_row(rows.into_iter());
-    let lanes = |lanes: BTreeMap<&Arc<str>, Vec<&Row>>| {
-        let rows = lanes.into_iter();
-        let rows = rows.map(|(callers, rows)| (callers.clone(), mean(rows)));
-        rows.filter(|(_, row)| !row.is_empty()).collect()
+    let mean = |splits: Vec<&Row>| mean_split(splits.into_iter());
+    let flows = |flows: BTreeMap<&Arc<str>, Vec<&Row>>| {
+        let splits = flows.into_iter();
+        let splits = splits.map(|(callers, splits)| (callers.clone(), mean(splits)));
+        splits.filter(|(_, split)| !split.is_empty()).collect()
     };
-    let services = lists.into_iter();
+    let services = groups.into_iter();
     services
-        .map(|(service, rows)| (service.clone(), lanes(rows)))
+        .map(|(service, splits)| (service.clone(), flows(splits)))
         .collect()
 }
--- a/crates/steer/src/shift/mod.rs
+++ b/crates/steer/src/shift/mod.rs
@@ -29,7 +29,7 @@
 use dunlinrock_config::goal::Row;
 
 use crate::DesiredSplits;
-use flow::Lane;
+use flow::Flow;
 pub use pick_region::{Refusal, UnservableReason};
 
 /// Part of the cap's speed at which a host moves. The rest is kept for what is not a host's own
@@ -65,8 +65,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct TrafficSplit {
     /// Empty until the host knows where to start.
-    lanes: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Lane>>,
-    start: initial_split::Start,
+    flows: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Flow>>,
+    initial: initial_split::InitialSplit,
 }
 
 impl TrafficSplit {
@@ -81,12 +81,12 @@
     /// from the goal once all were heard and none has. Later, peers that lag hold it back.
     pub fn update_peers(&mut self, peers: &[PeerSplit<'_>]) {
         if !self.ready() {
-            self.start = initial_split::Start::from_peers(peers);
+            self.initial = initial_split::InitialSplit::from_peers(peers);
         }
-        for (service, lanes) in &mut self.lanes {
-            for (callers, lane) in lanes {
-                let rows = peers.iter().filter_map(|peer| peer.table);
-                lane.hear(rows.filter_map(|rows| rows.get(service)?.get(callers)));
+        for (service, flows) in &mut self.flows {
+            for (callers, flow) in flows {
+                let tables = peers.iter().filter_map(|peer| peer.table);
+                flow.update_peers(tables.filter_map(|table| table.get(service)?.get(callers)));
             }
         }
     }
@@ -99,13 +99,13 @@
     /// goal; should the region's hosts all end, its callers would jump there. So it follows, and
     /// goes on by itself from where they ended.
     pub fn adopt_remote(&mut self, own: &str, peers: &BTreeMap<Arc<str>, Vec<&SplitTable>>) {
-        for (service, lanes) in &mut self.lanes {
-            for (callers, lane) in lanes.iter_mut().filter(|(name, _)| ***name != *own) {
-                let rows = peers.get(callers).into_iter().flatten();
-                let rows = rows.filter_map(|rows| rows.get(service)?.get(callers));
-                let mean = initial_split::mean_row(rows);
+        for (service, flows) in &mut self.flows {
+            for (callers, flow) in flows.iter_mut().filter(|(name, _)| ***name != *own) {
+                let tables = peers.get(callers).into_iter().flatten();
+                let tables = tables.filter_map(|table| table.get(service)?.get(callers));
+                let mean = initial_split::mean_split(tables);
                 if !mean.is_empty() {
-                    lane.follow(&mean);
+                    flow.adopt(&mean);
                 }
             }
         }
@@ -113,7 +113,7 @@
 
     /// Whether the host has shares to go by.
     pub fn ready(&self) -> bool {
-        !self.lanes.is_empty()
+        !self.flows.is_empty()
     }
 
     /// Drops all shares. For a host that was paused: its peers have gone on without it, so it
@@ -123,22 +123,22 @@
     }
 
     /// Moves shares towards the goals as far as time and ceilings allow.
-    pub fn advance(&mut self, goals: &DesiredSplits, ceilings: &ShareLimits, now: Duration) {
-        if !self.ready() && !self.start.known() {
+    pub fn advance(&mut self, desired_splits: &DesiredSplits, limits: &ShareLimits, now: Duration) {
+        if !self.ready() && !self.initial.known() {
             return;
         }
-        self.lanes
-            .retain(|service, _| goals.flows.contains_key(service));
-        for (service, row) in &goals.flows {
-            let lanes = self.lanes.entry(service.clone()).or_default();
-            lanes.retain(|callers, _| row.contains_key(callers));
-            for (callers, goal) in row {
-                let lane = lanes.entry(callers.clone()).or_insert_with(|| {
-                    let row = self.start.row(service, callers);
-                    Lane::open(callers, row.unwrap_or(&goal.shares), now)
+        self.flows
+            .retain(|service, _| desired_splits.flows.contains_key(service));
+        for (service, split) in &desired_splits.flows {
+            let flows = self.flows.entry(service.clone()).or_default();
+            flows.retain(|callers, _| split.contains_key(callers));
+            for (callers, desired) in split {
+                let flow = flows.entry(callers.clone()).or_insert_with(|| {
+                    let split = self.initial.find(service, callers);
+                    Flow::open(callers, split.unwrap_or(&desired.shares), now)
                 });
-                let ceilings = ceilings.get(service).and_then(|rows| rows.get(callers));
-                lane.steer(goal, ceilings, now);
+                let limits = limits.get(service).and_then(|table| table.get(callers));
+                flow.advance(desired, limits, now);
             }
         }
     }
@@ -158,28 +158,28 @@
         callers: &str,
         value: u64,
     ) -> Result<&Arc<str>, Refusal> {
-        let lane = self.lanes.get(service).and_then(|row| row.get(callers));
-        match lane {
-            Some(lane) => pick_region::pick(lane, value),
-            None if self.ready() => Err(Refusal::nowhere()),
+        let flow = self.flows.get(service).and_then(|flows| flows.get(callers));
+        match flow {
+            Some(flow) => pick_region::pick_region(flow, value),
+            None if self.ready() => Err(Refusal::no_region()),
             None => Err(Refusal::starting()),
         }
     }
 
     /// The shares, to tell peers.
     pub fn table(&self) -> SplitTable {
-        let rows = self.lanes.iter().map(|(service, lanes)| {
-            let rows = lanes.iter();
-            let rows = rows.map(|(callers, lane)| (callers.clone(), lane.row()));
-            (service.clone(), rows.collect())
+        let tables = self.flows.iter().map(|(service, flows)| {
+            let tables = flows.iter();
+            let tables = tables.map(|(callers, flow)| (callers.clone(), flow.shares()));
+            (service.clone(), tables.collect())
         });
-        rows.collect()
+        tables.collect()
     }
 
     /// Part of a service's callers in one region that is not where the goal wants it, be it under way
     /// or held by ceilings; none where all is at its goal.
     pub fn remaining(&self, service: &str, callers: &str) -> f64 {
-        let lane = self.lanes.get(service).and_then(|row| row.get(callers));
-        lane.map_or(0.0, |lane| lane.behind)
+        let flow = self.flows.get(service).and_then(|flows| flows.get(callers));
+        flow.map_or(0.0, |flow| flow.remaining)
     }
 }
--- a/crates/steer/src/shift/pick_region.rs
+++ b/crates/steer/src/shift/pick_region.rs
@@ -4,7 +4,7 @@
 
 use thiserror::Error;
 
-use super::flow::{Lane, Part};
+use super::flow::{Flow, RegionShare};
 use crate::hash;
 
 /// Why a request cannot be served now.
@@ -29,26 +29,26 @@
 }
 
 /// Time after which a host that starts has heard its peers: a few heartbeats.
-const STARTING: Duration = Duration::from_secs(1);
+const STARTING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Time after which to ask again where only an operator can help.
-const NOWHERE: Duration = Duration::from_secs(30);
+const NO_REGION_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// Shortest time to wait; a shorter one is below a round trip and the time between two steps.
-const SHORTEST: Duration = Duration::from_millis(200);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 impl Refusal {
     pub(super) fn starting() -> Self {
         Self {
             reason: UnservableReason::Starting,
-            retry_after: STARTING,
+            retry_after: STARTING_RETRY_AFTER,
         }
     }
 
-    pub(super) fn nowhere() -> Self {
+    pub(super) fn no_region() -> Self {
         Self {
             reason: UnservableReason::NoRegion,
-            retry_after: NOWHERE,
+            retry_after: NO_REGION_RETRY_AFTER,
         }
     }
 }
@@ -56,52 +56,53 @@
 /// Picks by weighted rendezvous, in proportion to the shares. Where a tenth of the shares moves
 /// between two of three regions, about an eighth of the values change their region, so caches stay
 /// warm for all others; with a fresh draw for each request all values would.
-pub(super) fn pick(lane: &Lane, value: u64) -> Result<&Arc<str>, Refusal> {
-    let Some(part) = best(lane, value, 0.0) else {
-        return Err(Refusal::nowhere());
+pub(super) fn pick_region(flow: &Flow, value: u64) -> Result<&Arc<str>, Refusal> {
+    let Some(entry) = winner(flow, value, 0.0) else {
+        return Err(Refusal::no_region());
     };
-    if part.eligible {
-        return Ok(&part.region);
+    if entry.eligible {
+        return Ok(&entry.region);
     }
     Err(Refusal {
         reason: UnservableReason::RegionGone,
-        retry_after: wait(lane, value),
+        retry_after: estimate_wait(flow, value),
     })
 }
 
 /// The part that a value falls on, once `way` of the way to the targets is done.
-fn best(lane: &Lane, value: u64, way: f64) -> Option<&Part> {
+fn winner(flow: &Flow, value: u64, progress: f64) -> Option<&RegionShare> {
     let mut best = None;
-    for part in &lane.parts {
-        let share = part.share + (part.target - part.share) * way;
+    for entry in &flow.regions {
+        let share = entry.share + (entry.target_share - entry.share) * progress;
         if share <= 0.0 {
             continue;
         }
-        let score = hash::score(part.hash, value, share);
-        if best.is_none_or(|(least, _)| score < least) {
-            best = Some((score, part));
+        let score = hash::score(entry.name_hash, value, share);
+        if best.is_none_or(|(lowest, _)| score < lowest) {
+            best = Some((score, entry));
         }
     }
-    best.map(|(_, part)| part)
+    best.map(|(_, entry)| entry)
 }
 
 /// Steps in which the way to the targets is searched for the place where a value changes region.
-const STEPS: u32 = 32;
+const SEARCH_STEPS: u32 = 32;
 
 /// Time until a value falls on a region that can serve, at the speed of now.
 ///
 /// Where nothing moves now, a window: the ceilings or peers that hold the lane change within it or
 /// not at all. ShareLimits may come down on the way, so this is an estimate.
-fn wait(lane: &Lane, value: u64) -> Duration {
-    if lane.speed <= 0.0 {
-        return lane.window.max(SHORTEST);
+fn estimate_wait(flow: &Flow, value: u64) -> Duration {
+    if flow.speed <= 0.0 {
+        return flow.window.max(MIN_RETRY_AFTER);
     }
-    let way = |step| f64::from(step) / f64::from(STEPS);
-    let served = |step: &u32| best(lane, value, way(*step)).is_some_and(|part| part.eligible);
-    let whole = lane.remaining() / lane.speed;
-    let time = match (1..=STEPS).find(served) {
-        Some(step) => Duration::from_secs_f64(whole * way(step)),
-        None => Duration::from_secs_f64(whole) + lane.window,
+    let progress = |step| f64::from(step) / f64::from(SEARCH_STEPS);
+    let served =
+        |step: &u32| winner(flow, value, progress(*step)).is_some_and(|entry| entry.eligible);
+    let total = flow.movable() / flow.speed;
+    let time = match (1..=SEARCH_STEPS).find(served) {
+        Some(step) => Duration::from_secs_f64(total * progress(step)),
+        None => Duration::from_secs_f64(total) + flow.window,
     };
-    time.max(SHORTEST)
+    time.max(MIN_RETRY_AFTER)
 }
--- a/crates/steer/src/spill/mod.rs
+++ b/crates/steer/src/spill/mod.rs
@@ -44,20 +44,20 @@
 /// Its own region is among them for callers of other regions: the host then takes work from
 /// elsewhere too.
 pub fn needs(
-    goals: &DesiredSplits,
-    shares: &TrafficSplit,
+    desired_splits: &DesiredSplits,
+    split: &TrafficSplit,
     traffic: &TrafficTable,
     region: &str,
 ) -> BTreeMap<Arc<str>, Vec<Need>> {
-    let mut needs = means(goals, shares, traffic, region);
+    let mut needs = mean_needs(desired_splits, split, traffic, region);
     for need in needs.values_mut().flatten() {
-        need.rate = asked(need.rate);
+        need.rate = requested_rate(need.rate);
     }
     needs
 }
 
 /// The rate to ask for, for a mean rate.
-fn asked(mean: f64) -> f64 {
+fn requested_rate(mean: f64) -> f64 {
     mean + BURST_MARGIN * mean.sqrt()
 }
 
@@ -66,22 +66,22 @@
     if !granted.is_finite() {
         return granted;
     }
-    let safety = BURST_MARGIN * KEPT_MARGIN;
-    let root = (safety * safety + 4.0 * granted).sqrt() - safety;
+    let margin = BURST_MARGIN * KEPT_MARGIN;
+    let root = (margin * margin + 4.0 * granted).sqrt() - margin;
     (root / 2.0).powi(2)
 }
 
 /// The needs at their mean rates.
-fn means(
-    goals: &DesiredSplits,
-    shares: &TrafficSplit,
+fn mean_needs(
+    desired_splits: &DesiredSplits,
+    split: &TrafficSplit,
     traffic: &TrafficTable,
     region: &str,
 ) -> BTreeMap<Arc<str>, Vec<Need>> {
-    let rows = shares.table();
+    let table = split.table();
     let mut needs: BTreeMap<Arc<str>, Vec<Need>> = BTreeMap::new();
-    for (service, callers, goal, traffic) in lanes(goals, traffic) {
-        for (serving, share) in wanted(goal, row(&rows, service, callers)) {
+    for (service, callers, desired, traffic) in active_flows(desired_splits, traffic) {
+        for (serving, share) in wanted_shares(desired, find_split(&table, service, callers)) {
             if is_local(region, callers, &serving) || share * traffic.rate <= 0.0 {
                 continue;
             }
@@ -94,30 +94,30 @@
 
 /// How far shares may go by what a host in `region` was lent, and at home by its own room.
 pub fn share_limits(
-    goals: &DesiredSplits,
-    shares: &TrafficSplit,
+    desired_splits: &DesiredSplits,
+    split: &TrafficSplit,
     traffic: &TrafficTable,
     region: &str,
-    lent: (&Grantee, &Grantor),
+    grants: (&Grantee, &Grantor),
     now: Duration,
 ) -> ShareLimits {
-    let (grantee, grantor) = lent;
-    let rows = shares.table();
-    let needs = means(goals, shares, traffic, region);
-    let mut ceilings = ShareLimits::new();
-    for (service, callers, goal, traffic) in lanes(goals, traffic) {
+    let (grantee, grantor) = grants;
+    let table = split.table();
+    let needs = mean_needs(desired_splits, split, traffic, region);
+    let mut limits = ShareLimits::new();
+    for (service, callers, desired, traffic) in active_flows(desired_splits, traffic) {
         if traffic.rate <= 0.0 {
             continue;
         }
-        let row = row(&rows, service, callers);
+        let current = find_split(&table, service, callers);
         // What stays with a region that cannot serve is refused for certain; then it is better to
         // use all that was granted, and have a request now and then find no room.
-        let lost = |region: &Arc<str>| !goal.eligible.contains(region);
-        let stuck = row.is_some_and(|row| row.keys().any(lost));
+        let not_eligible = |region: &Arc<str>| !desired.eligible.contains(region);
+        let has_unservable = current.is_some_and(|shares| shares.keys().any(not_eligible));
         let mut out = Row::new();
-        for (serving, share) in wanted(goal, row) {
-            let ceiling = if is_local(region, callers, &serving) {
-                let now_share = row.and_then(|row| row.get(&serving)).copied();
+        for (serving, share) in wanted_shares(desired, current) {
+            let limit = if is_local(region, callers, &serving) {
+                let now_share = current.and_then(|shares| shares.get(&serving)).copied();
                 now_share.unwrap_or(0.0) + grantor.spare_rate(service, now) / traffic.rate
             } else {
                 let list = needs.get(&serving);
@@ -125,16 +125,20 @@
                 // Callers of several regions share the grants by what each wants.
                 need.map_or(0.0, |need| {
                     let granted = grantee.rate(&serving, need, now);
-                    let rate = if stuck { granted } else { usable(granted) };
+                    let rate = if has_unservable {
+                        granted
+                    } else {
+                        usable(granted)
+                    };
                     share * rate / need.rate
                 })
             };
-            out.insert(serving, ceiling);
+            out.insert(serving, limit);
         }
-        let lanes = ceilings.entry(service.clone()).or_default();
-        lanes.insert(callers.clone(), out);
+        let flows = limits.entry(service.clone()).or_default();
+        flows.insert(callers.clone(), out);
     }
-    ceilings
+    limits
 }
 
 /// Hosts of a region that one host asks. With more, asks and grants would grow with the square of
@@ -160,32 +164,38 @@
 }
 
 /// All services and regions of callers with traffic.
-fn lanes<'a>(
-    goals: &'a DesiredSplits,
+fn active_flows<'a>(
+    desired_splits: &'a DesiredSplits,
     traffic: &'a TrafficTable,
 ) -> impl Iterator<Item = (&'a Arc<str>, &'a Arc<str>, &'a DesiredSplit, Traffic)> {
-    goals.flows.iter().flat_map(move |(service, lanes)| {
-        lanes.iter().filter_map(move |(callers, goal)| {
-            let traffic = traffic.get(service)?.get(callers)?;
-            Some((service, callers, goal, *traffic))
+    desired_splits
+        .flows
+        .iter()
+        .flat_map(move |(service, flows)| {
+            flows.iter().filter_map(move |(callers, desired)| {
+                let traffic = traffic.get(service)?.get(callers)?;
+                Some((service, callers, desired, *traffic))
+            })
         })
-    })
 }
 
-fn row<'r>(rows: &'r SplitTable, service: &str, callers: &str) -> Option<&'r Row> {
-    rows.get(service)?.get(callers)
+fn find_split<'r>(table: &'r SplitTable, service: &str, callers: &str) -> Option<&'r Row> {
+    table.get(service)?.get(callers)
 }
 
 /// The shares that a lane may have within a window: what it has, and towards its goal at most the
 /// cap more. Regions that cannot serve want nothing.
-fn wanted<'a>(
-    goal: &'a DesiredSplit,
-    row: Option<&'a Row>,
+fn wanted_shares<'a>(
+    desired: &'a DesiredSplit,
+    current: Option<&'a Row>,
 ) -> impl Iterator<Item = (Arc<str>, f64)> + 'a {
-    goal.eligible.iter().filter_map(move |region| {
-        let goal_share = goal.shares.get(region).copied().unwrap_or(0.0);
-        let share = row.and_then(|row| row.get(region)).copied().unwrap_or(0.0);
-        let wanted = share.max(goal_share.min(share + goal.cap));
+    desired.eligible.iter().filter_map(move |region| {
+        let desired_share = desired.shares.get(region).copied().unwrap_or(0.0);
+        let share = current
+            .and_then(|shares| shares.get(region))
+            .copied()
+            .unwrap_or(0.0);
+        let wanted = share.max(desired_share.min(share + desired.cap));
         (wanted > 0.0).then(|| (region.clone(), wanted))
     })
 }
--- a/crates/steer/src/spread/mod.rs
+++ b/crates/steer/src/spread/mod.rs
@@ -42,16 +42,16 @@
                 .into_keys()
                 .filter(|region| !lost.contains(region))
                 .collect();
-            let goals = config.regions.keys().map(|callers| {
-                let goal = DesiredSplit {
+            let desired_splits = config.regions.keys().map(|callers| {
+                let desired = DesiredSplit {
                     shares: goal::goal_without(config, name, callers, lost),
                     eligible: eligible.clone(),
                     cap: service.cap.share,
                     window: Duration::from_millis(service.cap.window_ms),
                 };
-                (callers.clone(), goal)
+                (callers.clone(), desired)
             });
-            (name.clone(), goals.collect())
+            (name.clone(), desired_splits.collect())
         });
         Self {
             flows: flows.collect(),
