--- a/crates/steer/src/affinity/mod.rs
+++ b/crates/steer/src/affinity/mod.rs
@@ -1,35 +1,37 @@
-//! Which target an object belongs to, and when another one takes its request.
+//! Chooses targets by affinity: requests for the same object go to the same target.
 //!
-//! Load: every object is asked for again and again, and a target that has lately handled it takes
-//! about a third of the time. Where requests go to any free target, nearly every run is a slow one
-//! and the service is short of slots; where each object stays at one target, half of them are free.
+//! Every object is requested again and again, and a target that has recently handled it takes about
+//! a third of the time. If requests go to any free target, nearly every run is a slow one and the
+//! service runs short of slots; if each object stays at one target, half of the slots are free.
 //!
-//! The choice is weighted rendezvous hashing, which all hosts compute alike without a word between
-//! them. A target that comes or goes moves only the objects that it wins or loses. Targets in the
-//! caller's region weigh more, since bytes between regions are slow and dear, but not so much more
-//! that a small region carries all its own callers: their number swings, and the other regions'
-//! slots even that out.
+//! The choice is weighted rendezvous hashing, which all hosts compute alike without coordination. A
+//! target that joins or leaves moves only the objects that it wins or loses. Targets in the caller's
+//! region weigh more, since traffic between regions is slow and costly, but not so much more that a
+//! small region serves all its own callers: their number swings, and the slots of the other regions
+//! even that out.
 //!
 //! ```
-//! use dunlinrock_steer::affinity::{Candidate, Choice, AffinityConfig, choose_affine};
+//! use dunlinrock_steer::affinity::{AffinityConfig, Candidate, Choice, choose_affine};
 //!
 //! let target = |name_hash, busy| Candidate {
 //!     name_hash, slots: 2, is_local: true, rtt_ratio: 0.0, busy, healthy: true,
 //! };
-//! let Some(Choice { index, .. }) = choose_affine(7, &[target(1, 0), target(2, 0)], &AffinityConfig::default())
+//! let config = AffinityConfig::default();
+//! let Some(Choice { index, .. }) = choose_affine(7, &[target(1, 0), target(2, 0)], &config)
 //! else { panic!() };
-//! // The object stays where it is while its target has a free slot.
+//! // The object stays at its preferred target while that has a free slot.
 //! let mut both = [target(1, 1), target(2, 1)];
-//! assert_eq!(choose_affine(7, &both, &AffinityConfig::default()).unwrap().index, index);
-//! // Far behind, it gives one away.
+//! assert_eq!(choose_affine(7, &both, &config).unwrap().index, index);
+//! // Once that target is overloaded, the fallback takes a request.
 //! both[index].busy = 9;
-//! assert_ne!(choose_affine(7, &both, &AffinityConfig::default()).unwrap().index, index);
+//! assert_ne!(choose_affine(7, &both, &config).unwrap().index, index);
 //! ```
 
 use crate::hash::{mix64, score};
 
-/// Targets drawn for a request that may go to any. Two leave a busy pair one time in ten at half load;
-/// four next to never, and a host's word of the load is too old for more to be of use.
+/// Number of candidates drawn for a request that may go to any target. With two, both are busy one
+/// time in ten at half load; with four, almost never. The host's view of the load is too old for
+/// more to help.
 const CANDIDATES_DRAWN: usize = 4;
 
 /// A target that may take the request.
@@ -37,31 +39,33 @@
 pub struct Candidate {
     /// Hash of the target's name.
     pub name_hash: u64,
-    /// Requests that it runs at once; more wait in its queue.
+    /// Number of requests that the target runs at once; more wait in its queue.
     pub slots: u32,
-    /// Whether it stands in the caller's region.
+    /// Whether the target is in the caller's region.
     pub is_local: bool,
-    /// Part of the route's objective that the way there and back takes; 0 while that is not known.
+    /// Round trip to the target as a fraction of the route's latency objective; 0 while it is
+    /// unknown.
     pub rtt_ratio: f64,
-    /// Requests that it runs or queues, as far as this host knows.
+    /// Requests that the target runs or queues, as far as this host knows.
     pub busy: u32,
-    /// Whether it answers; one that does not is used only where no sound one is left.
+    /// Whether the target responds; an unhealthy target is used only if no healthy one is left.
     pub healthy: bool,
 }
 
-/// Weights of the choice.
+/// Parameters of the choice.
 #[derive(Clone, Copy, Debug)]
 pub struct AffinityConfig {
-    /// Weight of a near target's slot against a far one's.
+    /// Weight of a local target's slot relative to a remote one's.
     pub local_weight: f64,
-    /// Way, as a part of the objective, at which a far target weighs half as much. Where the way takes
-    /// most of the objective, answers from there are late however idle the target is. The weight
-    /// falls smoothly, so that hosts which measure a little differently disagree on few objects.
+    /// Round trip, as a fraction of the objective, at which a remote target weighs half as much.
+    /// Where the round trip takes most of the objective, responses from there are late however idle
+    /// the target is. The weight falls smoothly, so that hosts with slightly different measurements
+    /// disagree on few objects.
     pub half_rtt: f64,
-    /// Requests for each slot that an object's own target may have before its next choice takes one.
+    /// Requests per slot that an object's preferred target may have before its fallback takes one.
     pub max_per_slot: u32,
-    /// How many choices of an object are tried: few, so that what its own target cannot take is
-    /// warm at the next.
+    /// Number of targets of an object's ranking to try: few, so that the object is also warm at its
+    /// fallback.
     pub choices: usize,
 }
 
@@ -76,26 +80,28 @@
     }
 }
 
-/// The target that takes a request.
+/// The target chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// Index among the candidates.
     pub index: usize,
-    /// How far down the object's ranking it stands; 0 is its own target.
+    /// Position in the object's ranking; 0 is its preferred target.
     pub rank: usize,
 }
 
-/// Chooses a target for an object. `None` where there is no candidate.
+/// Chooses a target for an object by affinity. Returns `None` if there is no candidate.
 ///
-/// The object's own target takes it while it has fewer than [`AffinityConfig::max_per_slot`] requests a slot; then the
-/// next of its choices that has a free slot. A request that waits for one warm run and then has its
-/// own is answered before a run elsewhere would be, which takes three times as long, and three times
-/// the slot. The figure must not follow how long runs take at present: as cold runs make the usual
-/// run longer, more requests would be sent elsewhere, which makes more cold runs.
+/// The object's preferred target takes the request while it has fewer than
+/// [`AffinityConfig::max_per_slot`] requests per slot; then the next target of its ranking that has
+/// a free slot. A request that waits for one warm run and then runs warm itself gets its response
+/// sooner than by a cold run elsewhere, which takes three times as long and occupies a slot for
+/// three times as long. The limit must not depend on the current service time: as cold runs raise
+/// it, more requests would be sent elsewhere, which causes more cold runs.
 ///
-/// Where all are behind it stays at its own target, for the caller to refuse if that is too far
-/// behind: sent to any target that is less behind, it would run three times as long there, and the
-/// whole service would go on without an object at home after the burst that began it is over.
+/// If all of these targets are at their limits, the request stays at the preferred target, and the
+/// caller refuses it if the queue there is too long. If it were sent to any less busy target, it
+/// would run three times as long there, and the whole service would stay without warm objects after
+/// the burst that caused this.
 pub fn choose_affine(
     object: u64,
     candidates: &[Candidate],
@@ -125,14 +131,14 @@
     any_candidate(object, candidates)
 }
 
-/// Chooses a target for a request that is answered no sooner where its object was handled lately: the
-/// least busy of a few that `point`, a number drawn for the request, names. `None` where there is no
-/// candidate.
+/// Chooses the least loaded of a few targets, for a request that gains nothing from affinity.
+/// Returns `None` if there is no candidate.
 ///
-/// Load: saturation on a route without a gain from affinity. At its object's own target a request waits
-/// for a run while others stand idle, and is refused in the end. The first drawn names the region, by
-/// weight; only where all that are drawn of it are full does the request leave it, so that a region's
-/// share does not swing with the load of its targets.
+/// `point` is a random number, drawn for each request, that selects these targets. Under
+/// saturation, a request sent to its object's preferred target would wait for a run while others
+/// are idle, and would be refused in the end. The first target drawn determines the region, by
+/// weight; the request leaves the region only if all targets drawn in it are full, so that a
+/// region's share does not swing with the load of its targets.
 pub fn choose_least_loaded(
     point: u64,
     candidates: &[Candidate],
@@ -167,7 +173,7 @@
     })
 }
 
-/// Sound candidates with their scores, the first choice first.
+/// Returns the healthy candidates with their scores, best first.
 fn rank(object: u64, candidates: &[Candidate], config: &AffinityConfig) -> Vec<(f64, usize)> {
     let mut ranked: Vec<(f64, usize)> = candidates
         .iter()
@@ -179,14 +185,14 @@
     ranked
 }
 
-/// Nobody answers: any of them may be back by now.
+/// Chooses among all candidates when none is healthy: any of them may have recovered.
 fn any_candidate(object: u64, candidates: &[Candidate]) -> Option<Choice> {
     let all = 0..candidates.len();
     let index = all.min_by_key(|i| mix64(candidates[*i].name_hash ^ mix64(object)))?;
     Some(Choice { index, rank: 0 })
 }
 
-/// Requests of a target for each of its slots.
+/// Returns the requests of a target per slot.
 fn load_per_slot(candidate: &Candidate) -> f64 {
     f64::from(candidate.busy) / f64::from(candidate.slots.max(1))
 }
--- a/crates/steer/src/blocks/builder.rs
+++ b/crates/steer/src/blocks/builder.rs
@@ -7,15 +7,15 @@
 
 use super::{Blocks, NO_NAME, NameIndex, table::Table};
 
-/// More names than a table can tell apart.
+/// Error: more names than a table can distinguish.
 #[derive(Debug, Error)]
 #[error(
-    "more than {} names of regions or sites; a table cannot tell more apart",
+    "more than {} names of regions or sites; a table of blocks cannot hold more",
     NO_NAME
 )]
 pub struct TooManyNames;
 
-/// A table of blocks in the making; it can be filled a few blocks at a time.
+/// Builder of a table of blocks; blocks can be added a few at a time.
 #[derive(Debug)]
 pub struct BlocksBuilder {
     names: Vec<Arc<str>>,
@@ -34,11 +34,11 @@
         }
     }
 
-    /// Adds a block. One that is added again takes its last name.
+    /// Adds a block. If a block is added again, its last name counts.
     ///
     /// # Errors
     ///
-    /// [`TooManyNames`] where there are too many names.
+    /// Returns [`TooManyNames`] if the table cannot hold another name.
     pub fn add(&mut self, net: IpNet, name: &Arc<str>) -> Result<(), TooManyNames> {
         let index = self.index_of(name)?;
         match net.trunc() {
@@ -85,13 +85,13 @@
     }
 }
 
-/// Turns nested blocks, the outer before the inner, into ranges that follow one another.
+/// Flattens nested blocks, sorted with the outer before the inner, into consecutive ranges.
 fn flatten<A: Copy + Ord>(
     blocks: impl Iterator<Item = (A, A, NameIndex)>,
     after: impl Fn(A) -> Option<A>,
 ) -> Vec<(A, NameIndex)> {
     let mut ranges = Vec::new();
-    // Blocks that cover the place at hand, the outermost first, with their last addresses.
+    // Blocks that cover the current address, the outermost first, each with its last address.
     let mut open: Vec<(A, NameIndex)> = Vec::new();
     for (start, last, index) in blocks {
         close_blocks(&mut open, &mut ranges, |end| end < start, &after);
@@ -102,7 +102,7 @@
     ranges
 }
 
-/// Ends the innermost blocks while they are over; what is around them goes on.
+/// Closes the innermost blocks that have ended; the enclosing block continues after them.
 fn close_blocks<A: Copy + Ord>(
     open: &mut Vec<(A, NameIndex)>,
     ranges: &mut Vec<(A, NameIndex)>,
--- a/crates/steer/src/blocks/mod.rs
+++ b/crates/steer/src/blocks/mod.rs
@@ -1,11 +1,11 @@
-//! Client address to the name of a region or site, by longest prefix.
+//! Maps client addresses to names of regions or sites by longest-prefix match.
 //!
-//! The load: each look-up starts here, 880,000 a second over the fleet, from 760,000 blocks of
-//! client addresses. With a tree of nodes, each step would be a cache miss and each block tens of
-//! bytes. Blocks are flattened instead: a sorted list of the addresses where the answer changes,
-//! and an index over the first bits of an address. A look-up reads the index once and searches a
-//! short range; it allocates nothing. A table is built beside the one in use and replaces it
-//! whole, so no look-up ever sees half a change.
+//! Each lookup starts here: 880,000 per second over the fleet, in 760,000 blocks of client
+//! addresses. In a tree of nodes each step would be a cache miss and each block would take tens of
+//! bytes. Blocks are therefore flattened into a sorted list of the addresses where the result
+//! changes, with an index over the first bits of an address. A lookup reads the index once and
+//! searches a short range; it allocates nothing. A new table is built beside the active one and
+//! replaces it as a whole, so no lookup sees a partial change.
 
 mod builder;
 mod table;
@@ -18,44 +18,44 @@
 pub use builder::{BlocksBuilder, TooManyNames};
 use table::Table;
 
-/// Index of a name; [`NOWHERE`] where no block covers the address.
+/// Index of a name; [`NO_NAME`] if no block covers the address.
 type NameIndex = u16;
 
-/// What stands in a table where no block covers the address.
+/// Table entry for addresses that no block covers.
 const NO_NAME: NameIndex = NameIndex::MAX;
 
-/// Blocks of client addresses, each with a name.
+/// A table of CIDR blocks of client addresses, each with a name.
 #[derive(Clone, Debug)]
 pub struct Blocks {
     names: Vec<Arc<str>>,
     v4: Table<u32>,
     v6: Table<u128>,
-    /// Blocks that the table was built from.
+    /// Number of blocks that the table was built from.
     count: usize,
 }
 
 impl Blocks {
-    /// Starts a table with no blocks.
+    /// Returns a builder without blocks.
     pub fn builder() -> BlocksBuilder {
         BlocksBuilder::open()
     }
 
-    /// The table of a configuration. Blocks that are no CIDR blocks are left out; the
-    /// configuration's checks refuse them.
+    /// Builds the table of a configuration. Invalid CIDR blocks are skipped; the checks of the
+    /// configuration refuse them.
     pub fn open(config: &Config) -> Self {
         let mut builder = Self::builder();
         for (block, region) in &config.blocks {
             if let Ok(net) = block.parse::<IpNet>() {
-                // More names than the table can hold cannot come from a checked configuration:
-                // its regions are far fewer.
+                // A checked configuration cannot have more names than the table can hold: it has
+                // far fewer regions.
                 let _ = builder.add(net, region);
             }
         }
         builder.finish()
     }
 
-    /// The name of the smallest block that covers an address. An IPv4 address that is written as
-    /// an IPv6 one counts as IPv4.
+    /// Returns the name of the smallest block that covers an address. An IPv4-mapped IPv6 address
+    /// counts as IPv4.
     pub fn find(&self, address: IpAddr) -> Option<&Arc<str>> {
         let name = match address.to_canonical() {
             IpAddr::V4(address) => self.v4.find(address.to_bits()),
@@ -64,7 +64,7 @@
         self.names.get(usize::from(name))
     }
 
-    /// Blocks that the table was built from.
+    /// Returns the number of blocks that the table was built from.
     pub fn len(&self) -> usize {
         self.count
     }
@@ -74,7 +74,7 @@
         self.count == 0
     }
 
-    /// Bytes that the table takes up, names left out.
+    /// Returns the size of the table in bytes, without the names.
     pub fn bytes(&self) -> usize {
         self.v4.bytes() + self.v6.bytes()
     }
--- a/crates/steer/src/blocks/table.rs
+++ b/crates/steer/src/blocks/table.rs
@@ -2,15 +2,15 @@
 
 use super::{NO_NAME, NameIndex};
 
-/// Bits of an address that the index covers: 65,536 entries, a quarter of a megabyte. With 760,000
-/// blocks spread evenly a range holds a dozen bounds, within two cache lines.
+/// Number of address bits that the index covers: 65,536 entries, a quarter of a megabyte. With
+/// 760,000 evenly spread blocks a range holds a dozen bounds, within two cache lines.
 const INDEX_BITS: u32 = 16;
 
 /// An address as a number.
 pub(super) trait Address: Copy + Ord {
     /// The lowest address.
     const ZERO: Self;
-    /// The first [`INDEX_BITS`] bits.
+    /// Returns the first [`INDEX_BITS`] bits.
     fn head(self) -> usize;
 }
 
@@ -31,17 +31,17 @@
 /// Ranges of addresses: each starts at its bound and ends before the next.
 #[derive(Clone, Debug)]
 pub(super) struct Table<A> {
-    /// Ascending; the first is the lowest address, or there are none.
+    /// Ascending; the first is the lowest address, or the list is empty.
     bounds: Vec<A>,
-    /// What each range maps to; as long as `bounds`. Neighbours differ.
+    /// Name of each range; as long as `bounds`. Neighbours differ.
     names: Vec<NameIndex>,
-    /// For each head, the number of bounds with a lower head; one entry more than heads. Empty
-    /// where there are no bounds.
+    /// For each head, the number of bounds with a lower head, and one entry more for the end. Empty
+    /// if there are no bounds.
     index: Vec<u32>,
 }
 
 impl<A: Address> Table<A> {
-    /// Takes ranges in ascending order of their starts.
+    /// Builds a table of ranges in ascending order of their starts.
     pub(super) fn open(ranges: impl IntoIterator<Item = (A, NameIndex)>) -> Self {
         let mut bounds = Vec::new();
         let mut names = Vec::new();
--- a/crates/steer/src/divide/adaptive.rs
+++ b/crates/steer/src/divide/adaptive.rs
@@ -2,16 +2,16 @@
 
 use super::{Demand, dominant_use};
 
-/// Part of a resource below which it counts as used up.
+/// Fraction of a resource below which it counts as used up.
 const EPSILON: f64 = 1e-12;
 
-/// Gives each user an equal part first, then raises those who mostly use the one resource and
-/// those who mostly use the other at a ratio that depends on what is left.
+/// Starts with an equal part for each user, then raises the users of the first resource and those
+/// of the second at a ratio that depends on the remaining capacity.
 ///
-/// The rule ASF2 of Y. Lou and J. Luo, *Strategy-proof Multi-Resource Allocation in Cloud
-/// Computing via Adaptive-Speed Fairness*: within each group, those who have least of the other
-/// resource rise first. The paper's users want without limit; here what a user does not want is
-/// left unused, so the rule fits users who want more than they can get.
+/// The rule ASF2 of Y. Lou and J. Luo, *Strategy-proof Multi-Resource Allocation in Cloud Computing
+/// via Adaptive-Speed Fairness*: within each group, the users with least of the other resource rise
+/// first. The paper's users have unlimited demands; here, what a user does not want stays unused,
+/// so the rule fits users that want more than they can get.
 pub fn adaptive(capacity: [f64; 2], demands: &[Demand]) -> Vec<f64> {
     let mut state = State::open(capacity, demands);
     if let Some(speed) = state.speed() {
@@ -23,21 +23,21 @@
         .collect()
 }
 
-/// One user, in parts of the resources.
+/// One user, in fractions of the resources.
 #[derive(Clone, Copy, Debug)]
 struct User {
-    /// Use of each resource for one part of the dominant one; the larger is 1.
+    /// Use of each resource relative to the dominant one; the larger is 1.
     uses: [f64; 2],
-    /// Part of the dominant resource that it has.
+    /// Fraction of the dominant resource that the user has.
     fraction: f64,
-    /// Part of the dominant resource that one unit uses.
+    /// Fraction of the dominant resource that one unit uses.
     unit_fraction: f64,
 }
 
 impl User {
     fn open(capacity: [f64; 2], demand: &Demand, users: f64) -> Self {
         let unit_fraction = dominant_use(&capacity, demand);
-        // The rule divides by the smaller use: one of nothing is taken as next to nothing.
+        // The rule divides by the smaller use, so a use of 0 is replaced by a tiny one.
         let uses = |r: usize| (demand.uses[r] / capacity[r] / unit_fraction).clamp(1e-9, 1.0);
         Self {
             uses: [uses(0), uses(1)],
@@ -46,12 +46,12 @@
         }
     }
 
-    /// The resource it mostly uses; the first where it uses both alike.
+    /// Returns the index of the dominant resource; the first if the user uses both alike.
     fn group(&self) -> usize {
         usize::from(self.uses[0] < 1.0)
     }
 
-    /// Use of the resource that is not its dominant one.
+    /// Returns the use of the resource that is not the dominant one.
     fn secondary_use(&self) -> f64 {
         self.uses[1 - self.group()]
     }
@@ -67,17 +67,17 @@
 
 struct State {
     users: Vec<User>,
-    /// Parts of the resources that are left.
+    /// Remaining fractions of the resources.
     remaining: [f64; 2],
 }
 
-/// What a group does in a step.
+/// The users with the same dominant resource, in one step.
 struct Group {
-    /// Its users that rise: those with least of the other resource.
+    /// The users that rise: those with least of the other resource.
     active: Vec<usize>,
-    /// How much the group's dominant parts rise, in all, for a rise of 1 in the other resource.
+    /// Rise of the group's dominant fractions in total for a rise of 1 in the other resource.
     ratio: f64,
-    /// How far the active may rise in the other resource until the next user joins them.
+    /// How far the active users may rise in the other resource until the next user joins them.
     next: f64,
 }
 
@@ -97,16 +97,16 @@
         Self { users, remaining }
     }
 
-    /// The ratio at which the first group's parts rise to the second's; `None` where a group is
-    /// empty: the equal parts have then used up the resource that all want.
+    /// Returns the ratio of the first group's speed to the second's; `None` if a group is empty:
+    /// the equal parts have then used up the resource that all users want.
     fn speed(&self) -> Option<f64> {
         let count = self.users.len() as f64;
         let least = |group: usize| {
             let users = self.users.iter().filter(|user| user.group() == group);
             users.map(User::secondary_use).reduce(f64::min)
         };
-        // What is left, with the smallest use of each resource by those who mostly use the other
-        // given back: a user could else gain by overstating it.
+        // The remaining capacity, plus the smallest use of each resource by the users of the other:
+        // otherwise a user could gain by overstating that use.
         let (least0, least1) = (least(0)?, least(1)?);
         let rest = [
             self.remaining[0] + least1 / count,
@@ -144,10 +144,10 @@
         }
     }
 
-    /// Takes one step; `false` once a resource is used up.
+    /// Takes one step; returns `false` once a resource is used up.
     fn advance(&mut self, speed: f64) -> bool {
         let groups = [self.group(0), self.group(1)];
-        // Rises of the two groups' dominant parts, in all, for a step of 1.
+        // Rise of each group's dominant fractions in total, for a step of 1.
         let rises = [speed, 1.0];
         let secondary_rise = |g: usize| rises[g] / groups[g].ratio * groups[g].active.len() as f64;
         let spend = [rises[0] + secondary_rise(1), rises[1] + secondary_rise(0)];
--- a/crates/steer/src/divide/dominant.rs
+++ b/crates/steer/src/divide/dominant.rs
@@ -1,11 +1,12 @@
-//! Dominant-resource fairness by progressive filling.
+//! Dominant resource fairness by progressive filling.
 
 use super::{Demand, dominant_use};
 
-/// Part of a resource below which it counts as used up; rounding would else go on for ever.
+/// Fraction of a resource below which it counts as used up; otherwise rounding could keep the loop
+/// from ending.
 const EPSILON: f64 = 1e-12;
 
-/// Raises all users' dominant parts at one speed; a user stops at what it wants or where a
+/// Raises all users' dominant shares at the same speed; a user stops at its demand or when a
 /// resource that it uses is used up.
 ///
 /// Ghodsi et al., *Dominant Resource Fairness* (NSDI 2011), with limited demands: what one user
@@ -28,7 +29,7 @@
         let step = step(&remaining, demands, &units_given, &speeds, &active);
         for n in active {
             let units = (step * speeds[n]).min(demands[n].max_units - units_given[n]);
-            // A step that ends at what a user wants must end there, whatever rounding says.
+            // A step that ends at a user's demand must end exactly there, regardless of rounding.
             units_given[n] =
                 match units >= (demands[n].max_units - units_given[n]) * (1.0 - EPSILON) {
                     true => demands[n].max_units,
@@ -41,8 +42,8 @@
     }
 }
 
-/// Units a user gains while its dominant part rises by 1. A user that uses nothing gets what it
-/// wants at once, where that is finite.
+/// Returns the units that a user gains while its dominant share rises by 1. A user that uses no
+/// resource gets its full demand at once if that is finite.
 fn speed(capacity: &[f64], demand: &Demand) -> f64 {
     let uses = dominant_use(capacity, demand);
     if uses > 0.0 {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Whether something is left of all that a user uses.
+/// Whether some capacity remains of every resource that a user uses.
 fn has_capacity(capacity: &[f64], remaining: &[f64], demand: &Demand) -> bool {
     let resources = demand.uses.iter().zip(capacity).zip(remaining);
     resources
@@ -63,7 +64,8 @@
         .all(|((_, capacity), remaining)| *remaining > capacity * EPSILON)
 }
 
-/// How far all may rise until one has what it wants or a resource is used up.
+/// Returns how far the dominant shares may rise until a user reaches its demand or a resource is
+/// used up.
 fn step(
     remaining: &[f64],
     demands: &[Demand],
--- a/crates/steer/src/divide/equal.rs
+++ b/crates/steer/src/divide/equal.rs
@@ -1,8 +1,8 @@
-//! Equal parts of each resource.
+//! Equal division of each resource.
 
 use super::Demand;
 
-/// Gives each user an equal part of each resource; what one leaves is not given to others.
+/// Assigns each user an equal part of each resource; unused parts are not given to others.
 pub fn equal(capacity: &[f64], demands: &[Demand]) -> Vec<f64> {
     let users = demands.len().max(1) as f64;
     let units = |demand: &Demand| {
--- a/crates/steer/src/divide/mod.rs
+++ b/crates/steer/src/divide/mod.rs
@@ -1,13 +1,13 @@
-//! Rules that divide several scarce resources among those who want them.
+//! Algorithms that divide several scarce resources among users.
 //!
-//! The load: a region's spare slots and a link's spare bytes are both short, and rival colleges
-//! (or services, on the link) want them in different proportions: searches carry long answers,
-//! reservations hold slots. With a rule for each resource alone, one resource is divided fairly
-//! and the other stands idle; with none, whoever asks most gets most.
+//! A region's spare slots and a link's spare bytes may both be short, and users (colleges, or
+//! services on the link) need them in different proportions: searches have long responses,
+//! reservations occupy slots. With a separate rule for each resource, one resource is divided
+//! fairly while the other stays idle; without any rule, the user that requests most gets most.
 //!
-//! All rules give each user a number of units (requests a second, say) and keep the sum of what
-//! the units use within the capacity of each resource. [`dominant`] is the one in use;
-//! `docs/decisions/division.md` holds the figures of the comparison.
+//! All algorithms assign each user a number of units (such as requests per second) and keep the sum
+//! of what the units use within the capacity of each resource. [`dominant`] is the one in use;
+//! `docs/decisions/division.md` holds the comparison.
 
 mod adaptive;
 mod dominant;
@@ -15,17 +15,17 @@
 
 pub use {adaptive::adaptive, dominant::dominant, equal::equal};
 
-/// What one user wants.
+/// The demand of one user.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
-    /// What one unit uses of each resource, at least 0; as long as the list of capacities.
+    /// Use of each resource by one unit, at least 0; as long as the list of capacities.
     pub uses: Vec<f64>,
-    /// Units wanted at most, at least 0; infinite where there is no limit.
+    /// Maximum number of units wanted, at least 0; infinite if there is no limit.
     pub max_units: f64,
 }
 
-/// Units that would use up all of a resource of which nothing else is used: the user's part of
-/// each resource that one unit takes, the largest of them.
+/// Returns the dominant share of one unit: the largest of the fractions of each resource that it
+/// uses.
 fn dominant_use(capacity: &[f64], demand: &Demand) -> f64 {
     let parts = demand.uses.iter().zip(capacity);
     parts
--- a/crates/steer/src/grants/grantee.rs
+++ b/crates/steer/src/grants/grantee.rs
@@ -1,4 +1,4 @@
-//! A host uses what others lent it.
+//! The grantee's side: a host uses the capacity that others granted it.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -6,36 +6,36 @@
 
 use super::{GRANT_TTL, Grant, GrantRequest, Need, token_bucket::TokenBucket};
 
-/// No room for a request now.
+/// Error: no granted capacity is available for a request now.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
-#[error("no room was lent for it; try again after {} ms", retry_after.as_millis())]
+#[error("no granted capacity is available; retry after {} ms", retry_after.as_millis())]
 pub struct NoCapacity {
-    /// Time after which there is room for one request at the rate that is lent now; a grant's
-    /// lifetime where none is, and a round trip where none was ever heard of.
+    /// Time until one request fits at the currently granted rate; the TTL of a grant if no grant is
+    /// valid, and about a round trip if none was ever received.
     pub retry_after: Duration,
 }
 
-/// Shortest time to wait; rounding would else end a wait just before its time.
+/// Minimum retry-after; rounding would otherwise end a wait just before its time.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(1);
 
-/// Time after which a request tries again where no grant was ever heard of. Room is asked for once a
-/// lane has traffic, and the answer is a round trip away; told to wait for a grant's whole life, the
-/// first requests of a lane were refused while most slots were free.
+/// Retry-after before the first grant of a flow. Capacity is requested once a flow has traffic, and
+/// the response takes a round trip. With the TTL of a grant as retry-after, the first requests of a
+/// flow were refused while most slots were free.
 const FIRST_GRANT_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Buckets of one region and service.
+/// Grants and token buckets of one region and service.
 #[derive(Clone, Debug)]
 struct RegionGrants {
-    /// By grantor, with the time at which each ends.
+    /// Grants by grantor, each with its expiry time.
     by_grantor: BTreeMap<Arc<str>, (Duration, Grant)>,
     requests: TokenBucket,
     request_bytes: TokenBucket,
     answer_bytes: TokenBucket,
-    /// Sizes of the last request and of its expected answer.
+    /// Sizes of the last request and of its expected response.
     sizes: (f64, f64),
 }
 
-/// Sums of the grants that hold now.
+/// Sum of the valid grants.
 #[derive(Clone, Copy, Debug, Default)]
 struct GrantSum {
     rate: f64,
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Fills the buckets by what was lent up to now.
+    /// Fills the buckets by the rates granted up to now.
     fn fill(&mut self, now: Duration) {
         let (request, answer) = self.sizes;
         let sum = self.sum(now);
@@ -78,7 +78,7 @@
     }
 }
 
-/// What one host may send to other regions.
+/// The capacity that one host may use in other regions.
 #[derive(Clone, Debug)]
 pub struct Grantee {
     host: Arc<str>,
@@ -87,7 +87,7 @@
 }
 
 impl Grantee {
-    /// A host that was lent nothing yet.
+    /// Creates a grantee without grants.
     pub fn open(host: &Arc<str>, region: &Arc<str>) -> Self {
         Self {
             host: host.clone(),
@@ -96,7 +96,7 @@
         }
     }
 
-    /// An ask to one of `grantors` hosts of a region: its even part of what is needed.
+    /// Returns a request to one of `grantors` hosts of a region, for an even part of the needs.
     pub fn request(&self, needs: &[Need], grantors: usize, now: Duration) -> GrantRequest {
         let share = |need: &Need| Need {
             rate: need.rate / grantors.max(1) as f64,
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Takes a grant in. One for another host, or one that was asked for before the grant it would
-    /// replace, is left aside.
+    /// Stores a received grant. A grant for another host, or one requested before the grant that it
+    /// would replace, is ignored.
     pub fn receive(&mut self, grant: Grant, now: Duration) {
         let expires_at = grant.requested_at + GRANT_TTL;
         if grant.grantee != self.host || expires_at <= now || grant.requested_at > now {
@@ -132,12 +132,12 @@
             .insert(grant.grantor.clone(), (expires_at, grant));
     }
 
-    /// Takes room for one request, by its size and the size that its answer is expected to have.
+    /// Takes the capacity for one request, given its size and the expected size of its response.
     ///
     /// # Errors
     ///
-    /// [`NoCapacity`] where there is no room now; then nothing is taken. A request whose deadline
-    /// allows it may wait for so long and try again.
+    /// Returns [`NoCapacity`] if the capacity is not available now; then nothing is taken. The
+    /// caller may wait for the returned time and retry if the request's deadline allows it.
     pub fn try_acquire(
         &mut self,
         region: &str,
@@ -170,15 +170,15 @@
         Ok(())
     }
 
-    /// Puts an answer's size right, once it is known: `more` bytes than expected, below 0 for
-    /// less.
+    /// Corrects the charged size of a response once it is known: `difference` is the number of
+    /// bytes above the expected size, negative if it is smaller.
     pub fn adjust_bytes(&mut self, region: &str, service: &str, difference: f64) {
         if let Some(grants) = self.grants(region, service) {
             grants.answer_bytes.take(difference);
         }
     }
 
-    /// Requests a second that a region takes now, by rate and by bytes.
+    /// Returns the requests per second that a region accepts now, limited by rate and by bytes.
     pub fn rate(&self, region: &str, need: &Need, now: Duration) -> f64 {
         let grants = self
             .regions
--- a/crates/steer/src/grants/grantor.rs
+++ b/crates/steer/src/grants/grantor.rs
@@ -1,4 +1,5 @@
-//! A host lends the room of its own targets, and its part of the region's links.
+//! The grantor's side: a host grants capacity of its own targets, and its part of the region's
+//! links.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -10,44 +11,44 @@
 };
 use crate::divide::{Demand, dominant};
 
-/// Part of a need below which a grant is not worth its message.
+/// Fraction of a need below which a grant is not worth a message.
 const EPSILON: f64 = 1e-6;
 
-/// A resource that grants use up.
+/// A resource that grants consume.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Resource {
     /// Slots of a service.
     Slots(Arc<str>),
     /// The link to a region, for requests from it.
     Requests(Arc<str>),
-    /// The link to a region, for answers to it.
+    /// The link to a region, for responses to it.
     Answers(Arc<str>),
 }
 
-/// One host's book of grants.
+/// Issues one host's grants.
 ///
-/// Invariant: the grants that may still be used come, with what their grantees were lent before,
-/// to no more than the room as it was when each was made.
+/// Invariant: a grant is issued only if it fits, together with all unexpired grants, into the
+/// capacity at that time.
 #[derive(Clone, Debug)]
 pub struct Grantor {
     host: Arc<str>,
     region: Arc<str>,
-    /// Until when it grants nothing: its region's other hosts have not counted it yet, and what
-    /// was lent on its targets before it came may still be used.
+    /// Time until which this host grants nothing: its region's other hosts may not have counted it
+    /// yet, and grants on its targets from before it joined may still be in use.
     quiet_until: Duration,
-    /// Part of the region's slots that is left free, of 1.
+    /// Fraction of the region's slots to leave free.
     headroom: f64,
     links: LinkCapacity,
     usage: BTreeMap<Arc<str>, UsageHistory>,
-    /// Hosts of the region.
+    /// Number of hosts of the region.
     hosts: WindowMax,
-    /// The last ask of each host, with the time it came.
+    /// The last request of each host, with its time of receipt.
     requests: BTreeMap<Arc<str>, (Duration, GrantRequest)>,
     outstanding: OutstandingGrants,
 }
 
 impl Grantor {
-    /// A host that has lent nothing yet.
+    /// Creates a grantor without grants.
     pub fn open(host: &Arc<str>, region: &Arc<str>, now: Duration) -> Self {
         Self {
             host: host.clone(),
@@ -62,13 +63,13 @@
         }
     }
 
-    /// Sets the part of the region's slots to leave free, of 1, and what its links may carry.
+    /// Sets the fraction of the region's slots to leave free, and the usable capacity of its links.
     pub fn set_limits(&mut self, headroom: f64, links: LinkCapacity) {
         self.headroom = headroom;
         self.links = links;
     }
 
-    /// Notes a measurement of the host's own targets.
+    /// Records a measurement of the host's own targets.
     pub fn record_usage(&mut self, service: &Arc<str>, usage: LocalUsage, now: Duration) {
         match self.usage.get_mut(service) {
             Some(measured) => measured.add(usage, now),
@@ -79,14 +80,15 @@
         }
     }
 
-    /// Notes how many hosts of the region may grant, this one, suspect and leaving ones included.
+    /// Sets the number of the region's hosts that may grant, including this one and suspect and
+    /// leaving ones.
     pub fn set_hosts(&mut self, hosts: usize, now: Duration) {
         self.hosts.add(hosts as f64, now);
     }
 
-    /// Notes what a host wants; it is answered by the next [`Grantor::grant`].
+    /// Stores a host's request; the next [`Grantor::grant`] answers it.
     pub fn on_request(&mut self, request: GrantRequest, now: Duration) {
-        // A late ask must not take the place of a newer one.
+        // A late request must not replace a newer one.
         if let Some((_, known)) = self.requests.get(&request.host)
             && known.sent_at > request.sent_at
         {
@@ -95,7 +97,7 @@
         self.requests.insert(request.host.clone(), (now, request));
     }
 
-    /// Divides the room among all that asked lately and gives the grants to send.
+    /// Divides the capacity among all recent requests and returns the grants to send.
     pub fn grant(&mut self, now: Duration) -> Vec<Grant> {
         self.outstanding.expire(now);
         self.requests
@@ -114,8 +116,8 @@
         grants
     }
 
-    /// Requests a second of a service that the host's own callers may send here beyond what they
-    /// do, lent room left out; none where the last measurement is old.
+    /// Returns the requests per second of a service that the host's own callers may send here
+    /// beyond their current rate, without the granted capacity; 0 if the last measurement is old.
     pub fn spare_rate(&self, service: &str, now: Duration) -> f64 {
         let Some(measured) = self.usage.get(service) else {
             return 0.0;
@@ -131,7 +133,8 @@
         (measured.available_slots(self.headroom) - granted).max(0.0) / measured.service_seconds()
     }
 
-    /// All that is asked for, in a fixed order. Needs without a target here are left out.
+    /// Returns all requested needs in a fixed order. Needs of services without a target here are
+    /// left out.
     fn demands(&self, now: Duration) -> Vec<GrantDemand> {
         let mut demands = Vec::new();
         for (_, request) in self.requests.values() {
@@ -163,7 +166,7 @@
         demands
     }
 
-    /// What the host may lend in all, by resource.
+    /// Returns the capacity that the host may grant in total, by resource.
     fn capacity(&self, now: Duration) -> BTreeMap<Resource, f64> {
         let mut capacity = BTreeMap::new();
         for (service, measured) in &self.usage {
@@ -188,7 +191,7 @@
         capacity
     }
 
-    /// What is left of the room beside all that is lent; below 0 where the room has shrunk.
+    /// Returns the capacity minus all outstanding grants; below 0 if the capacity has shrunk.
     fn unused(&self, capacity: &BTreeMap<Resource, f64>) -> BTreeMap<Resource, f64> {
         let mut available = capacity.clone();
         for (service, region, amount) in self.outstanding.iter() {
@@ -206,7 +209,8 @@
         available
     }
 
-    /// Units of a target that fit beside all other grants; takes what it adds out of `free`.
+    /// Returns the units of a target that fit beside all other grants, and subtracts what they add
+    /// from `available`.
     fn fit(
         &self,
         demand: &GrantDemand,
@@ -221,7 +225,7 @@
                 return 0.0;
             };
             if uses > 0.0 {
-                // What the host was lent already is its own to use again.
+                // The host may reuse what it was granted already.
                 units = units.min((granted + available.max(0.0)) / uses);
             }
         }
@@ -256,26 +260,26 @@
     }
 }
 
-/// One need of one host; a unit is a request a second.
+/// One need of one host; a unit is one request per second.
 struct GrantDemand {
     /// Host and service.
     key: (Arc<str>, Arc<str>),
     region: Arc<str>,
     requested_at: Duration,
     max_rate: f64,
-    /// Slots that a unit takes up.
+    /// Slots that a unit occupies.
     slots: f64,
     request_bytes: f64,
     answer_bytes: f64,
 }
 
-/// What a unit uses of each resource; no link where the host is in the grantor's own region.
+/// The use of each resource by one unit; no link if the host is in the grantor's own region.
 struct UnitUses {
     list: Vec<(Resource, f64)>,
 }
 
 impl UnitUses {
-    /// Each resource with its use and with what of it is lent already.
+    /// Iterates over the resources, each with its use by a unit and the amount granted already.
     fn iter(&self, granted: &GrantAmount) -> impl Iterator<Item = (&Resource, f64, f64)> {
         let granted = *granted;
         self.list.iter().map(move |(resource, uses)| {
@@ -300,13 +304,13 @@
     }
 }
 
-/// Whether a need's figures can be reckoned with; they come from another host.
+/// Whether a need's numbers are usable; they come from another host.
 fn is_valid(need: &Need) -> bool {
     let figures = [need.rate, need.request_bytes, need.answer_bytes];
     figures.iter().all(|n| n.is_finite() && *n >= 0.0)
 }
 
-/// Units for each want, by dominant-resource fairness over all resources.
+/// Computes the units of each demand by dominant resource fairness over all resources.
 fn divide(capacity: &BTreeMap<Resource, f64>, demands: &[GrantDemand]) -> Vec<f64> {
     let resources: Vec<&Resource> = capacity.keys().collect();
     let capacity: Vec<f64> = capacity.values().copied().collect();
@@ -324,7 +328,7 @@
 }
 
 impl GrantDemand {
-    /// What a unit uses of a resource.
+    /// Returns what a unit uses of a resource.
     fn unit(&self, resource: &Resource) -> f64 {
         match resource {
             Resource::Slots(service) if *service == self.key.1 => self.slots,
--- a/crates/steer/src/grants/local_usage.rs
+++ b/crates/steer/src/grants/local_usage.rs
@@ -1,40 +1,42 @@
-//! What a host measures of its own targets.
+//! Measurements of a host's own targets.
 
 use std::{collections::VecDeque, time::Duration};
 
 use super::{PEAK_WINDOW, window_max::WindowMax};
 
-/// Capacity of one service's targets that a host owns, and its use by work that needs no grant.
+/// Capacity of one service's targets that a host owns, and its use by traffic that needs no grant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LocalUsage {
-    /// Slots of its targets that are well and not drained.
+    /// Slots of the healthy, undrained targets.
     pub slots: f64,
-    /// Slots in use, on average since the last measurement, by callers of its own region.
+    /// Slots in use by callers of the host's own region, on average since the last measurement.
     pub busy: f64,
-    /// Requests a second that this host itself sends to its region's targets for such callers. By
-    /// this count use cannot be less than `rate` times `work`, whatever `busy` says.
+    /// Requests per second that this host itself sends to its region's targets for such callers.
+    /// The usage is at least `rate` times `service_time`, whatever `busy` reports.
     pub rate: f64,
-    /// Mean time that a request takes up a slot.
+    /// Mean time for which a request occupies a slot.
     pub service_time: Duration,
 }
 
 impl LocalUsage {
-    /// Slots in use: what is reported or what the host's own count comes to, whichever is more.
+    /// Returns the slots in use: the larger of the reported value and the one computed from the
+    /// host's own request rate.
     fn used(&self) -> f64 {
         self.busy.max(self.rate * self.service_time.as_secs_f64())
     }
 }
 
-/// The measurements of the last while.
+/// The recent measurements.
 #[derive(Clone, Debug)]
 pub(super) struct UsageHistory {
     last: LocalUsage,
-    /// When it was taken.
+    /// Time of the last measurement.
     pub(super) at: Duration,
-    /// Use, with its time; oldest first, falling: a use that a later one exceeds says nothing.
+    /// Usage with its time, oldest first and falling: a usage that a later one exceeds does not
+    /// matter.
     peaks: VecDeque<(Duration, f64)>,
-    /// Slots, below 0, so that the least of late counts: those that are new to this host may be
-    /// lent out by the host that had them before, for the lifetime of a grant.
+    /// Negated slots, so that the recent minimum counts: slots that are new to this host may still
+    /// be granted by their previous owner for the TTL of a grant.
     min_slots: WindowMax,
 }
 
@@ -64,7 +66,7 @@
         self.min_slots.add(-usage.slots, now);
     }
 
-    /// Slots that may be lent, while `headroom` of all is left free.
+    /// Returns the slots that may be granted while the fraction `headroom` of all slots stays free.
     pub(super) fn available_slots(&self, headroom: f64) -> f64 {
         let peak = self
             .peaks
@@ -74,8 +76,8 @@
         (slots * (1.0 - headroom) - peak).max(0.0)
     }
 
-    /// Seconds that a request takes up a slot; not less than a microsecond, since a rate is slots
-    /// by this.
+    /// Returns the seconds for which a request occupies a slot; at least a microsecond, since rates
+    /// are slots divided by this.
     pub(super) fn service_seconds(&self) -> f64 {
         self.last.service_time.as_secs_f64().max(1e-6)
     }
--- a/crates/steer/src/grants/mod.rs
+++ b/crates/steer/src/grants/mod.rs
@@ -1,30 +1,32 @@
-//! Headroom of a region and of its links, lent to hosts elsewhere for a short time.
+//! Short-lived grants of capacity: how much traffic a host may send to another region.
 //!
-//! The load: many hosts that each send part of their callers' requests to another region. Reports
-//! of that region's load lag by seconds, so hosts that each fill the room they see overrun it
-//! together, and the region's own callers pay; a link fills the same way. So a region's own hosts
-//! say how much they take: each divides the room of its own targets, and its equal part of each
-//! link, among the hosts that ask. The sum over all grants that can still be used stays within the
-//! room, whatever is lost, late or repeated on the way:
+//! Many hosts each send part of their callers' requests to another region. Reports of that region's
+//! load lag by seconds, so hosts that each fill the capacity they see would together overload it,
+//! at the expense of the region's own callers; a link fills up in the same way. The region's own
+//! hosts therefore decide how much traffic they accept: each divides the free capacity of its own
+//! targets, and its equal part of each link, among the hosts that request it. The sum of all usable
+//! grants never exceeds the available capacity, even if messages are lost, late or duplicated:
 //!
-//! * A grant ends by itself, after [`GRANT_TTL`]. The grantor counts it from when it sends it, the
-//!   grantee from when it asked, which is earlier: no grant is used after its grantor has forgotten
-//!   it.
-//! * A smaller grant takes the place of a larger one at the grantee only when it arrives; until
-//!   the larger one's end the grantor counts the larger.
-//! * A host's part of a link is one by the largest number of hosts its region had within a
-//!   lifetime of grants, and a new host grants nothing for that long: the others' grants were made
-//!   when they were fewer.
-//! * Without a fresh measurement of its own use a grantor renews no more than what it lent
-//!   ([`FRESH_AGE`]), and later nothing ([`STALE_AGE`]). Use counts by its peak ([`PEAK_WINDOW`]), so that one
-//!   report that is false or between two bursts frees nothing.
+//! * A grant expires by itself after [`GRANT_TTL`]. The grantor counts from the time at which it
+//!   sends the grant, the grantee from the time of its request, which is earlier: no grant is used
+//!   after its grantor has dropped it.
+//! * A smaller grant replaces a larger one only when it arrives at the grantee; until the larger
+//!   one expires, the grantor counts the larger one.
+//! * A host's part of a link is one divided by the largest number of hosts that its region had
+//!   within the last [`GRANT_TTL`]. A new host issues no grants for that time, because the others'
+//!   grants were computed for fewer hosts.
+//! * Without a fresh measurement of its own usage a grantor only renews what it has granted already
+//!   ([`FRESH_AGE`]), and later grants nothing ([`STALE_AGE`]). Usage counts by its recent peak
+//!   ([`PEAK_WINDOW`]), so a single report that is wrong or falls between two bursts frees no
+//!   capacity.
 //!
-//! Half of a link is each end's to grant, since both ends send work over it and neither sees the
-//! other's grants. Answers are most of the bytes, and those of the one end's work travel against
-//! those of the other's: so of each direction [`REQUEST_FRACTION`] is for the requests of the one and the
-//! rest for the answers of the other, which wastes less than two halves.
+//! Each end of a link grants half of its capacity, since both ends send traffic over it and neither
+//! sees the other's grants. Responses are most of the bytes, and the responses to one end's
+//! requests travel in the opposite direction to those of the other end. In each direction
+//! [`REQUEST_FRACTION`] is therefore for the requests of one end and the rest for the responses of
+//! the other, which wastes less than two equal halves.
 //!
-//! `docs/decisions/grants.md` holds the figures.
+//! `docs/decisions/grants.md` holds the measurements.
 
 mod grantee;
 mod grantor;
@@ -41,68 +43,68 @@
     local_usage::LocalUsage,
 };
 
-/// Time after which a grant ends by itself.
+/// Time after which a grant expires.
 pub const GRANT_TTL: Duration = Duration::from_secs(3);
 
-/// Age up to which a measurement of a host's own use lets its grants grow.
+/// Maximum age of a usage measurement with which a host's grants may grow.
 pub const FRESH_AGE: Duration = Duration::from_secs(1);
 
-/// Age from which a host without a measurement grants nothing more.
+/// Age of the last usage measurement from which a host grants nothing more.
 pub const STALE_AGE: Duration = Duration::from_secs(3);
 
-/// Time for which the highest use counts.
+/// Window in which the highest usage counts.
 pub const PEAK_WINDOW: Duration = Duration::from_secs(5);
 
-/// Part of each direction of a link that is for requests; the rest is for answers.
+/// Fraction of each direction of a link that is for requests; the rest is for responses.
 pub const REQUEST_FRACTION: f64 = 0.2;
 
-/// Capacity of links that steering may use, in bytes a second in each direction, headroom taken
-/// off, by the region at the other end.
+/// Usable capacity of a region's links by the region at the other end: bytes per second in each
+/// direction, without the headroom.
 pub type LinkCapacity = BTreeMap<Arc<str>, f64>;
 
-/// What a host wants to send to a region.
+/// The traffic of one service that a host wants to send to a region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Need {
     /// The service.
     pub service: Arc<str>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     /// Mean size of a request, in bytes.
     pub request_bytes: f64,
-    /// Mean size of an answer, in bytes.
+    /// Mean size of a response, in bytes.
     pub answer_bytes: f64,
 }
 
-/// A host asks the hosts of a region for room.
+/// A host's request for grants, sent to a host of another region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GrantRequest {
-    /// The host that asks.
+    /// The requesting host.
     pub host: Arc<str>,
-    /// Region it stands in; the grantor's own region where the callers are from elsewhere.
+    /// Region of the requesting host; the grantor's own region if the callers are from elsewhere.
     pub region: Arc<str>,
-    /// When it asks, by its own clock.
+    /// Time of the request by the requester's clock.
     pub sent_at: Duration,
-    /// What it wants of this one grantor.
+    /// Capacity that is requested of this grantor.
     pub needs: Vec<Need>,
 }
 
-/// Room that one host lends to another, for one service.
+/// Capacity that one host grants to another for one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Grant {
-    /// The host that lends.
+    /// The granting host.
     pub grantor: Arc<str>,
-    /// The region that takes the work.
+    /// The region that serves the traffic.
     pub region: Arc<str>,
-    /// The host that may use it.
+    /// The host that may use the grant.
     pub grantee: Arc<str>,
     /// The service.
     pub service: Arc<str>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Bytes of requests a second.
+    /// Bytes of requests per second.
     pub request_bytes: f64,
-    /// Bytes of answers a second.
+    /// Bytes of responses per second.
     pub answer_bytes: f64,
-    /// When the grantee asked, by the grantee's own clock.
+    /// Time of the request that this grant answers, by the grantee's clock.
     pub requested_at: Duration,
 }
--- a/crates/steer/src/grants/outstanding.rs
+++ b/crates/steer/src/grants/outstanding.rs
@@ -1,8 +1,8 @@
-//! What a grantor has lent and cannot take back before it ends.
+//! The grants of a grantor that have not expired; they cannot be revoked.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-/// Amounts of one grant: slots, and bytes a second of requests and of answers.
+/// Amounts of one grant: slots, and bytes per second of requests and responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct GrantAmount {
     pub(super) slots: f64,
@@ -10,17 +10,17 @@
     pub(super) answer_bytes: f64,
 }
 
-/// Grants of one host and service that may still be used.
+/// The unexpired grants of one host and service.
 #[derive(Clone, Debug, Default)]
 struct HostGrants {
     region: Arc<str>,
-    /// With the times at which they end.
+    /// Each with its expiry time.
     grants: Vec<(Duration, GrantAmount)>,
 }
 
 impl HostGrants {
-    /// The grantee goes by one of the grants, and which one is not known: each amount counts by its
-    /// largest.
+    /// Returns the largest value of each amount: the grantee uses one of the grants, and the
+    /// grantor does not know which.
     fn amount(&self) -> GrantAmount {
         let largest = |sum: GrantAmount, (_, grant): &(Duration, GrantAmount)| GrantAmount {
             slots: sum.slots.max(grant.slots),
@@ -31,14 +31,14 @@
     }
 }
 
-/// All grants that may still be used.
+/// All unexpired grants, by host and service.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OutstandingGrants {
     grants: BTreeMap<(Arc<str>, Arc<str>), HostGrants>,
 }
 
 impl OutstandingGrants {
-    /// Forgets grants that have ended.
+    /// Removes expired grants.
     pub(super) fn expire(&mut self, now: Duration) {
         for entry in self.grants.values_mut() {
             entry.grants.retain(|(expires_at, _)| *expires_at > now);
@@ -55,7 +55,7 @@
     ) {
         let entry = self.grants.entry(key).or_default();
         entry.region = region.clone();
-        // An earlier grant that is not larger and ends no later adds nothing.
+        // An earlier grant that is not larger and expires no later adds nothing.
         entry.grants.retain(|(expiry, earlier)| {
             *expiry > expires_at
                 || earlier.slots > amount.slots
@@ -65,7 +65,7 @@
         entry.grants.push((expires_at, amount));
     }
 
-    /// What is lent to one host for one service.
+    /// Returns the amount granted to one host for one service.
     pub(super) fn amount(&self, key: &(Arc<str>, Arc<str>)) -> GrantAmount {
         self.grants
             .get(key)
@@ -73,7 +73,7 @@
             .unwrap_or_default()
     }
 
-    /// All lines: host, service, region of the host, amount.
+    /// Iterates over service, region of the host, and amount.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &Arc<str>, GrantAmount)> {
         let grants = self.grants.iter();
         grants.map(|((_, service), entry)| (service, &entry.region, entry.amount()))
--- a/crates/steer/src/grants/token_bucket.rs
+++ b/crates/steer/src/grants/token_bucket.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-/// Time for which a bucket saves up what is not used: the time between two renewals of a grant
-/// would be too long for a link, none at all would waste what comes unevenly.
+/// Burst size in seconds of the rate. The time between two renewals of a grant would be too long
+/// for a link; with no burst at all, uneven arrivals would waste capacity.
 const BURST_SECONDS: f64 = 0.1;
 
-/// Requests that a bucket holds at least. Requests of one host come in no even rhythm: a bucket
-/// of one or two turns away a third of a low rate that its grants would carry.
+/// Minimum burst in requests. Requests of one host do not arrive evenly: a bucket of one or two
+/// refuses a third of a low rate that its grants would cover.
 const MIN_BURST_REQUESTS: f64 = 4.0;
 
-/// Tokens that come at a rate and are taken one request at a time.
+/// A token bucket: filled at a rate, drained one request at a time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TokenBucket {
-    /// Tokens there are; below 0 where more was taken than was foreseen.
+    /// Available tokens; below 0 if a request took more than estimated.
     tokens: f64,
     filled_at: Duration,
 }
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Adds what came at `rate` since the last time; `one` is what a request takes.
+    /// Adds the tokens for the time since the last call at `rate`; `request_cost` is what one
+    /// request takes.
     pub(super) fn fill(&mut self, rate: f64, request_cost: f64, now: Duration) {
         let time = now.saturating_sub(self.filled_at).as_secs_f64();
         self.filled_at = self.filled_at.max(now);
@@ -34,8 +35,8 @@
         self.tokens = (self.tokens + rate * time).min(capacity);
     }
 
-    /// Seconds until there are so many tokens at `rate`; 0 where there are, infinite where none
-    /// come.
+    /// Returns the seconds until `tokens` are available at `rate`: 0 if they are now, infinite if
+    /// the rate is 0.
     pub(super) fn wait(&self, tokens: f64, rate: f64) -> f64 {
         let missing = tokens - self.tokens;
         if missing <= 0.0 { 0.0 } else { missing / rate }
--- a/crates/steer/src/hosts/mod.rs
+++ b/crates/steer/src/hosts/mod.rs
@@ -1,12 +1,13 @@
-//! Which hosts a look-up answers with.
+//! Chooses the hosts that a lookup returns.
 //!
-//! The load: callers ask which hosts to use and cache the answer for seconds. With a random answer
-//! each time, a caller's requests wander over all hosts and find neither warm connections nor the
-//! records of its earlier tries; with one fixed host, that host's end or overload is the caller's.
-//! So each block of callers has the same few hosts at each look-up, chosen by rendezvous hash:
-//! where a host comes or goes, only the blocks that it serves change. Hosts that leave are left
-//! out, suspect ones come last and get little, and busy ones get less, in coarse steps, since the
-//! reports of load lag and a fine weight would make all callers swing together.
+//! Callers look up which hosts to use and cache the response for seconds. With random hosts each
+//! time, a caller's requests would move over all hosts and find neither warm connections nor the
+//! records of earlier attempts; with one fixed host, that host's failure or overload would hit the
+//! caller directly. Each block of callers therefore gets the same few hosts at each lookup, chosen
+//! by rendezvous hashing: when a host joins or leaves, only the blocks that it serves change.
+//! Leaving hosts are left out, suspect ones come last with little weight, and busy ones get less
+//! weight. The weight falls in coarse steps: load reports lag, and with fine weights all callers
+//! would swing together.
 
 mod table;
 
@@ -14,48 +15,49 @@
 
 pub use table::HostTable;
 
-/// Hosts in an answer: one to use, one to turn to when it fails, one more for the time until the
-/// next look-up.
+/// Maximum number of hosts in a lookup result: one to use, one for failover, and one more for the
+/// time until the next lookup.
 pub const MAX_HOSTS: usize = 3;
 
-/// Weight of a host that is well and idle.
+/// Weight of an alive and idle host.
 pub const FULL_WEIGHT: u16 = 100;
 
-/// Weight of a suspect host: it most likely is gone, but a false suspicion must not empty a region.
+/// Weight of a suspect host. It is most likely gone, but a false suspicion must not empty a region.
 pub const SUSPECT_WEIGHT: u16 = 1;
 
-/// Steps of weight by load. At four steps a report that lags by a second misplaces at most a
-/// quarter of a host's callers.
+/// Number of load steps in the weight. With four steps a report that lags by a second misplaces at
+/// most a quarter of a host's callers.
 const LOAD_STEPS: f64 = 4.0;
 
-/// What is known of a host's life.
+/// Whether a host is alive.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Liveness {
-    /// Heard from.
+    /// Heartbeats arrive.
     #[default]
     Alive,
-    /// Not heard from for some time.
+    /// No heartbeat has arrived for some time.
     Suspect,
-    /// About to end; it gets no new callers.
+    /// The host is shutting down; it gets no new callers.
     Leaving,
 }
 
-/// A host as a look-up sees it.
+/// A host as seen by lookups.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
     /// Its name.
     pub name: Arc<str>,
     /// Its region.
     pub region: Arc<str>,
-    /// What is known of its life.
+    /// Whether the host is alive.
     pub state: Liveness,
-    /// Part of its capacity in use, 0 to 1; not finite where nothing is known, which counts as
-    /// half.
+    /// Fraction of the host's capacity in use, 0 to 1; a value that is not finite means unknown and
+    /// counts as half.
     pub load: f64,
 }
 
 impl Host {
-    /// Its weight: less with more load, least for a suspect one, none for one that leaves.
+    /// Returns the host's weight: lower with more load, minimal for a suspect host, 0 for a leaving
+    /// one.
     pub fn weight(&self) -> u16 {
         match self.state {
             Liveness::Leaving => 0,
@@ -75,7 +77,7 @@
     }
 }
 
-/// One host of an answer.
+/// One host of a lookup result.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WeightedHost {
     /// Index in the table.
@@ -84,14 +86,14 @@
     pub weight: u16,
 }
 
-/// The hosts that a look-up answers with, best first.
+/// The hosts of a lookup result, best first.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ChosenHosts {
     list: [Option<WeightedHost>; MAX_HOSTS],
 }
 
 impl ChosenHosts {
-    /// The hosts, best first.
+    /// Iterates over the hosts, best first.
     pub fn iter(&self) -> impl Iterator<Item = WeightedHost> {
         self.list.iter().map_while(|choice| *choice)
     }
--- a/crates/steer/src/hosts/table.rs
+++ b/crates/steer/src/hosts/table.rs
@@ -1,4 +1,4 @@
-//! All hosts of a deployment, in the order in which look-ups want them.
+//! The hosts of a deployment, in lookup order.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,19 +7,20 @@
 use super::{ChosenHosts, FULL_WEIGHT, Host, MAX_HOSTS, SUSPECT_WEIGHT, WeightedHost};
 use crate::hash;
 
-/// Hosts by region, with the regions near to each. Replaced whole when something changes.
+/// All hosts by region, and each region's other regions by distance. Rebuilt completely on each
+/// change.
 #[derive(Clone, Debug)]
 pub struct HostTable {
-    /// In order of region, then of name.
+    /// Ordered by region, then by name.
     hosts: Vec<Host>,
-    /// As long as `hosts`: hash of the name, and the weight.
+    /// Hash of the name and weight of each host; as long as `hosts`.
     keys: Vec<(u64, u16)>,
     /// For each region of callers, the hosts of each region (a range of `hosts`), nearest first.
     by_distance: BTreeMap<Arc<str>, Vec<(usize, usize)>>,
 }
 
 impl HostTable {
-    /// Orders hosts; regions are near to one another by the delay of the link between them.
+    /// Builds the table; the distance of two regions is the delay of the link between them.
     pub fn open(config: &Config, mut hosts: Vec<Host>) -> Self {
         hosts.sort_by(|a, b| (&a.region, &a.name).cmp(&(&b.region, &b.name)));
         let keys = hosts
@@ -47,10 +48,10 @@
         }
     }
 
-    /// The hosts for a block of callers near to a region; allocates nothing.
+    /// Returns the hosts for a block of callers whose region is `callers`; allocates nothing.
     ///
-    /// Hosts of the callers' own region come first. Others fill the answer up where fewer than
-    /// needed are well there: a caller whose region was lost still has whom to turn to.
+    /// Hosts of the callers' own region come first. Hosts of other regions fill the result if fewer
+    /// than needed are alive there, so callers of a failed region still get hosts.
     pub fn lookup(&self, callers: &str, block: u64) -> ChosenHosts {
         let mut choices = ChosenHosts::default();
         let mut count = 0;
@@ -67,7 +68,8 @@
         choices
     }
 
-    /// Adds the best hosts of a range, those of a least weight that are not there yet.
+    /// Adds the best hosts of a range that have at least the given weight and are not in the result
+    /// yet.
     fn fill(
         &self,
         choices: &mut ChosenHosts,
@@ -88,7 +90,8 @@
             if weight < min_weight || weight > max_weight {
                 continue;
             }
-            // The order goes by the name alone: a change of load must not send callers elsewhere.
+            // The order depends on the name alone: a change of load must not send callers to other
+            // hosts.
             let score = hash::mix64(key ^ value);
             let position = best.partition_point(|other| other.is_some_and(|(o, _)| o >= score));
             if position < MAX_HOSTS {
@@ -109,13 +112,13 @@
         count + added
     }
 
-    /// The host of a choice.
+    /// Returns the host of a lookup result's entry.
     pub fn host(&self, choice: WeightedHost) -> Option<&Host> {
         self.hosts.get(choice.host as usize)
     }
 }
 
-/// All regions, the callers' own first, then by delay; those without a link last.
+/// Returns all regions, the callers' own first, then by delay; regions without a link come last.
 fn regions_by_distance(config: &Config, callers: &Arc<str>) -> Vec<Arc<str>> {
     let delay = |region: &Arc<str>| {
         if region == callers {
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -1,13 +1,13 @@
-//! Decisions under load between regions: who serves whose callers, how fast that may change, and
-//! who may use whose spare capacity.
+//! Traffic steering between regions: which region serves which callers, how fast that may change,
+//! and how much spare capacity of other regions a host may use.
 //!
-//! Nothing here has a clock, a thread or a socket: an input and a time come in, a decision comes
-//! out. Times are a `Duration` since an origin of the process's own choice and never go back.
+//! The crate has no clock, thread or socket: it takes an input and a time and returns a decision.
+//! Times are a `Duration` since an origin that the process chooses, and never go back.
 //!
 //! ```
 //! use std::{collections::BTreeSet, time::Duration};
 //!
-//! use dunlinrock_steer::{ShareLimits, DesiredSplits, TrafficSplit};
+//! use dunlinrock_steer::{DesiredSplits, ShareLimits, TrafficSplit};
 //!
 //! # let text = r#"
 //! # [services.catalogue]
@@ -26,28 +26,30 @@
 //! # "#;
 //! # let file = dunlinrock_config::config::File { name: "all.toml".into(), text: text.into() };
 //! # let config = dunlinrock_config::config::check_files(&[file]).config.unwrap();
-//! let mut shares = TrafficSplit::open();
-//! // Nobody else is there: the host starts from the goal itself.
-//! shares.update_peers(&[]);
-//! let all_well = DesiredSplits::open(&config, &BTreeSet::new());
-//! shares.advance(&all_well, &ShareLimits::default(), Duration::ZERO);
-//! assert_eq!(&**shares.pick_region("catalogue", "cluj", 7).unwrap(), "cluj");
+//! let mut split = TrafficSplit::open();
+//! // There are no peers: the host starts from the desired split.
+//! split.update_peers(&[]);
+//! let healthy = DesiredSplits::open(&config, &BTreeSet::new());
+//! split.advance(&healthy, &ShareLimits::default(), Duration::ZERO);
+//! assert_eq!(&**split.pick_region("catalogue", "cluj", 7).unwrap(), "cluj");
 //!
-//! // Cluj is lost: its share moves by no more than the cap in any window, and what has not moved
-//! // yet is refused rather than sent somewhere at once.
-//! let lost = DesiredSplits::open(&config, &BTreeSet::from(["cluj".into()]));
-//! shares.advance(&lost, &ShareLimits::default(), Duration::from_millis(100));
-//! let refusal = shares.pick_region("catalogue", "cluj", 7).unwrap_err();
+//! // Region cluj fails. Its share moves within the cap in any window, and requests whose share has
+//! // not moved yet are refused instead of being sent to another region at once.
+//! let degraded = DesiredSplits::open(&config, &BTreeSet::from(["cluj".into()]));
+//! split.advance(&degraded, &ShareLimits::default(), Duration::from_millis(100));
+//! let refusal = split.pick_region("catalogue", "cluj", 7).unwrap_err();
 //! assert!(refusal.retry_after > Duration::ZERO);
 //! ```
 //!
-//! * [`Blocks`]: client address to region, by longest prefix.
-//! * [`DesiredSplits`], [`TrafficSplit`]: where traffic is meant to go, and the capped way there.
-//! * [`Grantor`], [`Grantee`]: headroom of a region and its links, lent for a short time.
-//! * [`spill`]: what a host needs of other regions, and how far its shares may go.
-//! * [`hosts`]: which hosts a look-up answers with.
-//! * [`divide`]: rules that divide several scarce resources.
-//! * [`naive`]: the baseline that the decisions are measured against.
+//! * [`Blocks`]: maps client addresses to regions by longest-prefix match.
+//! * [`DesiredSplits`], [`TrafficSplit`]: the desired split of traffic over regions, and the current
+//!   split, which moves towards it under a cap.
+//! * [`Grantor`], [`Grantee`]: short-lived grants of the headroom of regions and links.
+//! * [`spill`]: the capacity that a host needs in other regions, and the limits of its shares.
+//! * [`hosts`]: the hosts that a lookup returns.
+//! * [`divide`]: algorithms that divide several scarce resources.
+//! * [`affinity`]: the target that serves a request, by affinity or by load.
+//! * [`naive`]: the baseline for comparison.
 
 pub mod affinity;
 pub mod blocks;
--- a/crates/steer/src/shift/flow.rs
+++ b/crates/steer/src/shift/flow.rs
@@ -1,4 +1,4 @@
-//! The shares of one service's callers in one region.
+//! The shares of one flow: one service's traffic from the callers of one region.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,45 +7,46 @@
 use super::{MAX_LEAD, MAX_STEP, PACE, PEER_WINDOWS};
 use crate::{DesiredSplit, hash};
 
-/// Share below which a difference is rounding.
+/// Differences of shares below this are rounding errors.
 const EPSILON: f64 = 1e-9;
 
-/// Shortest window that is reckoned with; a speed is the cap by the window.
+/// Minimum window length for the division of the cap by the window.
 const MIN_WINDOW: Duration = Duration::from_millis(1);
 
-/// One serving region of a lane.
+/// The share of one serving region.
 #[derive(Clone, Debug)]
 pub(super) struct RegionShare {
     pub(super) region: Arc<str>,
     /// Hash of the region's name.
     pub(super) name_hash: u64,
-    /// Its share now, 0 to 1.
+    /// Current share, 0 to 1.
     pub(super) share: f64,
-    /// The share that it is to have, as far as ceilings allow, 0 to 1.
+    /// Share to move towards, as far as limits allow, 0 to 1.
     pub(super) target_share: f64,
-    /// Whether it can serve at all.
+    /// Whether the region can serve requests at all.
     pub(super) eligible: bool,
 }
 
-/// The shares of one service's callers in one region.
+/// The shares of one service's traffic from the callers of one region.
 #[derive(Clone, Debug)]
 pub(super) struct Flow {
-    /// In order of region. Invariant: the shares sum up to 1, and so do the targets; or there are
-    /// no parts, where nobody can serve.
+    /// Ordered by region. Invariant: the shares sum up to 1, and so do the target shares; or the
+    /// list is empty if no region can serve.
     pub(super) regions: Vec<RegionShare>,
     /// Region of the callers.
     callers: Arc<str>,
-    /// Speed of the way to the targets now, in shares a second; 0 while held.
+    /// Current speed in shares per second; 0 while blocked.
     pub(super) speed: f64,
-    /// Part of the traffic that is not where the goal wants it, be it held by ceilings or not.
+    /// Fraction of the traffic that is not at the desired split, whether it is blocked by limits or
+    /// not.
     pub(super) remaining: f64,
     /// Length of the cap's window.
     pub(super) window: Duration,
-    /// When the last step was taken.
+    /// Time of the last step.
     last_step: Duration,
-    /// Since when slower peers hold the lane.
+    /// Time since which slower peers have blocked the flow.
     blocked_since: Option<Duration>,
-    /// TrafficSplit of peers.
+    /// Shares of this flow at the peers.
     peers: Vec<Row>,
 }
 
@@ -67,7 +68,7 @@
         flow
     }
 
-    /// The part of a region, made where there is none.
+    /// Returns the entry of a region, and creates it if it is missing.
     fn entry(&mut self, region: &Arc<str>) -> &mut RegionShare {
         let found = self
             .regions
@@ -97,7 +98,7 @@
         self.peers = splits.cloned().collect();
     }
 
-    /// Takes a row over as it is.
+    /// Replaces the shares by the given ones.
     pub(super) fn adopt(&mut self, shares: &Row) {
         for entry in &mut self.regions {
             entry.share = 0.0;
@@ -107,16 +108,16 @@
         }
     }
 
-    /// Part of the traffic that is still to move as far as ceilings allow now.
+    /// Returns the fraction of the traffic that is still to move within the current limits.
     pub(super) fn movable(&self) -> f64 {
         self.regions.iter().map(RegionShare::missing_share).sum()
     }
 
-    /// Takes one step towards the goal.
+    /// Takes one step towards the desired split.
     pub(super) fn advance(&mut self, desired: &DesiredSplit, limits: Option<&Row>, now: Duration) {
         self.window = desired.window;
         if self.regions.is_empty() {
-            // Nothing was served, so nothing moves.
+            // No traffic was served, so no traffic moves.
             for (region, share) in &desired.shares {
                 self.entry(region).share = *share;
             }
@@ -148,7 +149,7 @@
         distance(regions, desired)
     }
 
-    /// Sets the targets: the goal, but nothing above a ceiling that is not there already.
+    /// Sets the target shares to the desired split, cut down to the limits.
     fn set_targets(&mut self, desired: &DesiredSplit, limits: Option<&Row>) {
         for entry in &mut self.regions {
             entry.target_share = 0.0;
@@ -169,11 +170,11 @@
         self.balance_targets(&callers, limits);
     }
 
-    /// Brings the targets to a sum of 1 where ceilings cut some.
+    /// Restores a sum of 1 for the target shares after limits have cut some of them.
     ///
-    /// What cannot be taken up stays where it is if that can serve; else the callers' own region
-    /// takes it up to its ceiling, which is how work comes home from a region that no longer
-    /// grants anything; else it stays, to be refused.
+    /// Traffic that the desired regions cannot take stays where it is if that region can serve it.
+    /// Otherwise the callers' own region takes it up to its limit; this is how traffic returns from
+    /// a region that no longer grants capacity. The rest stays where it is and is refused.
     fn balance_targets(&mut self, callers: &str, limits: Option<&Row>) {
         let mut missing = 1.0
             - self
@@ -201,7 +202,7 @@
         self.retain_excess(&mut missing, |_| true);
     }
 
-    /// Lets parts keep what they have above their targets, up to what is missing in all.
+    /// Lets the matching regions keep their shares above the target, up to `missing` in total.
     fn retain_excess(&mut self, missing: &mut f64, which: impl Fn(&RegionShare) -> bool) {
         let excess = |entry: &RegionShare| match which(entry) {
             true => (entry.share - entry.target_share).max(0.0),
@@ -218,7 +219,7 @@
         *missing -= available * ratio;
     }
 
-    /// How much may move before the lane is too far ahead of its slowest peer.
+    /// Returns how much traffic may move before the flow is too far ahead of its slowest peer.
     fn allowed_lead(&mut self, desired: &DesiredSplit, now: Duration) -> f64 {
         let own = self.distance(&desired.shares);
         let peer_distance =
@@ -236,7 +237,7 @@
         0.0
     }
 
-    /// Moves up to `most` of the traffic on the straight way to the targets.
+    /// Moves up to `max_shift` of the traffic in a straight line towards the target shares.
     fn shift_by(&mut self, movable: f64, max_shift: f64) {
         if movable <= EPSILON {
             return;
@@ -257,7 +258,7 @@
     }
 }
 
-/// Part of the traffic that two rows send elsewhere.
+/// Returns the fraction of the traffic that two splits send to different regions.
 fn distance<'r>(shares: impl Iterator<Item = (&'r Arc<str>, f64)>, desired: &Row) -> f64 {
     let excess = |(region, share): (&Arc<str>, f64)| {
         (share - desired.get(region).copied().unwrap_or(0.0)).max(0.0)
--- a/crates/steer/src/shift/initial_split.rs
+++ b/crates/steer/src/shift/initial_split.rs
@@ -1,4 +1,4 @@
-//! The shares that a new host starts from.
+//! Initial shares of a host that has none.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -6,13 +6,14 @@
 
 use super::{PeerSplit, SplitTable};
 
-/// What a host without shares knows of where to start.
+/// What a host without shares starts from.
 #[derive(Clone, Debug, Default)]
 pub(super) enum InitialSplit {
-    /// Peers are alive that were not heard, and no other peer has shares.
+    /// Some live peers have not answered yet, and no other peer has shares.
     #[default]
     Unknown,
-    /// Nobody has shares: there is no traffic that could jump, so the goal will do.
+    /// No peer has shares: there is no traffic that could jump, so the host starts from the desired
+    /// split.
     Desired,
     /// Mean of the shares of all peers that have some.
     Mean(SplitTable),
@@ -35,7 +36,7 @@
         !matches!(self, Self::Unknown)
     }
 
-    /// The row to start a lane from, if any peer has one.
+    /// Returns the initial shares of a flow, if any peer has some.
     pub(super) fn find(&self, service: &str, callers: &str) -> Option<&Row> {
         match self {
             Self::Mean(table) => table.get(service)?.get(callers),
@@ -44,7 +45,7 @@
     }
 }
 
-/// Mean of rows; empty where there are none.
+/// Returns the mean of the splits; empty if there are none.
 pub(super) fn mean_split<'r>(splits: impl Iterator<Item = &'r Row>) -> Row {
     let mut sum = Row::new();
     for split in splits {
--- a/crates/steer/src/shift/mod.rs
+++ b/crates/steer/src/shift/mod.rs
@@ -1,24 +1,26 @@
-//! Moves shares of traffic towards their goals, under the operators' cap.
+//! Shifts traffic between regions towards the desired split, limited by the operators' cap.
 //!
-//! The load: a large part of a service's traffic that wants to be elsewhere at once, because of a
-//! new file, a drain, a lost region, or a host that was replaced. Without a limit it lands on cold
-//! caches and on regions that have no room for it, and a closing ends for callers who had nothing
-//! to do with the cause. So shares move at a limited speed whatever the cause, and only as far as
-//! the regions they move to have granted headroom. What cannot move yet is refused with the time
-//! after which a new try helps.
+//! A new configuration, a drain, a failed region or a replaced host may call for a large part of a
+//! service's traffic to be elsewhere at once. Without a limit it would land on cold caches and on
+//! regions without the capacity for it, and would cause failures for callers that have nothing to do
+//! with the cause. Shares therefore move at a limited speed whatever the cause, and only as far as
+//! the receiving regions have granted headroom. Traffic that cannot move yet is refused with a
+//! retry-after time.
 //!
-//! Each host decides for itself. That the sum over hosts stays under the cap rests on four rules:
+//! Each host decides for itself. Four rules keep the sum over all hosts under the cap:
 //!
-//! * A host moves at [`PACE`] of the cap's speed and does not make up for time it was idle beyond
-//!   [`MAX_STEP`] of a window. The limit needs no memory of earlier moves, so that it holds across the
-//!   replacement of a host, whose memory is gone.
-//! * A new host starts from the mean of its peers' shares. If it started from the goal, its part
-//!   of the traffic would jump; where no peer has shares there is no traffic to jump.
-//! * A host takes the shares of other regions' callers over from the hosts there.
-//! * A host stays within [`MAX_LEAD`] of the cap of its slowest peer, for [`PEER_WINDOWS`] windows: when a
-//!   host dies and its callers go to others, the traffic jumps by the difference of their shares.
+//! * A host moves at [`PACE`] of the cap's speed and makes up for at most [`MAX_STEP`] of a window
+//!   of idle time. The limit needs no memory of earlier moves, so it also holds when a host is
+//!   replaced and its memory is lost.
+//! * A new host starts from the mean of its peers' shares. If it started from the desired split,
+//!   its part of the traffic would jump; where no peer has shares there is no traffic that could
+//!   jump.
+//! * For the callers of other regions, a host adopts the shares of the hosts in those regions.
+//! * A host stays within [`MAX_LEAD`] of the cap of its slowest peer, for at most [`PEER_WINDOWS`]
+//!   windows: when a host fails and its callers move to others, the traffic jumps by the difference
+//!   of their shares.
 //!
-//! `docs/decisions/shift.md` holds the sweep behind these figures.
+//! `docs/decisions/shift.md` holds the parameter sweep behind these figures.
 
 mod flow;
 mod initial_split;
@@ -32,53 +34,56 @@
 use flow::Flow;
 pub use pick_region::{Refusal, UnservableReason};
 
-/// Part of the cap's speed at which a host moves. The rest is kept for what is not a host's own
-/// move: steps that began before a window (at most [`MAX_STEP`]), and callers who change hosts when a
-/// third of all hosts end at once (a third of [`MAX_LEAD`]): 0.8 * 1.05 + 0.45 / 3 = 0.99.
+/// Fraction of the cap's speed at which a host moves. The rest is reserved for moves that are not a
+/// host's own: steps that began before a window (at most [`MAX_STEP`]), and callers that change
+/// hosts when a third of all hosts fail at once (a third of [`MAX_LEAD`]): 0.8 * 1.05 + 0.45 / 3 =
+/// 0.99.
 pub use dunlinrock_config::goal::PACE;
 
-/// Part of a window for which a host that was idle makes up at most.
+/// Largest fraction of a window of idle time that a host makes up for in one step.
 pub const MAX_STEP: f64 = 0.05;
 
-/// Part of the cap by which a host may be nearer to the goal than its slowest peer.
+/// Fraction of the cap by which a host may be nearer to the desired split than its slowest peer.
 pub const MAX_LEAD: f64 = 0.45;
 
-/// Windows for which a host waits for a peer that does not move: one that cannot reach its goal
-/// must not stop a drain for all.
+/// Number of windows for which a host waits for a peer that does not move. A peer that cannot reach
+/// its desired split must not block a drain for all.
 pub const PEER_WINDOWS: u32 = 2;
 
-/// TrafficSplit by service, then by region of callers: what hosts tell one another.
+/// Shares by service, region of callers and serving region; hosts exchange this table.
 pub type SplitTable = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Row>>;
 
-/// Largest share that a region can be given, by service, region of callers and serving region;
-/// one that is not listed has no limit.
+/// Upper limit of a region's share, by service, region of callers and serving region; a missing
+/// entry means no limit.
 pub type ShareLimits = SplitTable;
 
-/// What is known of one peer that is alive.
+/// The known shares of one live peer.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerSplit<'p> {
-    /// Its shares, none where it has not got any yet; `None` where it was not heard yet.
+    /// `None` until the peer has sent its shares; an empty table if the peer has none itself.
     pub table: Option<&'p SplitTable>,
 }
 
-/// The shares of traffic that this host goes by.
+/// The shares by which this host currently distributes traffic over regions.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficSplit {
-    /// Empty until the host knows where to start.
+    /// Empty until the host knows which shares to start from.
     flows: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Flow>>,
     initial: initial_split::InitialSplit,
 }
 
 impl TrafficSplit {
-    /// A host without shares: it refuses all until it has heard its peers and steered once.
+    /// Creates a split without shares. The host refuses all requests until it has heard from its
+    /// peers and [`Self::advance`] has run once.
     pub fn open() -> Self {
         Self::default()
     }
 
-    /// Takes in what is known of all peers that are alive.
+    /// Updates the known shares of all live peers.
     ///
-    /// A host that has no shares starts from the mean of its peers' once one of them has some, and
-    /// from the goal once all were heard and none has. Later, peers that lag hold it back.
+    /// A host without shares starts from the mean of its peers' shares once a peer has some, or
+    /// from the desired split once all peers have answered and none has shares. Later, peers that
+    /// lag slow the host down.
     pub fn update_peers(&mut self, peers: &[PeerSplit<'_>]) {
         if !self.ready() {
             self.initial = initial_split::InitialSplit::from_peers(peers);
@@ -91,13 +96,14 @@
         }
     }
 
-    /// Takes over the shares of other regions' callers from living hosts of those regions, given by
-    /// region; `own` is the region of this host.
+    /// Adopts the shares of other regions' callers from live hosts of those regions. `peers` holds
+    /// the hosts' tables by region; `own` is the region of this host.
     ///
-    /// Nearly all callers use hosts of their own region, and those go only as far as grants carry
-    /// their traffic. A host elsewhere has no such traffic to hold it, and would run ahead to the
-    /// goal; should the region's hosts all end, its callers would jump there. So it follows, and
-    /// goes on by itself from where they ended.
+    /// Nearly all callers use hosts of their own region, and those hosts move only as far as grants
+    /// cover their traffic. A host elsewhere has no such traffic to limit it and would run ahead to
+    /// the desired split; if all hosts of the callers' region failed, the callers' traffic would
+    /// jump there. The host therefore follows, and continues from the last known shares when those
+    /// hosts are gone.
     pub fn adopt_remote(&mut self, own: &str, peers: &BTreeMap<Arc<str>, Vec<&SplitTable>>) {
         for (service, flows) in &mut self.flows {
             for (callers, flow) in flows.iter_mut().filter(|(name, _)| ***name != *own) {
@@ -111,18 +117,18 @@
         }
     }
 
-    /// Whether the host has shares to go by.
+    /// Whether the host has shares.
     pub fn ready(&self) -> bool {
         !self.flows.is_empty()
     }
 
-    /// Drops all shares. For a host that was paused: its peers have gone on without it, so it
-    /// starts again from theirs.
+    /// Drops all shares. Used after the host was paused: its peers have moved on, so it starts
+    /// again from their shares.
     pub fn reset(&mut self) {
         *self = Self::open();
     }
 
-    /// Moves shares towards the goals as far as time and ceilings allow.
+    /// Moves shares towards the desired splits, as far as the elapsed time and the limits allow.
     pub fn advance(&mut self, desired_splits: &DesiredSplits, limits: &ShareLimits, now: Duration) {
         if !self.ready() && !self.initial.known() {
             return;
@@ -143,15 +149,15 @@
         }
     }
 
-    /// The region that serves a request of a service's caller.
+    /// Picks the region that serves a request of a service's caller.
     ///
-    /// `value` is uniform over requests. Take a hash of the request's key, so that a new try draws
-    /// the same value: a refused request whose each try drew another would soon be served, and the
-    /// regions that are left would get more than their shares.
+    /// `value` must be uniform over requests. Use a hash of the request's key, so that a retry
+    /// draws the same value: if each retry of a refused request drew a new value, the request would
+    /// soon be served, and the remaining regions would get more than their shares.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] where the share it falls on cannot be served now.
+    /// Returns [`Refusal`] if the region that the request falls on cannot serve it now.
     pub fn pick_region(
         &self,
         service: &str,
@@ -166,7 +172,7 @@
         }
     }
 
-    /// The shares, to tell peers.
+    /// Returns all shares, to be sent to peers.
     pub fn table(&self) -> SplitTable {
         let tables = self.flows.iter().map(|(service, flows)| {
             let tables = flows.iter();
@@ -176,8 +182,8 @@
         tables.collect()
     }
 
-    /// Part of a service's callers in one region that is not where the goal wants it, be it under way
-    /// or held by ceilings; none where all is at its goal.
+    /// Returns the fraction of a flow's traffic that is not yet at the desired split, whether it is
+    /// moving or blocked by limits; 0 once the split is reached.
     pub fn remaining(&self, service: &str, callers: &str) -> f64 {
         let flow = self.flows.get(service).and_then(|flows| flows.get(callers));
         flow.map_or(0.0, |flow| flow.remaining)
--- a/crates/steer/src/shift/pick_region.rs
+++ b/crates/steer/src/shift/pick_region.rs
@@ -7,34 +7,34 @@
 use super::flow::{Flow, RegionShare};
 use crate::hash;
 
-/// Why a request cannot be served now.
+/// The reason why a request cannot be served now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum UnservableReason {
-    /// This host has not yet heard from its peers what the shares are.
+    /// This host does not know its peers' shares yet.
     Starting,
     /// No region serves the service's callers in this region.
     NoRegion,
-    /// Its share has not yet moved from a region that cannot serve.
+    /// The request falls on a region that cannot serve, and this share has not moved yet.
     RegionGone,
 }
 
-/// A request that is not served now; it was not sent anywhere.
+/// A request that cannot be served now; it was not sent to any region.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
-#[error("not servable now ({reason:?}); try again after {} ms", retry_after.as_millis())]
+#[error("request cannot be served now ({reason:?}); retry after {} ms", retry_after.as_millis())]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: UnservableReason,
-    /// Time after which the same request will be served, as far as can be told now.
+    /// Estimated time after which the same request will be served.
     pub retry_after: Duration,
 }
 
-/// Time after which a host that starts has heard its peers: a few heartbeats.
+/// Retry-after of a host that starts; after a few heartbeats it knows its peers' shares.
 const STARTING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time after which to ask again where only an operator can help.
+/// Retry-after where only an operator can resolve the situation.
 const NO_REGION_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Shortest time to wait; a shorter one is below a round trip and the time between two steps.
+/// Minimum retry-after; a shorter one is below a round trip and the time between two steps.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 impl Refusal {
@@ -53,9 +53,11 @@
     }
 }
 
-/// Picks by weighted rendezvous, in proportion to the shares. Where a tenth of the shares moves
-/// between two of three regions, about an eighth of the values change their region, so caches stay
-/// warm for all others; with a fresh draw for each request all values would.
+/// Picks a region by weighted rendezvous hashing, in proportion to the shares.
+///
+/// If a tenth of the shares moves between two of three regions, about an eighth of the values
+/// change their region, so caches stay warm for all others. With a new random draw for each request
+/// all values would change.
 pub(super) fn pick_region(flow: &Flow, value: u64) -> Result<&Arc<str>, Refusal> {
     let Some(entry) = winner(flow, value, 0.0) else {
         return Err(Refusal::no_region());
@@ -69,7 +71,8 @@
     })
 }
 
-/// The part that a value falls on, once `way` of the way to the targets is done.
+/// Returns the region that a value falls on once `progress` (0 to 1) of the way to the target
+/// shares is done.
 fn winner(flow: &Flow, value: u64, progress: f64) -> Option<&RegionShare> {
     let mut best = None;
     for entry in &flow.regions {
@@ -85,13 +88,14 @@
     best.map(|(_, entry)| entry)
 }
 
-/// Steps in which the way to the targets is searched for the place where a value changes region.
+/// Number of steps in which the way to the target shares is searched for the point where a value
+/// changes its region.
 const SEARCH_STEPS: u32 = 32;
 
-/// Time until a value falls on a region that can serve, at the speed of now.
+/// Estimates the time until a value falls on a region that can serve, at the current speed.
 ///
-/// Where nothing moves now, a window: the ceilings or peers that hold the lane change within it or
-/// not at all. ShareLimits may come down on the way, so this is an estimate.
+/// If the flow does not move, the result is one window: the limits or peers that block the flow
+/// change within it or not at all. Limits may drop in the meantime, so the result is an estimate.
 fn estimate_wait(flow: &Flow, value: u64) -> Duration {
     if flow.speed <= 0.0 {
         return flow.window.max(MIN_RETRY_AFTER);
--- a/crates/steer/src/spill/mod.rs
+++ b/crates/steer/src/spill/mod.rs
@@ -1,9 +1,10 @@
-//! What a host needs of other regions, and how far its shares may go by what it was lent.
+//! Computes the capacity that a host needs in other regions, and the share limits that follow from
+//! its grants.
 //!
-//! The load: a goal that gives a region more work than it has room for. A share that moves there
-//! in spite of that is turned away request by request, and the room of its old place stands idle.
-//! So a host asks for room a window ahead of its shares, and a share moves only as far as the
-//! grants carry it.
+//! The desired split may give a region more traffic than it has capacity for. If the share moved
+//! there regardless, its requests would be refused one by one while the capacity of the previous
+//! region stays idle. A host therefore requests capacity one window ahead of its shares, and a
+//! share moves only as far as grants cover it.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -14,35 +15,35 @@
     hash,
 };
 
-/// How many times the square root of the rate is asked for on top of it: requests come unevenly,
-/// and a bucket that is filled at the mean rate alone turns some away. A rate of a few requests a
-/// second needs twice its mean, one of hundreds a tenth more; a fixed part would be too little for
-/// the one and too much for the other.
+/// Factor of the square root of the rate that is requested on top of the rate. Requests arrive
+/// unevenly, and a bucket filled at the mean rate alone would refuse some. A rate of a few requests
+/// per second needs twice its mean, one of hundreds a tenth more; a fixed fraction would be too
+/// little for the one and too much for the other.
 pub const BURST_MARGIN: f64 = 1.5;
 
-/// Part of the safety that a share leaves free in what was granted. With all of it, each rise of a
-/// measured rate since the ask would send the share back a little; with none, requests find no
-/// room wherever grants are scarce.
+/// Fraction of the burst margin that a share leaves unused in its grants. With the whole margin,
+/// each rise of the measured rate since the request would move the share back a little; with none,
+/// requests are refused wherever grants are scarce.
 pub const KEPT_MARGIN: f64 = 0.5;
 
-/// What a host measures of one service's callers in one region.
+/// Measured traffic of one flow at this host: one service's callers in one region.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Traffic {
-    /// Requests a second that this host gets.
+    /// Requests per second that this host receives.
     pub rate: f64,
     /// Mean size of a request, in bytes.
     pub request_bytes: f64,
-    /// Mean size of an answer, in bytes.
+    /// Mean size of a response, in bytes.
     pub answer_bytes: f64,
 }
 
-/// Traffic by service, then by region of callers.
+/// Measured traffic by service, then by region of callers.
 pub type TrafficTable = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Traffic>>;
 
-/// What a host in `region` needs of other regions, by region.
+/// Returns the capacity that a host in `region` needs, by serving region.
 ///
-/// Its own region is among them for callers of other regions: the host then takes work from
-/// elsewhere too.
+/// The host's own region is included for the callers of other regions, since the host then takes
+/// traffic from elsewhere too.
 pub fn needs(
     desired_splits: &DesiredSplits,
     split: &TrafficSplit,
@@ -56,12 +57,12 @@
     needs
 }
 
-/// The rate to ask for, for a mean rate.
+/// Returns the rate to request for a mean rate.
 fn requested_rate(mean: f64) -> f64 {
     mean + BURST_MARGIN * mean.sqrt()
 }
 
-/// The mean rate that a granted rate carries while few requests find no room.
+/// Returns the mean rate that a granted rate covers while few requests are refused.
 fn usable(granted: f64) -> f64 {
     if !granted.is_finite() {
         return granted;
@@ -71,7 +72,7 @@
     (root / 2.0).powi(2)
 }
 
-/// The needs at their mean rates.
+/// Returns the needs at their mean rates.
 fn mean_needs(
     desired_splits: &DesiredSplits,
     split: &TrafficSplit,
@@ -92,7 +93,8 @@
     needs
 }
 
-/// How far shares may go by what a host in `region` was lent, and at home by its own room.
+/// Returns the share limits that follow from the grants of a host in `region`, and for its own
+/// region from the local spare capacity.
 pub fn share_limits(
     desired_splits: &DesiredSplits,
     split: &TrafficSplit,
@@ -110,8 +112,8 @@
             continue;
         }
         let current = find_split(&table, service, callers);
-        // What stays with a region that cannot serve is refused for certain; then it is better to
-        // use all that was granted, and have a request now and then find no room.
+        // Traffic that stays with a region that cannot serve is certainly refused. It is then
+        // better to use the full grant and refuse an occasional request for lack of capacity.
         let not_eligible = |region: &Arc<str>| !desired.eligible.contains(region);
         let has_unservable = current.is_some_and(|shares| shares.keys().any(not_eligible));
         let mut out = Row::new();
@@ -122,7 +124,7 @@
             } else {
                 let list = needs.get(&serving);
                 let need = list.and_then(|list| list.iter().find(|n| n.service == *service));
-                // Callers of several regions share the grants by what each wants.
+                // Callers of several regions divide the grants in proportion to their demand.
                 need.map_or(0.0, |need| {
                     let granted = grantee.rate(&serving, need, now);
                     let rate = if has_unservable {
@@ -141,12 +143,14 @@
     limits
 }
 
-/// Hosts of a region that one host asks. With more, asks and grants would grow with the square of
-/// the fleet; eight hold the room of a few when one or two of them end.
+/// Number of hosts of a region that one host requests grants from. With all hosts, requests and
+/// grants would grow with the square of the fleet; eight keep the capacity of a few when one or two
+/// of them fail.
 pub const MAX_GRANTORS: usize = 8;
 
-/// The hosts of a region that the host `own` asks: all where they are few, else some that are its
-/// own choice, so that each is asked by about as many as the others.
+/// Chooses the hosts of a region that the host `own` requests grants from: all hosts if there are
+/// few, otherwise a subset that depends on `own`, so that requests spread evenly over the region's
+/// hosts.
 pub fn choose_grantors<'h>(own: &str, hosts: &'h [Arc<str>]) -> Vec<&'h Arc<str>> {
     let own = hash::hash_str(own);
     let mut hosts: Vec<_> = hosts
@@ -158,12 +162,13 @@
     hosts.into_iter().map(|(_, host)| host).collect()
 }
 
-/// Whether a host may send requests without a grant: its own callers' at home.
+/// Whether a host in `region` may send requests of `callers` to `serving` without a grant: only
+/// those of its own region's callers to its own region.
 pub fn is_local(region: &str, callers: &str, serving: &str) -> bool {
     region == callers && region == serving
 }
 
-/// All services and regions of callers with traffic.
+/// Iterates over all flows with traffic.
 fn active_flows<'a>(
     desired_splits: &'a DesiredSplits,
     traffic: &'a TrafficTable,
@@ -183,8 +188,8 @@
     table.get(service)?.get(callers)
 }
 
-/// The shares that a lane may have within a window: what it has, and towards its goal at most the
-/// cap more. Regions that cannot serve want nothing.
+/// Returns the shares that a flow may have within a window: the current share, or up to the cap
+/// more towards the desired one. Regions that cannot serve are left out.
 fn wanted_shares<'a>(
     desired: &'a DesiredSplit,
     current: Option<&'a Row>,
@@ -200,7 +205,7 @@
     })
 }
 
-/// Adds a rate to a service's need; sizes are means over all callers.
+/// Adds a rate to a service's need; sizes are averaged over all callers.
 fn add(list: &mut Vec<Need>, service: &Arc<str>, rate: f64, traffic: &Traffic) {
     let Some(need) = list.iter_mut().find(|need| need.service == *service) else {
         list.push(Need {
--- a/crates/steer/src/spread/mod.rs
+++ b/crates/steer/src/spread/mod.rs
@@ -1,8 +1,8 @@
-//! Where each service's callers are meant to be served.
+//! The desired split of traffic over regions, for each service and region of callers.
 //!
-//! The load: callers of one region, of one service; the operator says which regions serve them.
-//! The goal is the operator's row less what drains and lost regions take out. It says nothing of
-//! how fast to get there: that is for [`crate::TrafficSplit`].
+//! Operators configure which regions serve a service's callers in a region. The desired split is
+//! this configuration without drained and unavailable regions. How fast traffic moves towards it is
+//! up to [`crate::TrafficSplit`].
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,29 +13,29 @@
 use dunlinrock_config::goal::{self, Row};
 use dunlinrock_schema::config::Config;
 
-/// Where a service's callers in one region are meant to be served, and how fast that may change.
+/// The desired split of one service's traffic from the callers of one region, and its cap on moves.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DesiredSplit {
-    /// Part of the traffic by serving region; empty where nobody can serve it.
+    /// Share of the traffic by serving region; empty if no region can serve it.
     pub shares: Row,
-    /// Regions that can serve at all: neither lost nor without targets. A region under a drain is
-    /// among them until its last share has moved.
+    /// Regions that can serve: available and with targets. A region under a drain is included until
+    /// its last share has moved.
     pub eligible: BTreeSet<Arc<str>>,
-    /// Largest part of the traffic that may move in any window, above 0 and at most 1.
+    /// Largest fraction of the traffic that may move within a window, above 0 and at most 1.
     pub cap: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
-/// The goals of all services and regions of callers.
+/// The desired splits of all services and regions of callers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DesiredSplits {
-    /// DesiredSplits by service, then by region of callers.
+    /// Desired splits by service, then by region of callers.
     pub flows: BTreeMap<Arc<str>, BTreeMap<Arc<str>, DesiredSplit>>,
 }
 
 impl DesiredSplits {
-    /// The goals under a configuration while some regions are lost.
+    /// Computes the desired splits of a configuration while the regions in `lost` are unavailable.
     pub fn open(config: &Config, lost: &BTreeSet<Arc<str>>) -> Self {
         let flows = config.services.iter().map(|(name, service)| {
             let eligible: BTreeSet<Arc<str>> = goal::slots(config, name)
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The goal of a service's callers in one region.
+    /// Returns the desired split of a service's callers in one region.
     pub fn find(&self, service: &str, callers: &str) -> Option<&DesiredSplit> {
         self.flows.get(service)?.get(callers)
     }
