--- a/crates/steer/benches/decisions.rs
+++ b/crates/steer/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! What one decision costs: a look-up of a block, a pick of a region, a choice of hosts, a request
-//! out of a grant; at today's size and at the size that the project plans for.
+//! Cost of one decision: a block lookup, a region pick, a host lookup, and taking a request out of
+//! a grant; at the current size and at the planned one.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -73,7 +73,7 @@
     }
 }
 
-/// TrafficSplit that are spread evenly over so many regions.
+/// Returns a split that is even over the given number of regions.
 fn split(regions: usize) -> TrafficSplit {
     let names: Vec<Arc<str>> = (0..regions).map(|n| format!("region-{n}").into()).collect();
     let desired = DesiredSplit {
--- a/crates/steer/examples/division.rs
+++ b/crates/steer/examples/division.rs
@@ -1,5 +1,5 @@
-//! Divides a region's spare slots and a link's spare bytes among colleges or clubs by three rules,
-//! on both deployments with links scarce, and prints the figures as a table.
+//! Divides a region's spare slots and a link's spare bytes among colleges or clubs by several
+//! algorithms, on both deployments with scarce links, and prints the results as a table.
 //!
 //! ```text
 //! cargo run --release -p dunlinrock-steer --example division [SEED]
@@ -14,34 +14,36 @@
     hash,
 };
 
-/// Draws of users a deployment.
+/// Number of random draws of users per deployment.
 const DRAWS: u64 = 400;
-/// Part of a region's slots that is spare.
+/// Fraction of a region's slots that is spare.
 const SPARE_FRACTION: f64 = 0.2;
-/// Part of a link's capacity that is left for this work, so small that it is as scarce as slots.
+/// Fraction of a link's capacity that is left for this traffic, by deployment; so small that it is
+/// as scarce as slots.
 const LINK_FRACTIONS: [f64; 2] = [0.05, 0.25];
-/// Users want a part of, up to a multiple of, what equal parts would give them.
+/// Smallest and largest demand of a user, relative to what equal parts would give it.
 const DEMAND_RANGE: [f64; 2] = [0.25, 4.0];
 
-/// A mix of work: part of the users that send it, its time in seconds and its answer in bytes.
+/// A kind of request: the fraction of users that send it, its service time in seconds and its
+/// response in bytes.
 struct Mix {
     fraction: f64,
     seconds: f64,
     bytes: f64,
 }
 
-/// What a rule came to over all draws.
+/// Results of an algorithm over all draws.
 #[derive(Default)]
 struct Sum {
-    /// Requests a second, of what no fair rule can exceed.
+    /// Requests per second, relative to equal parts.
     rate: f64,
-    /// Least that a user gets, of what equal parts give.
+    /// Smallest allocation of a user, relative to equal parts.
     least: f64,
     slots: f64,
     bytes: f64,
-    /// Fairness of the dominant parts by Jain's index.
+    /// Jain's fairness index of the dominant shares.
     jain: f64,
-    /// Most that one user gains by overstating what it needs of one resource, of what it gets.
+    /// Largest gain of a user by overstating its need of one resource, relative to its allocation.
     overstating_gain: f64,
 }
 
@@ -79,7 +81,7 @@
     }
 }
 
-/// The same users, who want limited rates.
+/// Returns the same users with limited demands.
 fn limit(random: &mut u64, capacity: [f64; 2], draws: &[Vec<Demand>]) -> Vec<Vec<Demand>> {
     let mut limited = draws.to_vec();
     for users in &mut limited {
@@ -94,7 +96,8 @@
     limited
 }
 
-/// Adaptive speed first; what its users do not want goes to the others by dominant resource.
+/// Divides by adaptive speed first; what its users do not want goes to the others by dominant
+/// resource fairness.
 fn adaptive_then_dominant(capacity: [f64; 2], users: &[Demand]) -> Vec<f64> {
     let first = adaptive(capacity, users);
     let remaining = |r: usize| {
@@ -128,8 +131,8 @@
 
 type Deployment = (&'static str, &'static str, &'static str, usize, Vec<Mix>);
 
-/// Rival colleges: searches carry long answers, reservations hold slots. Clubs: calendars are
-/// long, payments hold slots.
+/// Competing colleges: searches have long responses, reservations occupy slots. Clubs: calendars
+/// are long, payments occupy slots.
 fn deployments() -> [Deployment; 2] {
     let mix = |fraction, seconds, bytes| Mix {
         fraction,
@@ -160,7 +163,7 @@
     [slots, link.bytes_per_s.get() as f64 * fraction]
 }
 
-/// Users of one mix each, with figures up to twice or half of the mix's own.
+/// Draws users of one kind of request each, with values between half and twice those of the kind.
 fn draw(random: &mut u64, users: usize, mixes: &[Mix]) -> Vec<Demand> {
     let mut uniform = || {
         *random = random.wrapping_add(1);
@@ -229,7 +232,7 @@
     sum * sum / (squares * parts.len() as f64)
 }
 
-/// Most that the first user gains by stating more of one resource than it needs.
+/// Returns the largest gain of the first user by stating more of one resource than it needs.
 fn overstating_gain(capacity: [f64; 2], users: &[Demand], units: &[f64], divide: Rule) -> f64 {
     let honest = units[0];
     let mut best = 0.0_f64;
@@ -238,7 +241,7 @@
             let mut overstated = users.to_vec();
             overstated[0].uses[resource] *= factor;
             let allocated = divide(capacity, &overstated)[0];
-            // What it got of each resource, by its lie, against what it really needs.
+            // The allocation that overstating gains, measured by what the user really needs.
             let useful = (0..2).map(|r| allocated * overstated[0].uses[r] / users[0].uses[r]);
             let useful = useful.fold(users[0].max_units, f64::min);
             best = best.max(useful / honest - 1.0);
--- a/crates/steer/examples/shifts.rs
+++ b/crates/steer/examples/shifts.rs
@@ -1,5 +1,5 @@
-//! Plays faults and planned events on both deployments in virtual time, by the decisions of this
-//! crate and by the baseline, and prints the figures as a table.
+//! Simulates faults and planned events on both deployments in virtual time, with this crate's
+//! decisions and with the baseline, and prints the results as a table.
 //!
 //! ```text
 //! cargo run --release -p dunlinrock-steer --example shifts [SEED [PART OF AN EVENT'S NAME]]
@@ -12,7 +12,7 @@
 
 use simulation::{Policy, run, scenarios};
 
-/// Seed of all runs where none is given.
+/// Default seed of all runs.
 const SEED: u64 = 1;
 
 fn main() {
--- a/crates/steer/tests/blocks.rs
+++ b/crates/steer/tests/blocks.rs
@@ -1,4 +1,4 @@
-//! A look-up finds the smallest block that covers an address.
+//! A lookup finds the smallest block that covers an address.
 
 use std::{
     net::{IpAddr, Ipv4Addr, Ipv6Addr},
@@ -29,7 +29,7 @@
     blocks.find(address.parse().unwrap()).map(AsRef::as_ref)
 }
 
-/// What a walk over all blocks finds.
+/// Reference implementation: a linear search over all blocks.
 fn linear_search(blocks: &[(IpNet, Arc<str>)], address: IpAddr) -> Option<&Arc<str>> {
     let covering = blocks.iter().filter(|(net, _)| net.contains(&address));
     // Of equal blocks the last one counts.
@@ -86,7 +86,7 @@
     assert_eq!(find(&blocks, "10.0.0.1"), None);
 }
 
-/// 760,000 blocks of 740 sites, as many as the project plans for: at most 12 bytes a block.
+/// 760,000 blocks of 740 sites, the planned size: at most 12 bytes per block.
 #[test]
 fn the_planned_size_takes_few_bytes_a_block() {
     let names: Vec<Arc<str>> = (0..740).map(|n| format!("site-{n}").into()).collect();
@@ -111,7 +111,7 @@
 }
 
 fn v4() -> impl Strategy<Value = IpNet> {
-    // Few first bits, so that blocks nest and touch.
+    // Few distinct first bits, so that blocks nest and touch.
     (0_u32..4, any::<u32>(), 0_u8..=32).prop_map(|(head, rest, prefix)| {
         let address = Ipv4Addr::from((head << 30) | (rest & 0x0fff_00ff));
         Ipv4Net::new(address, prefix).unwrap().into()
--- a/crates/steer/tests/fair_division.rs
+++ b/crates/steer/tests/fair_division.rs
@@ -1,4 +1,4 @@
-//! Divisions stay within the resources and keep what their rules promise.
+//! Allocations stay within the capacity and have the properties of their algorithms.
 
 use dunlinrock_steer::divide::{Demand, adaptive, dominant, equal};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -24,7 +24,7 @@
     for units in &by_dominant {
         assert!((units - 5.0 / 11.0).abs() < 1e-9, "{by_dominant:?}");
     }
-    // The paper gives about 1.55 as the sum for its second rule.
+    // The paper states about 1.55 as the sum for its second rule.
     let sum: f64 = adaptive([1.0, 1.0], &example()).iter().sum();
     assert!((1.545..1.56).contains(&sum), "{sum}");
     let by_equal: f64 = equal(&[1.0, 1.0], &example()).iter().sum();
@@ -66,8 +66,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// No rule uses more than there is; the two that fill up leave nothing that all could use; and
-    /// nobody gets less than by equal parts.
+    /// No algorithm uses more than the capacity; the two that fill it leave no resource that all
+    /// users could use; and no user gets less than an equal part.
     #[test]
     fn allocations_stay_within_the_capacity(users in users(), max_units in prop::collection::vec(0.0..0.5_f64, 12)) {
         let capacity = [1.0, 1.0];
--- a/crates/steer/tests/host_lookup.rs
+++ b/crates/steer/tests/host_lookup.rs
@@ -1,4 +1,4 @@
-//! A block of callers has the same hosts at each look-up, and few change when a host does.
+//! A block of callers gets the same hosts at each lookup, and few blocks change when a host does.
 
 use std::{path::Path, sync::Arc};
 
@@ -48,7 +48,7 @@
     );
 }
 
-/// One host leaves: its blocks go to others, all others keep their first host.
+/// One host leaves: its blocks move to other hosts, and all other blocks keep their first host.
 #[test]
 fn a_leaving_host_moves_only_its_own_blocks() {
     let before = HostTable::open(&cursuri(), hosts());
@@ -64,8 +64,8 @@
     }
 }
 
-/// All hosts of a region are suspect: callers get hosts elsewhere, and theirs only where nothing
-/// else is left, with the least weight.
+/// All hosts of a region are suspect: callers get hosts of other regions, and the suspect ones only
+/// if no others are left, with the lowest weight.
 #[test]
 fn suspect_hosts_come_last() {
     let mut hosts = hosts();
--- a/crates/steer/tests/objects_come_home_after_a_burst.rs
+++ b/crates/steer/tests/objects_come_home_after_a_burst.rs
@@ -1,4 +1,4 @@
-//! A service under more load than it has slots for cold runs, and a burst on top.
+//! A service with more load than it has slots for cold runs, and a burst on top.
 
 use std::collections::VecDeque;
 
@@ -7,7 +7,7 @@
 
 const TARGETS: u64 = 16;
 const SLOTS: usize = 3;
-/// What a target queues beside what it runs.
+/// Requests that a target queues in addition to those it runs.
 const QUEUE: usize = 9;
 const OBJECTS: u64 = 264;
 /// Objects that a target keeps warm.
@@ -18,10 +18,10 @@
 const IN_TIME: u64 = 700;
 const TICK: u64 = 10;
 
-/// A target that runs what it lately ran in a third of the time.
+/// A target that runs a recently requested object in a third of the time.
 #[derive(Default)]
 struct Target {
-    /// End of each run, with its object and when it was asked for.
+    /// End of each run, with its object and its time of arrival.
     running: Vec<(u64, u64, u64)>,
     queue: VecDeque<(u64, u64)>,
     warm: VecDeque<u64>,
@@ -32,7 +32,7 @@
         u32::try_from(self.running.len() + self.queue.len()).unwrap()
     }
 
-    /// Ends and begins runs; gives the times that the ended ones took.
+    /// Ends and starts runs; returns the response times of the ended ones.
     fn step(&mut self, now: u64) -> Vec<u64> {
         let (ended, running) = self.running.iter().partition(|(end, ..)| *end <= now);
         self.running = running;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Requests a second: the usual load, and twice that for five seconds.
+/// Returns the requests per second: the usual load, and twice that for five seconds.
 fn rate(now: u64) -> f64 {
     if (10_000..15_000).contains(&now) {
         200.0
@@ -67,8 +67,8 @@
     }
 }
 
-/// Share of the requests of the ten seconds that begin ten seconds after the burst that are answered
-/// in time.
+/// Returns the fraction of requests with a response in time, over the ten seconds that begin ten
+/// seconds after the burst.
 fn in_time_after_the_burst(config: &AffinityConfig) -> f64 {
     let mut rng = SmallRng::seed_from_u64(11);
     let mut targets: Vec<Target> = (0..TARGETS).map(|_| Target::default()).collect();
@@ -106,10 +106,11 @@
     }
 }
 
-/// Load: saturation, with a burst of twice the load. The service has slots for its load only while
-/// nearly all runs are warm. Callers see late answers during the burst; ten seconds after it they are
-/// answered in time again, since what waits goes home. Sent elsewhere as soon as the slots at home
-/// are taken, requests make cold runs, which take the slots: the burst then never ends for callers.
+/// Saturation, with a burst of twice the load. The service has enough slots only while nearly all
+/// runs are warm. Callers see late responses during the burst; ten seconds after it responses must
+/// be in time again, because waiting requests stay at their preferred targets. If requests are sent
+/// elsewhere as soon as the slots of the preferred target are taken, they cause cold runs, which
+/// occupy the slots: for callers, the burst then never ends.
 #[test]
 fn responses_are_in_time_again_after_a_burst() {
     let default_config = in_time_after_the_burst(&AffinityConfig::default());
--- a/crates/steer/tests/objects_stay_with_their_targets.rs
+++ b/crates/steer/tests/objects_stay_with_their_targets.rs
@@ -1,4 +1,4 @@
-//! Objects stay with their targets: while targets come and go, and under more load than there are
+//! Objects stay at their targets: while targets join and leave, and under more load than there are
 //! slots.
 
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
     candidates[choice.index].name_hash
 }
 
-/// A target is lost: its own objects move, and no other.
+/// When a target is lost, only its own objects move.
 #[test]
 fn only_the_objects_of_a_lost_target_move() {
     let all = fleet(16);
@@ -39,8 +39,8 @@
     }
 }
 
-/// Load: one target is full for a moment. What it cannot take goes to the object's next choice, the
-/// same one every time, and is warm there.
+/// One target is full for a moment. The requests that it cannot take must go to the object's
+/// fallback, the same one every time, where the object is then warm.
 #[test]
 fn overflow_of_an_object_always_goes_to_the_same_target() {
     let mut all = fleet(16);
@@ -53,9 +53,10 @@
     assert!((0..20).all(|_| choose_affine(7, &all, &AffinityConfig::default()) == Some(next)));
 }
 
-/// Load: saturation. All choices of an object are full, other targets are a little less so. The
-/// object stays at its own: sent to the least busy one, every request of the service would be a
-/// slow one, and the service would stay saturated after the load that filled it is gone.
+/// Under saturation all targets of an object's ranking are full, and other targets are slightly
+/// less full. The object must stay at its preferred target: if its requests went to the least busy
+/// target, every run of the service would be a slow one, and the service would stay saturated after
+/// the load that filled it has gone.
 #[test]
 fn under_saturation_an_object_stays_at_its_target() {
     let mut all = fleet(16);
@@ -70,8 +71,8 @@
     assert_eq!((choice.index, choice.rank), (preferred, 0));
 }
 
-/// A small region's own targets get more of its objects than others, and not all: its callers'
-/// number swings, and the other regions' slots even that out.
+/// A small region's local targets get more of its objects than remote ones, but not all: its number
+/// of callers swings, and the slots of the other regions even that out.
 #[test]
 fn local_targets_get_more_objects_than_remote_ones() {
     let all = fleet(18);
@@ -80,7 +81,7 @@
         let choice = choose_affine(object, &all, &AffinityConfig::default()).unwrap();
         local += u32::from(all[choice.index].is_local);
     }
-    // 6 near targets of weight 3 beside 12 of weight 1: 18 of 30.
+    // 6 local targets of weight 3 and 12 remote ones of weight 1: 18 of 30.
     assert!((3400..3800).contains(&local), "{local}");
 }
 
--- a/crates/steer/tests/simulation/host.rs
+++ b/crates/steer/tests/simulation/host.rs
@@ -1,4 +1,4 @@
-//! One host: the decisions of the crate, or the baseline, wired together as a daemon would.
+//! One host that runs the crate's state machines, or the baseline, as a daemon would.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,16 +14,16 @@
 
 use super::{GONE_AFTER, Message, TICK};
 
-/// What hosts go by.
+/// How hosts move traffic.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Policy {
     /// Capped shares and grants.
     Steered,
-    /// To the goal at once, without grants.
+    /// To the desired split at once, without grants.
     Baseline,
 }
 
-/// How fast a host's estimate of its traffic follows, for one tick.
+/// Weight of a tick in a host's estimate of its traffic.
 const RATE_WEIGHT: f64 = 0.03;
 
 pub struct Host {
@@ -35,11 +35,11 @@
     grantee: Grantee,
     uncapped: UncappedSplit,
     traffic: TrafficTable,
-    /// TrafficSplit of peers and when they came.
+    /// Shares of peers, with their time of receipt.
     peers_seen: BTreeMap<Arc<str>, (Duration, Arc<SplitTable>)>,
-    /// When this host first had the list of hosts.
+    /// Time at which this host first had the list of hosts.
     since: Duration,
-    /// All hosts that the list names.
+    /// All listed hosts.
     listed: BTreeSet<Arc<str>>,
     desired_splits: Arc<DesiredSplits>,
 }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Sends heartbeats, asks, and grants for what was asked.
+    /// Sends heartbeats, grant requests, and grants for received requests.
     pub fn send_heartbeats(
         &mut self,
         desired_splits: &DesiredSplits,
@@ -121,7 +121,7 @@
         messages
     }
 
-    /// Steers by what was heard lately.
+    /// Advances the shares by the recently received messages.
     pub fn advance(&mut self, desired_splits: &Arc<DesiredSplits>, now: Duration) {
         self.desired_splits = desired_splits.clone();
         if self.policy == Policy::Baseline {
@@ -130,7 +130,7 @@
         }
         self.peers_seen
             .retain(|_, (received_at, _)| now.saturating_sub(*received_at) < GONE_AFTER);
-        // A host that was never heard counts as alive for as long as one that fell silent.
+        // A host that has never sent a message counts as alive for as long as one that fell silent.
         let silent = self.listed.iter().filter(|name| {
             **name != self.name
                 && !self.peers_seen.contains_key(*name)
@@ -165,7 +165,7 @@
         self.split.advance(desired_splits, &limits, now);
     }
 
-    /// Notes requests that came in this tick.
+    /// Records the requests that arrived in this tick.
     pub fn record_arrivals(
         &mut self,
         service: &Arc<str>,
@@ -186,7 +186,7 @@
         traffic.rate += (rate - traffic.rate) * RATE_WEIGHT;
     }
 
-    /// The region that a request goes to, or the time after which to try again.
+    /// Returns the region that serves a request, or a retry-after time.
     pub fn send(
         &mut self,
         service: &str,
--- a/crates/steer/tests/simulation/metrics.rs
+++ b/crates/steer/tests/simulation/metrics.rs
@@ -1,4 +1,4 @@
-//! Measures what the decisions did.
+//! Measures the results of a run.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -12,22 +12,23 @@
 
 use super::TICK;
 
-/// Ticks of a window in which loads are summed up: a second.
+/// Number of ticks over which loads are summed up: a second.
 const WINDOW: usize = 10;
 
-/// Sums of the last window.
+/// Loads of the last window.
 #[derive(Default)]
 struct Window {
-    /// LocalUsage and lent use with the room for lent work, and the capacity, each tick.
+    /// Load of each tick.
     ticks: VecDeque<Load>,
 }
 
-/// LocalUsage and lent use, the room for both, and all slots.
+/// Slots used by own callers, slots used by other regions' callers, the limit for both, and all
+/// slots.
 type Load = (f64, f64, f64, f64);
 /// Two names: service and region, or the ends of a link.
 type Pair = (Arc<str>, Arc<str>);
 
-/// TrafficSplit of the last window.
+/// Splits of the last window.
 type History = VecDeque<(Duration, Row)>;
 
 pub struct Metrics {
@@ -37,33 +38,33 @@
     links: BTreeMap<Pair, VecDeque<f64>>,
     now_links: BTreeMap<Pair, f64>,
     history: BTreeMap<Pair, History>,
-    /// From when on outcomes count.
+    /// Time from which results count.
     pub from: Duration,
     pub report: Report,
     counted: f64,
     shed: f64,
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Largest part of a cap that moved in a window, over all services and regions of callers; 1
-    /// is the cap.
+    /// Largest fraction of a cap that moved in a window, over all services and regions of callers;
+    /// 1 is the cap.
     pub moved: f64,
-    /// Least part of a region's slots for a service that was free in a second; below 0 it was
-    /// overrun.
+    /// Smallest fraction of a region's slots for a service that was free in a second; below 0 the
+    /// region was overloaded.
     pub headroom: f64,
-    /// Largest lent use of a region in a second, as part of the slots, above what was free for it;
-    /// 0 where all stayed within.
+    /// Largest use of a region by other regions' callers in a second beyond what was available for
+    /// them, as a fraction of the slots; 0 if all use stayed within.
     pub over: f64,
-    /// Least part of a link that was free in a second.
+    /// Smallest fraction of a link that was free in a second.
     pub link: f64,
-    /// Largest part by which a link went over what steering may use in a second.
+    /// Largest fraction by which a link exceeded its usable capacity in a second.
     pub link_over: f64,
-    /// Part of requests that were refused or for which the region had no slot.
+    /// Fraction of requests that were refused or for which the region had no slot.
     pub shed: f64,
-    /// When the last share was within a hundredth of the goal, after the fault; none where it never
-    /// was.
+    /// Time after the fault at which the last share was within a hundredth of the desired split;
+    /// `None` if it never was.
     pub settled: Option<Duration>,
 }
 
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Forgets what was before: hosts that start have no grants yet and refuse more.
+    /// Discards earlier results: hosts that start have no grants yet and refuse more.
     pub fn reset(&mut self, now: Duration) {
         self.from = now;
         self.counted = 0.0;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Requests that reached a region, of which those beyond its slots are shed there.
+    /// Records requests that reached a region; those beyond its slots are shed there.
     pub fn served(&mut self, now: Duration, count: f64, used: f64, slots: f64) {
         if now > self.from {
             self.counted += count;
@@ -121,7 +122,7 @@
         slots: f64,
         headroom: f64,
     ) {
-        // A region that is gone has no headroom to lose; what is sent there counts as shed.
+        // A failed region has no headroom to lose; requests sent there count as shed.
         if slots <= 0.0 {
             return;
         }
@@ -130,7 +131,7 @@
         self.now_loads.insert(key, (own, granted, limit, slots));
     }
 
-    /// Bytes of one request between regions: there and back.
+    /// Records the bytes of one request between regions, in both directions.
     pub fn link(&mut self, from: &Arc<str>, to: &Arc<str>, (request, answer): (f64, f64)) {
         if from != to {
             let there = (from.clone(), to.clone());
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Ends a tick: looks at the windows that end here.
+    /// Ends a tick and evaluates the windows that end with it.
     pub fn tick(&mut self, now: Duration) {
         let loads = std::mem::take(&mut self.now_loads);
         let links = std::mem::take(&mut self.now_links);
@@ -193,7 +194,7 @@
         self.report.shed = self.shed / self.counted.max(1.0);
     }
 
-    /// Compares the shares with those of up to a window ago, and with the goal.
+    /// Compares the shares with those of up to a window ago and with the desired split.
     pub fn shares(&mut self, now: Duration, shares: &SplitTable, desired_splits: &DesiredSplits) {
         let mut max_distance = 0.0_f64;
         for (service, flows) in shares {
@@ -228,7 +229,7 @@
     }
 }
 
-/// Part of the traffic that differs between two rows.
+/// Returns the fraction of the traffic that differs between two splits.
 fn distance(a: &Row, b: &Row) -> f64 {
     let excess = |(region, share): (&Arc<str>, &f64)| {
         (share - b.get(region).copied().unwrap_or(0.0)).max(0.0)
--- a/crates/steer/tests/simulation/mod.rs
+++ b/crates/steer/tests/simulation/mod.rs
@@ -1,8 +1,8 @@
-//! Drives the hosts of a deployment through a fault in virtual time.
+//! Simulates the hosts of a deployment through a fault in virtual time.
 //!
-//! Hosts are the crate's own state machines; what is around them is kept as small as will do: a
-//! tick of 100 ms, messages that arrive a tick later or not at all, callers at a steady rate, and
-//! regions that are a number of slots whose work takes longer while their caches are cold.
+//! Hosts are the crate's own state machines; their environment is kept minimal: ticks of 100 ms,
+//! messages that arrive a tick later or not at all, callers at a steady rate, and regions that are
+//! a number of slots, with requests that take longer while the caches are cold.
 
 #![allow(
     dead_code,
@@ -33,7 +33,7 @@
 
 /// Time between two steps.
 pub const TICK: Duration = Duration::from_millis(100);
-/// Ticks between two heartbeats, asks and grants.
+/// Ticks between two rounds of heartbeats, grant requests and grants.
 const HEARTBEAT_TICKS: u64 = 3;
 /// Silence after which a host or region counts as gone.
 const GONE_AFTER: Duration = Duration::from_secs(3);
@@ -49,14 +49,14 @@
     Grant(Grant),
 }
 
-/// What goes wrong with measurements of a region's own use.
+/// Fault of the usage measurements of a region.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum UsageReports {
     #[default]
     Correct,
-    /// None arrive.
+    /// No measurements arrive.
     Lost,
-    /// They say that nothing is in use.
+    /// The measurements report that no slot is in use.
     Idle,
 }
 
@@ -65,29 +65,29 @@
 /// Service and serving region.
 type Pool = (Arc<str>, Arc<str>);
 
-/// A deployment and all that is around its hosts.
+/// A deployment and the environment of its hosts.
 pub struct Simulation {
     pub config: Config,
     pub policy: Policy,
     pub now: Duration,
     pub hosts: Vec<Host>,
     pub metrics: Metrics,
-    /// Regions that are gone.
+    /// Regions that have failed.
     pub failed: BTreeSet<Arc<str>>,
-    /// Regions that hosts know to be gone.
+    /// Failed regions that the hosts know of.
     pub lost: BTreeSet<Arc<str>>,
-    /// Part of a region's slots for a service that its own callers would use, by region.
+    /// Fraction of a region's slots for a service that its own callers use, by region.
     pub load: BTreeMap<Arc<str>, f64>,
     pub usage_reports: BTreeMap<Arc<str>, UsageReports>,
-    /// Whether hosts hear one another.
+    /// Whether all messages between hosts are dropped.
     pub partitioned: bool,
-    /// Part of messages that are lost.
+    /// Fraction of messages that are lost.
     pub loss: f64,
     messages: Vec<(Arc<str>, Message)>,
     failed_at: Option<Duration>,
     ticks: u64,
     seed: u64,
-    /// TrafficSplit by service, callers and region that the caches have seen.
+    /// Shares by service, callers and region for which the caches are warm.
     warm: SplitTable,
     /// Slots that each region's own callers used in the last tick, by service and region.
     used: BTreeMap<Pool, f64>,
@@ -95,7 +95,8 @@
     /// Requests of the last tick from each region's own callers.
     own: BTreeMap<Pool, f64>,
     slots: BTreeMap<Arc<str>, BTreeMap<Arc<str>, goal::Slots>>,
-    /// Requests that wait for room, by host, service and callers, with the end of their patience.
+    /// Requests that wait for granted capacity, by host, service and callers, each with its queue
+    /// timeout.
     waiting: BTreeMap<FlowRegion, Vec<(Duration, u64)>>,
     /// Smoothed shares that reach the regions.
     flow: BTreeMap<FlowRegion, f64>,
@@ -108,7 +109,7 @@
 }
 
 impl Simulation {
-    /// Twelve hosts, four a region, that have been up for some time.
+    /// Creates twelve hosts, four per region, that have been running for some time.
     pub fn open(config: Config, policy: Policy, load: f64, seed: u64) -> Self {
         let regions: Vec<_> = config.regions.keys().cloned().collect();
         let mut sim = Self {
@@ -168,20 +169,21 @@
         self.config.drains.insert("run".into(), drain);
     }
 
-    /// Ends a region with its hosts; the others learn of it after [`GONE`].
+    /// Fails a region with its hosts; the other hosts detect it after [`GONE_AFTER`].
     pub fn fail_region(&mut self, region: &Arc<str>) {
         self.failed.insert(region.clone());
         self.hosts.retain(|host| host.region != *region);
         self.failed_at = Some(self.now);
     }
 
-    /// Uniform below 1.
+    /// Returns a uniform number below 1.
     pub fn random(&mut self) -> f64 {
         self.seed = self.seed.wrapping_add(1);
         hash::to_unit_f64(hash::mix64(self.seed))
     }
 
-    /// Slots that serve. A region under a drain goes on serving what has not moved yet.
+    /// Returns the slots that serve requests. A region under a drain continues to serve what has
+    /// not moved yet.
     fn slots(&self, service: &str, region: &Arc<str>) -> f64 {
         if self.failed.contains(region) {
             return 0.0;
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Slots as they are without drains: callers do not come less often in a drain.
+    /// Returns the slots without regard to drains: callers do not send less during a drain.
     fn all_slots(&self, service: &str, region: &Arc<str>) -> f64 {
         let slots = self.slots[service].get(region);
         slots.map_or(0.0, |slots| slots.all as f64)
@@ -244,7 +246,7 @@
         }
     }
 
-    /// Heartbeats, asks and grants.
+    /// Sends heartbeats, grant requests and grants.
     fn send_heartbeats(&mut self, desired_splits: &DesiredSplits) {
         let all: Vec<(Arc<str>, Arc<str>)> = self
             .hosts
@@ -260,7 +262,8 @@
         }
     }
 
-    /// Mean shares over the traffic: each host has an even part of its region's callers.
+    /// Returns the mean shares over the traffic: each host has an equal part of its region's
+    /// callers.
     pub fn shares(&self) -> SplitTable {
         let mut sum = SplitTable::new();
         for service in self.config.services.keys() {
@@ -278,7 +281,8 @@
         sum
     }
 
-    /// The hosts that a region's callers use: its own that are ready, else all.
+    /// Returns the hosts that a region's callers use: the region's own hosts that are ready, or all
+    /// hosts if there are none.
     fn hosts_of(&self, callers: &str) -> Vec<usize> {
         let ready = |n: &usize| self.hosts[*n].ready();
         let own = |n: &usize| *self.hosts[*n].region == *callers;
@@ -288,7 +292,7 @@
     }
 }
 
-/// What the links of a region may carry, headroom taken off.
+/// Returns the usable capacity of a region's links, without the headroom.
 fn links(config: &Config, region: &str) -> LinkCapacity {
     let mut links = LinkCapacity::new();
     for link in config.links.values() {
--- a/crates/steer/tests/simulation/requests.rs
+++ b/crates/steer/tests/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Serves a tick's requests, reckons what they cost the regions, and tells hosts of it.
+//! Serves a tick's requests, computes the load that they cause, and reports it to the hosts.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -6,13 +6,13 @@
 
 use super::{FlowRegion, Pool, Simulation, TICK, UsageReports};
 
-/// How much longer work takes where the cache is cold.
+/// Factor of the service time if the cache is cold.
 const COLD_FACTOR: f64 = 2.0;
-/// Time over which shares are smoothed: single ticks differ by chance.
+/// Time over which shares are smoothed, in seconds: single ticks vary by chance.
 const SMOOTHING_SECONDS: f64 = 2.0;
-/// Time that a request waits for room elsewhere.
+/// Time for which a request waits for granted capacity.
 const QUEUE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time in which a cache warms up.
+/// Time in which a cache warms up, in seconds.
 const WARM_UP_SECONDS: f64 = 10.0;
 
 impl Simulation {
@@ -34,7 +34,7 @@
         self.record_load(sent);
     }
 
-    /// Requests a second of a service's callers in one region.
+    /// Returns the requests per second of a service's callers in one region.
     fn rate(&self, service: &str, callers: &Arc<str>) -> f64 {
         let work = self.config.services[service].work_ms.get() as f64 / 1000.0;
         self.all_slots(service, callers) * self.load[callers] / work
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Reckons what the requests cost the regions.
+    /// Computes the load that the requests put on the regions.
     fn record_load(&mut self, sent: BTreeMap<FlowRegion, f64>) {
         let tick = TICK.as_secs_f64();
         let mut loads: BTreeMap<Pool, (f64, f64, f64)> = BTreeMap::new();
@@ -114,7 +114,8 @@
         self.metrics.tick(self.now);
     }
 
-    /// How much longer work takes, since part of the share is new to the region's caches.
+    /// Returns the factor by which service times rise because part of the share is new to the
+    /// region's caches.
     fn cold_factor(
         &mut self,
         service: &Arc<str>,
@@ -136,7 +137,7 @@
         1.0 + (COLD_FACTOR - 1.0) * new
     }
 
-    /// Tells each host how much of its slots its own callers use.
+    /// Reports to each host how many of its slots its own callers use.
     pub(super) fn report_usage(&mut self) {
         for host in &mut self.hosts {
             let fault = self.usage_reports.get(&host.region).copied();
--- a/crates/steer/tests/simulation/scenario.rs
+++ b/crates/steer/tests/simulation/scenario.rs
@@ -1,4 +1,4 @@
-//! Faults and planned events, each played by both policies.
+//! Scenarios of faults and planned events, run with both policies.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,23 +6,23 @@
 
 use super::{Policy, Report, Simulation, UsageReports, example};
 
-/// Time before anything happens.
+/// Time before the event.
 const WARM_UP: Duration = Duration::from_secs(10);
-/// Load of a closing, as part of each region's slots.
+/// Load at a closing, the busiest time, as a fraction of each region's slots.
 const PEAK_LOAD: f64 = 0.65;
 /// Load at night, when stops are planned.
 const NIGHT_LOAD: f64 = 0.30;
 
-/// A course of events.
+/// An event at a given load.
 pub struct Scenario {
     pub name: &'static str,
     load: f64,
-    /// Time from the event on.
+    /// Length of the run after the event.
     time: Duration,
     event: fn(&mut Simulation),
 }
 
-/// The region that things happen to: the largest.
+/// Returns the largest region, which the events affect.
 fn largest_region(config: &Config) -> Arc<str> {
     let name = match config.regions.contains_key("bucharest") {
         true => "bucharest",
@@ -107,7 +107,7 @@
     ]
 }
 
-/// Turns the main region's callers to another region, for half of their traffic.
+/// Sends half of the traffic of the largest region's callers to another region.
 fn redirect_half(config: &mut Config) {
     let main = largest_region(config);
     let other = config.regions.keys().find(|region| **region != main);
@@ -120,7 +120,7 @@
     }
 }
 
-/// Plays a scenario on one of the examples.
+/// Runs a scenario on one of the example deployments.
 pub fn run(deployment: &str, scenario: &Scenario, policy: Policy, seed: u64) -> Report {
     let mut sim = Simulation::open(example(deployment), policy, scenario.load, seed);
     sim.run(WARM_UP);
--- a/crates/steer/tests/spillover.rs
+++ b/crates/steer/tests/spillover.rs
@@ -1,4 +1,5 @@
-//! What a host needs of other regions, whom it asks, and how far its shares may go by the answers.
+//! The capacity that a host needs in other regions, the hosts that it requests it from, and the
+//! share limits that follow from the grants.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -28,7 +29,7 @@
     split
 }
 
-/// Requests a second of the catalogue's callers in two regions.
+/// Returns the requests per second of the catalogue's callers in two regions.
 fn traffic(own: f64, other: f64) -> TrafficTable {
     let traffic = |rate| Traffic {
         rate,
@@ -53,8 +54,8 @@
     );
     let rate = |region: &str| needs[region][0].rate;
     let requested = |mean: f64| mean + spill::BURST_MARGIN * mean.sqrt();
-    // A tenth of its own callers', nine tenths of the other region's; a twentieth of both in Iasi;
-    // and room at home for the other region's callers.
+    // A tenth of the traffic of its own callers and nine tenths of the other region's; a twentieth
+    // of both in Iasi; and capacity in its own region for the other region's callers.
     assert!((rate("bucharest") - requested(10.0 + 18.0)).abs() < 1e-6);
     assert!((rate("iasi") - requested(5.0 + 1.0)).abs() < 1e-6);
     assert!((rate(HOME) - requested(1.0)).abs() < 1e-6);
@@ -80,7 +81,8 @@
     assert!(limits.values().all(BTreeMap::is_empty));
 }
 
-/// What was asked for was granted: shares stay where they are. Half of it was: they come home.
+/// If all requested capacity is granted, shares stay where they are; if half of it is, they return
+/// to the callers' region.
 #[test]
 fn share_limits_follow_the_grants() {
     let desired_splits = desired_splits();
@@ -118,7 +120,8 @@
     assert_eq!(limit(0.0), 0.0);
 }
 
-/// At the planned size each host asks few, and each is asked by about as many.
+/// At the planned size each host sends requests to few grantors, and each grantor gets about as
+/// many.
 #[test]
 fn requests_do_not_grow_with_the_fleet() {
     let hosts: Vec<Arc<str>> = (0..110).map(|n| format!("host-{n}").into()).collect();
@@ -130,7 +133,7 @@
             *requested.entry(host).or_default() += 1;
         }
     }
-    // 2,290 hosts that ask eight of 110 each: 167 a host.
+    // 2,290 hosts that each send requests to eight of 110: 167 per grantor.
     assert_eq!(requested.len(), hosts.len());
     assert!(
         requested.values().all(|n| (110..230).contains(n)),
