--- a/crates/steer/src/grants/grantor.rs
+++ b/crates/steer/src/grants/grantor.rs
@@ -104,11 +104,11 @@
             .retain(|_, (received_at, _)| now.saturating_sub(*received_at) < GRANT_TTL);
         let demands = self.demands(now);
         let capacity = self.capacity(now);
-        let targets = divide(&capacity, &demands);
+        let allocations = divide(&capacity, &demands);
         let mut available = self.unused(&capacity);
         let mut grants = Vec::new();
-        for (demand, target) in demands.iter().zip(targets) {
-            let units = self.fit(demand, target, &mut available);
+        for (demand, max_units) in demands.iter().zip(allocations) {
+            let units = self.fit(demand, max_units, &mut available);
             if units * demand.slots > EPSILON * demand.slots && units > 0.0 {
                 grants.push(self.issue(demand, units, now));
             }
@@ -209,17 +209,17 @@
         available
     }
 
-    /// Returns the units of a target that fit beside all other grants, and subtracts what they add
-    /// from `available`.
+    /// Returns how many of `max_units` fit beside all other grants, and subtracts what they add from
+    /// `available`.
     fn fit(
         &self,
         demand: &GrantDemand,
-        target: f64,
+        max_units: f64,
         available: &mut BTreeMap<Resource, f64>,
     ) -> f64 {
         let granted = self.outstanding.amount(&demand.key);
         let uses = demand.uses(&self.region);
-        let mut units = target;
+        let mut units = max_units;
         for (resource, uses, granted) in uses.iter(&granted) {
             let Some(available) = available.get(resource) else {
                 return 0.0;
--- a/crates/steer/src/shift/mod.rs
+++ b/crates/steer/src/shift/mod.rs
@@ -135,10 +135,10 @@
         }
         self.flows
             .retain(|service, _| desired_splits.flows.contains_key(service));
-        for (service, split) in &desired_splits.flows {
+        for (service, by_callers) in &desired_splits.flows {
             let flows = self.flows.entry(service.clone()).or_default();
-            flows.retain(|callers, _| split.contains_key(callers));
-            for (callers, desired) in split {
+            flows.retain(|callers, _| by_callers.contains_key(callers));
+            for (callers, desired) in by_callers {
                 let flow = flows.entry(callers.clone()).or_insert_with(|| {
                     let split = self.initial.find(service, callers);
                     Flow::open(callers, split.unwrap_or(&desired.shares), now)
