--- a/crates/steer/src/blocks/table.rs
+++ b/crates/steer/src/blocks/table.rs
@@ -1,16 +1,16 @@
 //! Sorted ranges of addresses with an index over the first bits.
 
-use super::{NOWHERE, Site};
+use super::{NO_NAME, NameIndex};
 
-/// Bits of an address that the index covers: 65,536 entries, a quarter of a megabyte. With 760,000
-/// blocks spread evenly a range holds a dozen bounds, within two cache lines.
+/// Number of address bits that the index covers: 65,536 entries, a quarter of a megabyte. With
+/// 760,000 evenly spread blocks a range holds a dozen bounds, within two cache lines.
 const INDEX_BITS: u32 = 16;
 
 /// An address as a number.
 pub(super) trait Address: Copy + Ord {
     /// The lowest address.
     const ZERO: Self;
-    /// The first [`INDEX_BITS`] bits.
+    /// Returns the first [`INDEX_BITS`] bits.
     fn head(self) -> usize;
 }
 
@@ -31,60 +31,60 @@
 /// Ranges of addresses: each starts at its bound and ends before the next.
 #[derive(Clone, Debug)]
 pub(super) struct Table<A> {
-    /// Ascending; the first is the lowest address, or there are none.
+    /// Ascending; the first is the lowest address, or the list is empty.
     bounds: Vec<A>,
-    /// What each range maps to; as long as `bounds`. Neighbours differ.
-    sites: Vec<Site>,
-    /// For each head, the number of bounds with a lower head; one entry more than heads. Empty
-    /// where there are no bounds.
+    /// Name of each range; as long as `bounds`. Neighbours differ.
+    names: Vec<NameIndex>,
+    /// For each head, the number of bounds with a lower head, and one entry more for the end. Empty
+    /// if there are no bounds.
     index: Vec<u32>,
 }
 
 impl<A: Address> Table<A> {
-    /// Takes ranges in ascending order of their starts.
-    pub(super) fn open(ranges: impl IntoIterator<Item = (A, Site)>) -> Self {
+    /// Builds a table of ranges in ascending order of their starts.
+    pub(super) fn open(ranges: impl IntoIterator<Item = (A, NameIndex)>) -> Self {
         let mut bounds = Vec::new();
-        let mut sites = Vec::new();
-        for (start, site) in ranges {
+        let mut names = Vec::new();
+        for (start, name) in ranges {
             if bounds.is_empty() && start > A::ZERO {
                 bounds.push(A::ZERO);
-                sites.push(NOWHERE);
+                names.push(NO_NAME);
             }
             if bounds.last() == Some(&start) {
                 bounds.pop();
-                sites.pop();
+                names.pop();
             }
-            if sites.last() != Some(&site) {
+            if names.last() != Some(&name) {
                 bounds.push(start);
-                sites.push(site);
+                names.push(name);
             }
         }
         bounds.shrink_to_fit();
-        sites.shrink_to_fit();
+        names.shrink_to_fit();
         let index = index(&bounds);
         Self {
             bounds,
-            sites,
+            names,
             index,
         }
     }
 
-    pub(super) fn find(&self, address: A) -> Site {
+    pub(super) fn find(&self, address: A) -> NameIndex {
         let head = address.head();
         let Some([from, to]) = self.index.get(head..head + 2) else {
-            return NOWHERE;
+            return NO_NAME;
         };
         let (from, to) = (*from as usize, *to as usize);
         // The range that covers the address starts within its head, or is the last one before.
         let within = self.bounds[from..to].partition_point(|bound| *bound <= address);
         match (from + within).checked_sub(1) {
-            Some(at) => self.sites[at],
-            None => NOWHERE,
+            Some(at) => self.names[at],
+            None => NO_NAME,
         }
     }
 
     pub(super) fn bytes(&self) -> usize {
-        size_of_val(&*self.bounds) + size_of_val(&*self.sites) + size_of_val(&*self.index)
+        size_of_val(&*self.bounds) + size_of_val(&*self.names) + size_of_val(&*self.index)
     }
 }
 
--- a/crates/steer/src/spill/mod.rs
+++ b/crates/steer/src/spill/mod.rs
@@ -1,9 +1,10 @@
-//! What a host needs of other regions, and how far its shares may go by what it was lent.
+//! Computes the capacity that a host needs in other regions, and the share limits that follow from
+//! its grants.
 //!
-//! The load: a goal that gives a region more work than it has room for. A share that moves there
-//! in spite of that is turned away request by request, and the room of its old place stands idle.
-//! So a host asks for room a window ahead of its shares, and a share moves only as far as the
-//! grants carry it.
+//! The desired split may give a region more traffic than it has capacity for. If the share moved
+//! there regardless, its requests would be refused one by one while the capacity of the previous
+//! region stays idle. A host therefore requests capacity one window ahead of its shares, and a
+//! share moves only as far as grants cover it.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -14,74 +15,74 @@
     hash,
 };
 
-/// How many times the square root of the rate is asked for on top of it: requests come unevenly,
-/// and a bucket that is filled at the mean rate alone turns some away. A rate of a few requests a
-/// second needs twice its mean, one of hundreds a tenth more; a fixed part would be too little for
-/// the one and too much for the other.
+/// Factor of the square root of the rate that is requested on top of the rate. Requests arrive
+/// unevenly, and a bucket filled at the mean rate alone would refuse some. A rate of a few requests
+/// per second needs twice its mean, one of hundreds a tenth more; a fixed fraction would be too
+/// little for the one and too much for the other.
 pub const BURST_MARGIN: f64 = 1.5;
 
-/// Part of the safety that a share leaves free in what was granted. With all of it, each rise of a
-/// measured rate since the ask would send the share back a little; with none, requests find no
-/// room wherever grants are scarce.
+/// Fraction of the burst margin that a share leaves unused in its grants. With the whole margin,
+/// each rise of the measured rate since the request would move the share back a little; with none,
+/// requests are refused wherever grants are scarce.
 pub const KEPT_MARGIN: f64 = 0.5;
 
-/// What a host measures of one service's callers in one region.
+/// Measured traffic of one flow at this host: one service's callers in one region.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Traffic {
-    /// Requests a second that this host gets.
+    /// Requests per second that this host receives.
     pub rate: f64,
     /// Mean size of a request, in bytes.
     pub request_bytes: f64,
-    /// Mean size of an answer, in bytes.
+    /// Mean size of a response, in bytes.
     pub answer_bytes: f64,
 }
 
-/// Traffic by service, then by region of callers.
+/// Measured traffic by service, then by region of callers.
 pub type TrafficTable = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Traffic>>;
 
-/// What a host in `region` needs of other regions, by region.
+/// Returns the capacity that a host in `region` needs, by serving region.
 ///
-/// Its own region is among them for callers of other regions: the host then takes work from
-/// elsewhere too.
+/// The host's own region is included for the callers of other regions, since the host then takes
+/// traffic from elsewhere too.
 pub fn needs(
-    goals: &DesiredSplits,
-    shares: &TrafficSplit,
+    desired_splits: &DesiredSplits,
+    split: &TrafficSplit,
     traffic: &TrafficTable,
     region: &str,
 ) -> BTreeMap<Arc<str>, Vec<Need>> {
-    let mut needs = means(goals, shares, traffic, region);
+    let mut needs = mean_needs(desired_splits, split, traffic, region);
     for need in needs.values_mut().flatten() {
-        need.rate = asked(need.rate);
+        need.rate = requested_rate(need.rate);
     }
     needs
 }
 
-/// The rate to ask for, for a mean rate.
-fn asked(mean: f64) -> f64 {
+/// Returns the rate to request for a mean rate.
+fn requested_rate(mean: f64) -> f64 {
     mean + BURST_MARGIN * mean.sqrt()
 }
 
-/// The mean rate that a granted rate carries while few requests find no room.
+/// Returns the mean rate that a granted rate covers while few requests are refused.
 fn usable(granted: f64) -> f64 {
     if !granted.is_finite() {
         return granted;
     }
-    let safety = BURST_MARGIN * KEPT_MARGIN;
-    let root = (safety * safety + 4.0 * granted).sqrt() - safety;
+    let margin = BURST_MARGIN * KEPT_MARGIN;
+    let root = (margin * margin + 4.0 * granted).sqrt() - margin;
     (root / 2.0).powi(2)
 }
 
-/// The needs at their mean rates.
-fn means(
-    goals: &DesiredSplits,
-    shares: &TrafficSplit,
+/// Returns the needs at their mean rates.
+fn mean_needs(
+    desired_splits: &DesiredSplits,
+    split: &TrafficSplit,
     traffic: &TrafficTable,
     region: &str,
 ) -> BTreeMap<Arc<str>, Vec<Need>> {
-    let rows = shares.table();
+    let table = split.table();
     let mut needs: BTreeMap<Arc<str>, Vec<Need>> = BTreeMap::new();
-    for (service, callers, goal, traffic) in lanes(goals, traffic) {
-        for (serving, share) in wanted(goal, row(&rows, service, callers)) {
+    for (service, callers, desired, traffic) in active_flows(desired_splits, traffic) {
+        for (serving, share) in wanted_shares(desired, find_split(&table, service, callers)) {
             if is_local(region, callers, &serving) || share * traffic.rate <= 0.0 {
                 continue;
             }
@@ -92,57 +93,64 @@
     needs
 }
 
-/// How far shares may go by what a host in `region` was lent, and at home by its own room.
+/// Returns the share limits that follow from the grants of a host in `region`, and for its own
+/// region from the local spare capacity.
 pub fn share_limits(
-    goals: &DesiredSplits,
-    shares: &TrafficSplit,
+    desired_splits: &DesiredSplits,
+    split: &TrafficSplit,
     traffic: &TrafficTable,
     region: &str,
-    lent: (&Grantee, &Grantor),
+    grants: (&Grantee, &Grantor),
     now: Duration,
 ) -> ShareLimits {
-    let (grantee, grantor) = lent;
-    let rows = shares.table();
-    let needs = means(goals, shares, traffic, region);
-    let mut ceilings = ShareLimits::new();
-    for (service, callers, goal, traffic) in lanes(goals, traffic) {
+    let (grantee, grantor) = grants;
+    let table = split.table();
+    let needs = mean_needs(desired_splits, split, traffic, region);
+    let mut limits = ShareLimits::new();
+    for (service, callers, desired, traffic) in active_flows(desired_splits, traffic) {
         if traffic.rate <= 0.0 {
             continue;
         }
-        let row = row(&rows, service, callers);
-        // What stays with a region that cannot serve is refused for certain; then it is better to
-        // use all that was granted, and have a request now and then find no room.
-        let lost = |region: &Arc<str>| !goal.eligible.contains(region);
-        let stuck = row.is_some_and(|row| row.keys().any(lost));
+        let current = find_split(&table, service, callers);
+        // Traffic that stays with a region that cannot serve is certainly refused. It is then
+        // better to use the full grant and refuse an occasional request for lack of capacity.
+        let not_eligible = |region: &Arc<str>| !desired.eligible.contains(region);
+        let has_unservable = current.is_some_and(|shares| shares.keys().any(not_eligible));
         let mut out = RegionShares::new();
-        for (serving, share) in wanted(goal, row) {
-            let ceiling = if is_local(region, callers, &serving) {
-                let now_share = row.and_then(|row| row.get(&serving)).copied();
+        for (serving, share) in wanted_shares(desired, current) {
+            let limit = if is_local(region, callers, &serving) {
+                let now_share = current.and_then(|shares| shares.get(&serving)).copied();
                 now_share.unwrap_or(0.0) + grantor.spare_rate(service, now) / traffic.rate
             } else {
                 let list = needs.get(&serving);
                 let need = list.and_then(|list| list.iter().find(|n| n.service == *service));
-                // Callers of several regions share the grants by what each wants.
+                // Callers of several regions divide the grants in proportion to their demand.
                 need.map_or(0.0, |need| {
                     let granted = grantee.rate(&serving, need, now);
-                    let rate = if stuck { granted } else { usable(granted) };
+                    let rate = if has_unservable {
+                        granted
+                    } else {
+                        usable(granted)
+                    };
                     share * rate / need.rate
                 })
             };
-            out.insert(serving, ceiling);
+            out.insert(serving, limit);
         }
-        let lanes = ceilings.entry(service.clone()).or_default();
-        lanes.insert(callers.clone(), out);
+        let flows = limits.entry(service.clone()).or_default();
+        flows.insert(callers.clone(), out);
     }
-    ceilings
+    limits
 }
 
-/// Hosts of a region that one host asks. With more, asks and grants would grow with the square of
-/// the fleet; eight hold the room of a few when one or two of them end.
+/// Number of hosts of a region that one host requests grants from. With all hosts, requests and
+/// grants would grow with the square of the fleet; eight keep the capacity of a few when one or two
+/// of them fail.
 pub const MAX_GRANTORS: usize = 8;
 
-/// The hosts of a region that the host `own` asks: all where they are few, else some that are its
-/// own choice, so that each is asked by about as many as the others.
+/// Chooses the hosts of a region that the host `own` requests grants from: all hosts if there are
+/// few, otherwise a subset that depends on `own`, so that requests spread evenly over the region's
+/// hosts.
 pub fn choose_grantors<'h>(own: &str, hosts: &'h [Arc<str>]) -> Vec<&'h Arc<str>> {
     let own = hash::hash_str(own);
     let mut hosts: Vec<_> = hosts
@@ -154,43 +162,50 @@
     hosts.into_iter().map(|(_, host)| host).collect()
 }
 
-/// Whether a host may send requests without a grant: its own callers' at home.
+/// Whether a host in `region` may send requests of `callers` to `serving` without a grant: only
+/// those of its own region's callers to its own region.
 pub fn is_local(region: &str, callers: &str, serving: &str) -> bool {
     region == callers && region == serving
 }
 
-/// All services and regions of callers with traffic.
-fn lanes<'a>(
-    goals: &'a DesiredSplits,
+/// Iterates over all flows with traffic.
+fn active_flows<'a>(
+    desired_splits: &'a DesiredSplits,
     traffic: &'a TrafficTable,
 ) -> impl Iterator<Item = (&'a Arc<str>, &'a Arc<str>, &'a DesiredSplit, Traffic)> {
-    goals.flows.iter().flat_map(move |(service, lanes)| {
-        lanes.iter().filter_map(move |(callers, goal)| {
-            let traffic = traffic.get(service)?.get(callers)?;
-            Some((service, callers, goal, *traffic))
+    desired_splits
+        .flows
+        .iter()
+        .flat_map(move |(service, flows)| {
+            flows.iter().filter_map(move |(callers, desired)| {
+                let traffic = traffic.get(service)?.get(callers)?;
+                Some((service, callers, desired, *traffic))
+            })
         })
-    })
 }
 
-fn row<'r>(rows: &'r SplitTable, service: &str, callers: &str) -> Option<&'r RegionShares> {
-    rows.get(service)?.get(callers)
+fn find_split<'r>(table: &'r SplitTable, service: &str, callers: &str) -> Option<&'r RegionShares> {
+    table.get(service)?.get(callers)
 }
 
-/// The shares that a lane may have within a window: what it has, and towards its goal at most the
-/// cap more. Regions that cannot serve want nothing.
-fn wanted<'a>(
-    goal: &'a DesiredSplit,
-    row: Option<&'a RegionShares>,
+/// Returns the shares that a flow may have within a window: the current share, or up to the cap
+/// more towards the desired one. Regions that cannot serve are left out.
+fn wanted_shares<'a>(
+    desired: &'a DesiredSplit,
+    current: Option<&'a RegionShares>,
 ) -> impl Iterator<Item = (Arc<str>, f64)> + 'a {
-    goal.eligible.iter().filter_map(move |region| {
-        let goal_share = goal.shares.get(region).copied().unwrap_or(0.0);
-        let share = row.and_then(|row| row.get(region)).copied().unwrap_or(0.0);
-        let wanted = share.max(goal_share.min(share + goal.cap));
+    desired.eligible.iter().filter_map(move |region| {
+        let desired_share = desired.shares.get(region).copied().unwrap_or(0.0);
+        let share = current
+            .and_then(|shares| shares.get(region))
+            .copied()
+            .unwrap_or(0.0);
+        let wanted = share.max(desired_share.min(share + desired.cap));
         (wanted > 0.0).then(|| (region.clone(), wanted))
     })
 }
 
-/// Adds a rate to a service's need; sizes are means over all callers.
+/// Adds a rate to a service's need; sizes are averaged over all callers.
 fn add(list: &mut Vec<Need>, service: &Arc<str>, rate: f64, traffic: &Traffic) {
     let Some(need) = list.iter_mut().find(|need| need.service == *service) else {
         list.push(Need {
