--- a/crates/once/examples/bytes_held.rs
+++ b/crates/once/examples/bytes_held.rs
@@ -60,13 +60,13 @@
         attempts: PriorAttempts::NONE,
         attempt_id: n,
     };
-    let claim = tell(owner.handle_request(request, START));
-    let granted = tell(witness.handle_message(owner.incarnation(), claim, START));
+    let claim = single_message(owner.handle_request(request, START));
+    let granted = single_message(witness.handle_message(owner.incarnation(), claim, START));
     owner.handle_message(witness.incarnation(), granted, START);
     owner.handle_outcome(&key, Outcome::Answered(vec![0; answer].into()), START);
 }
 
-fn tell(out: Vec<Action>) -> Message {
+fn single_message(out: Vec<Action>) -> Message {
     match out.into_iter().next() {
         Some(Action::SendMessage { message, .. }) => message,
         other => panic!("no message: {other:?}"),
@@ -90,9 +90,9 @@
         attempts: PriorAttempts::NONE,
         attempt_id: 1,
     };
-    let claim = tell(owner.handle_request(request, START));
+    let claim = single_message(owner.handle_request(request, START));
     let size = |message: &Message| rmp_serde::to_vec_named(message).expect("it encodes").len();
     let claim_size = size(&claim);
-    let granted = tell(witness.handle_message(owner.incarnation(), claim, START));
+    let granted = single_message(witness.handle_message(owner.incarnation(), claim, START));
     (claim_size, size(&granted))
 }
--- a/crates/once/src/action.rs
+++ b/crates/once/src/action.rs
@@ -121,7 +121,7 @@
 
 impl Action {
     /// Attempt that this action tells something.
-    pub(crate) fn told(&self) -> Option<u64> {
+    pub(crate) fn completed_attempt(&self) -> Option<u64> {
         match self {
             Action::Answer { attempt_id, .. } | Action::Refuse { attempt_id, .. } => {
                 Some(*attempt_id)
--- a/crates/once/src/key.rs
+++ b/crates/once/src/key.rs
@@ -5,10 +5,10 @@
 use thiserror::Error;
 
 /// Longest nonce, in bytes. A UUID has 36; the rest is room for a caller's own prefix.
-pub const NONCE_MAX: usize = 64;
+pub const MAX_NONCE_BYTES: usize = 64;
 
 /// Most digits of a number in a key: those of `u64::MAX`.
-const DIGITS_MAX: usize = 20;
+const MAX_DIGITS: usize = 20;
 
 /// One side of a key: an incarnation of a host, and an epoch of that incarnation's ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -33,7 +33,7 @@
     /// The side that grants the owner the run, or takes it. The owner itself where no other host
     /// is there to be one.
     pub witness: Participant,
-    /// The caller's nonce: 1 to [`NONCE_MAX`] letters, digits, `-` and `_`.
+    /// The caller's nonce: 1 to [`MAX_NONCE_BYTES`] letters, digits, `-` and `_`.
     nonce: Arc<str>,
 }
 
@@ -47,7 +47,7 @@
     #[error("part {0} of the key is no number: use the binding as the look-up gave it")]
     Number(usize),
     /// The nonce is empty or too long.
-    #[error("the key's nonce has {0} bytes: use 1 to {NONCE_MAX}")]
+    #[error("the key's nonce has {0} bytes: use 1 to {MAX_NONCE_BYTES}")]
     Length(usize),
     /// The nonce has a character that it may not have.
     #[error("the key's nonce has {0:?}: use letters, digits, `-` and `_`")]
@@ -61,7 +61,7 @@
     ///
     /// When the nonce is empty, too long or has a character outside letters, digits, `-` and `_`.
     pub fn bind(owner: Participant, witness: Participant, nonce: &str) -> Result<Key, KeyError> {
-        if nonce.is_empty() || nonce.len() > NONCE_MAX {
+        if nonce.is_empty() || nonce.len() > MAX_NONCE_BYTES {
             return Err(KeyError::Length(nonce.len()));
         }
         let wrong = |c: &char| !(c.is_ascii_alphanumeric() || *c == '-' || *c == '_');
@@ -84,13 +84,13 @@
 
     /// Whether the owner is its own witness.
     #[must_use]
-    pub fn is_solo(&self) -> bool {
+    pub fn is_single_host(&self) -> bool {
         self.owner.incarnation == self.witness.incarnation
     }
 
     /// Text of the binding alone: what a look-up gives, and a key's prefix before the last dot.
     #[must_use]
-    pub fn prefix(owner: Participant, witness: Participant) -> String {
+    pub fn binding(owner: Participant, witness: Participant) -> String {
         format!("{owner}.{witness}")
     }
 }
@@ -137,7 +137,7 @@
 
 /// Parses a decimal number in its one canonical form: no sign, no leading zero.
 fn parse_number(part: &str) -> Option<u64> {
-    let digits = part.len() <= DIGITS_MAX && part.bytes().all(|b| b.is_ascii_digit());
+    let digits = part.len() <= MAX_DIGITS && part.bytes().all(|b| b.is_ascii_digit());
     let canonical = part == "0" || !part.starts_with('0');
     (digits && canonical).then(|| part.parse().ok())?
 }
--- a/crates/once/src/ledger/run.rs
+++ b/crates/once/src/ledger/dispatch.rs
@@ -5,12 +5,12 @@
 use super::Ledger;
 use crate::{
     Action, Key, Outcome, RefusalReason, RunStatus,
-    record::{Other, Record, State},
+    record::{PeerStatus, Record, State},
 };
 
 impl Ledger {
     /// Gives the request of the first attempt that waits out to be sent. There is one.
-    pub(super) fn send(&mut self, key: &Key, record: &mut Record, out: &mut Vec<Action>) {
+    pub(super) fn dispatch(&mut self, key: &Key, record: &mut Record, out: &mut Vec<Action>) {
         record.pending = None;
         record.state = State::Running;
         out.extend(record.waiters.first().map(|waiter| Action::Dispatch {
@@ -19,33 +19,39 @@
         }));
     }
 
-    pub(super) fn on_finished(&mut self, key: &Key, outcome: Outcome, out: &mut Vec<Action>) {
+    pub(super) fn on_outcome(&mut self, key: &Key, outcome: Outcome, out: &mut Vec<Action>) {
         let Some(mut record) = self.table.take(key) else {
             return;
         };
         if record.state == State::Running {
-            self.end_run(key, &mut record, outcome, out);
-            if self.limits.faults.reopen && record.state == State::Closed(Other::Never) {
+            self.finish_run(key, &mut record, outcome, out);
+            if self.limits.faults.reopen && record.state == State::Closed(PeerStatus::WillNotRun) {
                 return;
             }
         }
         self.put(key.clone(), record);
     }
 
-    fn end_run(&mut self, key: &Key, record: &mut Record, outcome: Outcome, out: &mut Vec<Action>) {
+    fn finish_run(
+        &mut self,
+        key: &Key,
+        record: &mut Record,
+        outcome: Outcome,
+        out: &mut Vec<Action>,
+    ) {
         match outcome {
             Outcome::Answered(answer) => {
-                self.settle_answer(key, record, &answer, out);
-                record.state = self.hold(key, answer);
+                self.resolve_answered(key, record, &answer, out);
+                record.state = self.cache_answer(key, answer);
             }
             Outcome::Indeterminate => {
-                record.state = State::Lost;
-                self.settle(key, record, out);
+                record.state = State::Indeterminate;
+                self.resolve(key, record, out);
             }
             Outcome::NotRun { retry_after } => {
                 // The other side granted the claim, or refuses it from now on: the key is dead.
-                record.state = State::Closed(Other::Never);
-                self.give(key, record, EndKind::Closed, out);
+                record.state = State::Closed(PeerStatus::WillNotRun);
+                self.notify_peer(key, record, EndKind::Closed, out);
                 for waiter in std::mem::take(&mut record.waiters) {
                     self.refuse(
                         waiter.attempt_id,
@@ -60,9 +66,9 @@
     }
 
     pub(super) fn on_cancel(&mut self, attempt_id: u64, out: &mut Vec<Action>) {
-        let Some(key) = self.table.end_ticket(attempt_id) else {
+        let Some(key) = self.table.remove_attempt(attempt_id) else {
             // It may have timed out with this very input: nobody is there to be told.
-            out.retain(|action| action.told() != Some(attempt_id));
+            out.retain(|action| action.completed_attempt() != Some(attempt_id));
             return;
         };
         let Some(mut record) = self.table.take(&key) else {
@@ -74,7 +80,7 @@
         if record.waiters.is_empty() {
             match record.state {
                 State::Claiming => {}
-                State::Running if record.asked => {}
+                State::Running if record.peer_waiting => {}
                 State::Running => out.push(Action::Cancel { key: key.clone() }),
                 _ => record.pending = None,
             }
--- a/crates/once/src/ledger/handover.rs
+++ b/crates/once/src/ledger/handover.rs
@@ -10,17 +10,17 @@
 
 use super::{
     Ledger, Role,
-    time::EpochStanding,
-    witness::{bare, end_of, learns},
+    timers::EpochStatus,
+    witness::{accepts_peer_end, end_of, end_without_answer},
 };
 use crate::{
     Action, Key,
-    record::{Other, Record, State, Talk},
+    record::{PeerRequest, PeerStatus, Record, State},
 };
 
 /// Parts under way to one peer at a time. A full ledger has hundreds of parts; sent at once, and
 /// again while the first are still being read, they would hold up the heartbeats beside them.
-const WINDOW: usize = 4;
+const MAX_PARTS_IN_FLIGHT: usize = 4;
 
 /// A planned stop.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -30,22 +30,22 @@
     /// When records are handed over though some are still open.
     deadline: Duration,
     /// The hand-over, once it has begun.
-    frozen: Option<Frozen>,
+    in_progress: Option<InProgress>,
 }
 
 /// A hand-over under way. From here on, this side neither takes a key nor ends an epoch, so that
 /// the parts stay what they are until the peer holds them all.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Frozen {
-    at: Duration,
+struct InProgress {
+    started_at: Duration,
     /// When to give up on peers that do not answer; moves on with each answer.
-    until: Duration,
+    deadline: Duration,
     /// When to send what is left again.
-    again: Duration,
+    resend_at: Duration,
     /// Oldest and newest epoch held at `at`.
     epochs: (u64, u64),
     /// Number of parts for each peer.
-    totals: BTreeMap<u64, u32>,
+    part_counts: BTreeMap<u64, u32>,
     /// Keys of each part that its peer has not acknowledged, by peer and part.
     parts: BTreeMap<(u64, u32), Vec<Key>>,
 }
@@ -55,98 +55,106 @@
         Stop {
             peers: peers.iter().copied().collect(),
             deadline,
-            frozen: None,
+            in_progress: None,
         }
     }
 
     pub(super) fn frozen_at(&self) -> Option<Duration> {
-        self.frozen.as_ref().map(|frozen| frozen.at)
+        self.in_progress
+            .as_ref()
+            .map(|in_progress| in_progress.started_at)
     }
 
-    pub(super) fn is_over(&self) -> bool {
-        self.frozen.as_ref().is_some_and(|f| f.parts.is_empty())
+    pub(super) fn is_complete(&self) -> bool {
+        self.in_progress
+            .as_ref()
+            .is_some_and(|in_progress| in_progress.parts.is_empty())
     }
 
     pub(super) fn parts_left(&self) -> usize {
-        self.frozen.as_ref().map_or(0, |f| f.parts.len())
+        self.in_progress
+            .as_ref()
+            .map_or(0, |in_progress| in_progress.parts.len())
     }
 
     /// When this stop has something to do next.
     pub(super) fn due(&self) -> Option<Duration> {
-        match &self.frozen {
+        match &self.in_progress {
             None => Some(self.deadline),
-            Some(frozen) if frozen.parts.is_empty() => None,
-            Some(frozen) => Some(frozen.again.min(frozen.until)),
+            Some(in_progress) if in_progress.parts.is_empty() => None,
+            Some(in_progress) => Some(in_progress.resend_at.min(in_progress.deadline)),
         }
     }
 
     /// Parts that may be under way to a peer now: the first of those left.
-    fn window(&self, peer: u64) -> impl Iterator<Item = (u32, &Vec<Key>)> {
-        let parts = self.frozen.iter().flat_map(move |frozen| {
+    fn parts_in_flight(&self, peer: u64) -> impl Iterator<Item = (u32, &Vec<Key>)> {
+        let parts = self.in_progress.iter().flat_map(move |in_progress| {
             let all = (peer, 0)..=(peer, u32::MAX);
-            frozen.parts.range(all)
+            in_progress.parts.range(all)
         });
-        parts.map(|((_, part), keys)| (*part, keys)).take(WINDOW)
+        parts
+            .map(|((_, part), keys)| (*part, keys))
+            .take(MAX_PARTS_IN_FLIGHT)
     }
 
     /// Gives up on a peer.
-    pub(super) fn drop_peer(&mut self, peer: u64) {
+    pub(super) fn remove_peer(&mut self, peer: u64) {
         self.peers.remove(&peer);
-        if let Some(frozen) = &mut self.frozen {
-            frozen.parts.retain(|(to, _), _| *to != peer);
+        if let Some(in_progress) = &mut self.in_progress {
+            in_progress.parts.retain(|(to, _), _| *to != peer);
         }
     }
 }
 
 impl Ledger {
     /// Does what a planned stop has to do now.
-    pub(super) fn go_on_stopping(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn advance_stop(&mut self, out: &mut Vec<Action>) {
         let Some(stop) = &self.stop else {
             return;
         };
-        if stop.frozen.is_none() {
+        if stop.in_progress.is_none() {
             if self.table.open_records() == 0 || self.clock >= stop.deadline {
-                self.freeze(out);
+                self.start_handover(out);
             }
             return;
         }
         if stop.due().is_some_and(|due| due <= self.clock) {
-            self.offer_again(out);
+            self.resend_parts(out);
         }
     }
 
-    fn freeze(&mut self, out: &mut Vec<Action>) {
+    fn start_handover(&mut self, out: &mut Vec<Action>) {
         self.close_claims(out);
-        let epochs = (self.oldest(), self.epoch(self.clock));
-        let parts = self.cut_parts();
+        let epochs = (self.oldest_epoch(), self.epoch(self.clock));
+        let parts = self.split_parts();
         let Some(stop) = &mut self.stop else {
             return;
         };
-        let mut totals = BTreeMap::new();
+        let mut part_counts = BTreeMap::new();
         for (peer, _) in parts.keys() {
-            *totals.entry(*peer).or_default() += 1;
+            *part_counts.entry(*peer).or_default() += 1;
         }
-        stop.frozen = Some(Frozen {
-            at: self.clock,
-            until: self.clock + self.limits.handover_timeout,
-            again: self.clock + self.limits.nonzero_resend_interval(),
+        stop.in_progress = Some(InProgress {
+            started_at: self.clock,
+            deadline: self.clock + self.limits.handover_timeout,
+            resend_at: self.clock + self.limits.nonzero_resend_interval(),
             epochs,
-            totals,
+            part_counts,
             parts,
         });
-        self.offer_all(out);
+        self.send_parts(out);
     }
 
     /// Closes the keys whose claim has no answer yet: their callers are told, and no late grant
     /// sends anything.
     fn close_claims(&mut self, out: &mut Vec<Action>) {
-        let keys: Vec<Key> = self.table.talking().cloned().collect();
+        let keys: Vec<Key> = self.table.pending_keys().cloned().collect();
         for key in keys {
             let Some(mut record) = self.table.take(&key) else {
                 continue;
             };
             if record.state == State::Claiming {
-                self.give_up(&key, &mut record, out);
+                self.give_up_request(&key, &mut record, out);
             }
             self.put(key, record);
         }
@@ -154,7 +162,7 @@
 
     /// Cuts the records into parts by peer. A peer with none gets one empty part, which tells it
     /// that this side runs nothing more.
-    fn cut_parts(&self) -> BTreeMap<(u64, u32), Vec<Key>> {
+    fn split_parts(&self) -> BTreeMap<(u64, u32), Vec<Key>> {
         let mut parts = BTreeMap::new();
         let Some(stop) = &self.stop else {
             return parts;
@@ -165,14 +173,14 @@
             parts.insert((*peer, 0), Vec::new());
         }
         for (key, record) in self.table.iter() {
-            let Some((part, bytes)) = last.get_mut(&self.other(key)) else {
+            let Some((part, bytes)) = last.get_mut(&self.peer_of(key)) else {
                 continue;
             };
-            if key.is_solo() || !is_handed_on(&record.state) {
+            if key.is_single_host() || !needs_handover(&record.state) {
                 continue;
             }
             let size = answer_len(&record.state);
-            let keys = parts.entry((self.other(key), *part)).or_default();
+            let keys = parts.entry((self.peer_of(key), *part)).or_default();
             let full = keys.len() >= self.limits.part_records.max(1)
                 || (!keys.is_empty() && *bytes + size > self.limits.part_bytes);
             if full {
@@ -180,42 +188,49 @@
                 *bytes = 0;
             }
             *bytes += size;
-            let keys = parts.entry((self.other(key), *part)).or_default();
+            let keys = parts.entry((self.peer_of(key), *part)).or_default();
             keys.push(key.clone());
         }
         parts
     }
 
     /// Sends the parts that may be under way, to every peer.
-    fn offer_all(&self, out: &mut Vec<Action>) {
+    fn send_parts(&self, out: &mut Vec<Action>) {
         let Some(stop) = &self.stop else {
             return;
         };
         for peer in &stop.peers {
-            for (part, keys) in stop.window(*peer) {
-                self.offer(*peer, part, keys, out);
+            for (part, keys) in stop.parts_in_flight(*peer) {
+                self.send_part(*peer, part, keys, out);
             }
         }
     }
 
-    fn offer(&self, to: u64, part: u32, keys: &[Key], out: &mut Vec<Action>) {
-        let Some(frozen) = self.stop.as_ref().and_then(|stop| stop.frozen.as_ref()) else {
+    fn send_part(&self, to: u64, part: u32, keys: &[Key], out: &mut Vec<Action>) {
+        let Some(in_progress) = self
+            .stop
+            .as_ref()
+            .and_then(|stop| stop.in_progress.as_ref())
+        else {
             return;
         };
         let message = Message::Handover(Handover {
-            first_epoch: frozen.epochs.0,
-            last_epoch: frozen.epochs.1,
+            first_epoch: in_progress.epochs.0,
+            last_epoch: in_progress.epochs.1,
             part,
-            parts: frozen.totals.get(&to).copied().unwrap_or(1),
-            records: keys.iter().filter_map(|key| self.handed(key)).collect(),
+            parts: in_progress.part_counts.get(&to).copied().unwrap_or(1),
+            records: keys
+                .iter()
+                .filter_map(|key| self.handed_record(key))
+                .collect(),
         });
         out.push(Action::SendMessage { to, message });
     }
 
-    fn handed(&self, key: &Key) -> Option<Handed> {
+    fn handed_record(&self, key: &Key) -> Option<Handed> {
         let record = self.table.get(key)?;
         // A request that is still at a target when the deadline comes may have run.
-        let end = end_of(&record.state).unwrap_or_else(|| bare(EndKind::Unknown));
+        let end = end_of(&record.state).unwrap_or_else(|| end_without_answer(EndKind::Unknown));
         Some(Handed {
             caller: record.fingerprint,
             end,
@@ -223,18 +238,22 @@
         })
     }
 
-    fn offer_again(&mut self, out: &mut Vec<Action>) {
-        let again = self.clock + self.limits.nonzero_resend_interval();
+    fn resend_parts(&mut self, out: &mut Vec<Action>) {
+        let resend_at = self.clock + self.limits.nonzero_resend_interval();
         let clock = self.clock;
-        let Some(frozen) = self.stop.as_mut().and_then(|stop| stop.frozen.as_mut()) else {
+        let Some(in_progress) = self
+            .stop
+            .as_mut()
+            .and_then(|stop| stop.in_progress.as_mut())
+        else {
             return;
         };
-        if frozen.until <= clock {
-            frozen.parts.clear();
+        if in_progress.deadline <= clock {
+            in_progress.parts.clear();
             return;
         }
-        frozen.again = again;
-        self.offer_all(out);
+        in_progress.resend_at = resend_at;
+        self.send_parts(out);
     }
 
     pub(super) fn on_handover_answer(
@@ -243,28 +262,28 @@
         answer: &HandoverAnswer,
         out: &mut Vec<Action>,
     ) {
-        let until = self.clock + self.limits.handover_timeout;
+        let deadline = self.clock + self.limits.handover_timeout;
         let Some(stop) = &mut self.stop else {
             return;
         };
         if !answer.accepted {
-            stop.drop_peer(from);
+            stop.remove_peer(from);
             return;
         }
-        let Some(frozen) = &mut stop.frozen else {
+        let Some(in_progress) = &mut stop.in_progress else {
             return;
         };
-        if frozen.parts.remove(&(from, answer.part)).is_none() {
+        if in_progress.parts.remove(&(from, answer.part)).is_none() {
             return;
         }
-        frozen.until = until;
+        in_progress.deadline = deadline;
         // The part that comes into the window now; the others in it are under way.
         let next = self
             .stop
             .as_ref()
-            .and_then(|stop| stop.window(from).nth(WINDOW - 1));
+            .and_then(|stop| stop.parts_in_flight(from).nth(MAX_PARTS_IN_FLIGHT - 1));
         if let Some((part, keys)) = next {
-            self.offer(from, part, keys, out);
+            self.send_part(from, part, keys, out);
         }
     }
 
@@ -279,7 +298,7 @@
         } = handover;
         let mut accepted = true;
         for handed in records {
-            accepted &= self.on_handed(from, handed, out);
+            accepted &= self.on_handed_record(from, handed, out);
         }
         let message = Message::HandoverAnswer(HandoverAnswer { accepted, part });
         out.push(Action::SendMessage { to: from, message });
@@ -288,22 +307,22 @@
         }
         let clock = self.clock;
         let peer = self.peers.entry(from).or_default();
-        peer.seen = clock;
-        peer.parts.insert(part);
-        let held = u32::try_from(peer.parts.len()).unwrap_or(u32::MAX);
+        peer.updated_at = clock;
+        peer.received_parts.insert(part);
+        let held = u32::try_from(peer.received_parts.len()).unwrap_or(u32::MAX);
         if held >= parts || self.limits.faults.first_part {
-            peer.handed = Some((first_epoch, last_epoch));
-            self.on_handed_all(from, out);
+            peer.handed_over = Some((first_epoch, last_epoch));
+            self.on_handover_complete(from, out);
         }
     }
 
     /// Takes one record of a hand-over in; `false` where it had to be held and there was no room.
-    fn on_handed(&mut self, from: u64, handed: Handed, out: &mut Vec<Action>) -> bool {
+    fn on_handed_record(&mut self, from: u64, handed: Handed, out: &mut Vec<Action>) -> bool {
         let Ok(key) = handed.key.parse::<Key>() else {
             return true;
         };
         let role = self.role(&key);
-        if role == Role::Stranger || key.is_solo() || self.other(&key) != from {
+        if role == Role::Neither || key.is_single_host() || self.peer_of(&key) != from {
             return true;
         }
         match self.table.take(&key) {
@@ -322,14 +341,14 @@
         handed: Handed,
         out: &mut Vec<Action>,
     ) {
-        if record.state == State::Claiming || learns(&record.state) {
+        if record.state == State::Claiming || accepts_peer_end(&record.state) {
             let mismatch = record.fingerprint != handed.caller;
             let end = if mismatch {
-                bare(EndKind::Mismatch)
+                end_without_answer(EndKind::Mismatch)
             } else {
                 handed.end
             };
-            self.learn(key, &mut record, end, out);
+            self.accept_peer_end(key, &mut record, end, out);
         }
         self.put(key.clone(), record);
     }
@@ -337,30 +356,30 @@
     /// Holds a key that the witness took and the owner never heard of. Without the record the
     /// owner, which then asks for no claim, would run it a second time.
     fn on_handed_new(&mut self, key: Key, handed: Handed, out: &mut Vec<Action>) -> bool {
-        if self.epoch_standing(&key) == EpochStanding::Ended {
+        if self.epoch_status(&key) == EpochStatus::Expired {
             return true;
         }
         if self.is_full() {
             return self.limits.faults.lose_handed;
         }
-        let mut record = Record::open(handed.caller, State::Closed(Other::Unsure));
-        self.learn(&key, &mut record, handed.end, out);
+        let mut record = Record::open(handed.caller, State::Closed(PeerStatus::Unknown));
+        self.accept_peer_end(&key, &mut record, handed.end, out);
         self.put(key, record);
         true
     }
 
     /// A peer has handed over everything: what waits for its word as a witness has it.
-    fn on_handed_all(&mut self, from: u64, out: &mut Vec<Action>) {
-        for key in self.talking_to(from) {
-            if self.role(&key) != Role::Owner || !self.is_handed(&key) {
+    fn on_handover_complete(&mut self, from: u64, out: &mut Vec<Action>) {
+        for key in self.keys_pending_on(from) {
+            if self.role(&key) != Role::Owner || !self.is_handed_over(&key) {
                 continue;
             }
             let Some(mut record) = self.table.take(&key) else {
                 continue;
             };
-            match mem::take(&mut record.pending).map(|pending| pending.talk) {
-                Some(Talk::Claim) => self.on_grant(&key, &mut record, out),
-                _ => self.settle(&key, &mut record, out),
+            match mem::take(&mut record.pending).map(|pending| pending.request) {
+                Some(PeerRequest::Claim) => self.on_grant(&key, &mut record, out),
+                _ => self.resolve(&key, &mut record, out),
             }
             self.put(key, record);
         }
@@ -369,7 +388,7 @@
 
 /// Whether the other side is handed a record in this state. A claim that it granted it knows of;
 /// one that this side granted is the other side's own.
-fn is_handed_on(state: &State) -> bool {
+fn needs_handover(state: &State) -> bool {
     !matches!(state, State::Claiming | State::Claimed)
 }
 
--- a/crates/once/src/ledger/mod.rs
+++ b/crates/once/src/ledger/mod.rs
@@ -5,13 +5,13 @@
 //! on the owner, its death leaves every caller with `unknown`. Thresholds are [`Limits`]; the notes
 //! in `docs/notes/at-most-once.md` say what chose them.
 
+mod dispatch;
 mod handover;
 mod owner;
 mod request;
-mod run;
-mod settle;
+mod resolve;
 mod table;
-mod time;
+mod timers;
 mod witness;
 
 use std::{
@@ -33,16 +33,16 @@
 /// which it has seen.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ledger {
-    me: u64,
+    incarnation: u64,
     limits: Limits,
     /// When epoch 0 began.
-    opened: Duration,
+    opened_at: Duration,
     /// Latest time seen; never goes back.
     clock: Duration,
     /// Epochs before this one have been dropped.
-    swept: u64,
+    oldest_retained: u64,
     /// First epoch that takes new keys, once the ledger has been full.
-    shut: Option<u64>,
+    closed_before: Option<u64>,
     table: Table,
     peers: BTreeMap<u64, Peer>,
     stop: Option<Stop>,
@@ -55,11 +55,11 @@
     gone: bool,
     /// Epochs for which it has handed over all its records, first and last: it runs nothing more
     /// of these, and needs not be asked for a claim.
-    handed: Option<(u64, u64)>,
+    handed_over: Option<(u64, u64)>,
     /// Parts of its hand-over that are held.
-    parts: BTreeSet<u32>,
+    received_parts: BTreeSet<u32>,
     /// When this was last changed.
-    seen: Duration,
+    updated_at: Duration,
 }
 
 /// What a ledger holds, for metrics and dumps.
@@ -82,7 +82,7 @@
 enum Role {
     Owner,
     Witness,
-    Stranger,
+    Neither,
 }
 
 impl Ledger {
@@ -90,15 +90,15 @@
     ///
     /// `now` is the ledger's own monotonic clock, as in every input.
     #[must_use]
-    pub fn open(me: u64, limits: Limits, now: Duration) -> Ledger {
+    pub fn open(incarnation: u64, limits: Limits, now: Duration) -> Ledger {
         Ledger {
-            me,
+            incarnation,
             limits,
-            opened: now,
+            opened_at: now,
             clock: now,
-            swept: 0,
-            shut: None,
-            table: Table::open(me),
+            oldest_retained: 0,
+            closed_before: None,
+            table: Table::open(incarnation),
             peers: BTreeMap::new(),
             stop: None,
         }
@@ -107,7 +107,7 @@
     /// This host's incarnation.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
-        self.me
+        self.incarnation
     }
 
     /// Epoch to bind keys to at `now`. Epochs stand still once records are being handed over.
@@ -116,51 +116,51 @@
         let frozen = self.stop.as_ref().and_then(Stop::frozen_at);
         let now = frozen.map_or(now, |at| at.min(now));
         let length = self.limits.epoch_length.as_nanos().max(1);
-        let past = now.saturating_sub(self.opened).as_nanos();
-        u64::try_from(past / length).unwrap_or(u64::MAX)
+        let elapsed = now.saturating_sub(self.opened_at).as_nanos();
+        u64::try_from(elapsed / length).unwrap_or(u64::MAX)
     }
 
     /// This host's side of a binding that a look-up gives at `now`.
     #[must_use]
     pub fn participant(&self, now: Duration) -> Participant {
         Participant {
-            incarnation: self.me,
+            incarnation: self.incarnation,
             epoch: self.epoch(now),
         }
     }
 
     /// Takes a caller's request in.
     pub fn handle_request(&mut self, request: Request, now: Duration) -> Vec<Action> {
-        self.input(now, |ledger, out| ledger.on_request(request, out))
+        self.handle_input(now, |ledger, out| ledger.on_request(request, out))
     }
 
     /// Takes a message of another incarnation in. `from` is what the transport knows of the sender.
     ///
     /// A message that names no key of these two incarnations is ignored.
     pub fn handle_message(&mut self, from: u64, message: Message, now: Duration) -> Vec<Action> {
-        self.input(now, |ledger, out| ledger.on_message(from, message, out))
+        self.handle_input(now, |ledger, out| ledger.on_message(from, message, out))
     }
 
     /// Takes the end of a request in that [`Action::Dispatch`] gave out.
     pub fn handle_outcome(&mut self, key: &Key, outcome: Outcome, now: Duration) -> Vec<Action> {
-        self.input(now, |ledger, out| ledger.on_finished(key, outcome, out))
+        self.handle_input(now, |ledger, out| ledger.on_outcome(key, outcome, out))
     }
 
     /// Forgets an attempt whose caller is gone; nothing that comes out from now on names it.
     pub fn cancel(&mut self, attempt_id: u64, now: Duration) -> Vec<Action> {
-        self.input(now, |ledger, out| ledger.on_cancel(attempt_id, out))
+        self.handle_input(now, |ledger, out| ledger.on_cancel(attempt_id, out))
     }
 
     /// Notes that an incarnation is gone for good, or seems to be: what waits for it is answered
     /// now. A wrong word costs answers, never a second run.
     pub fn peer_gone(&mut self, incarnation: u64, now: Duration) -> Vec<Action> {
-        self.input(now, |ledger, out| ledger.on_gone(incarnation, out))
+        self.handle_input(now, |ledger, out| ledger.on_peer_gone(incarnation, out))
     }
 
     /// Begins a planned stop: takes no new key, and hands its records to `peers` (the live
     /// incarnations) once nothing is open, or at `deadline`.
     pub fn stop(&mut self, peers: &[u64], deadline: Duration, now: Duration) -> Vec<Action> {
-        self.input(now, |ledger, _| {
+        self.handle_input(now, |ledger, _| {
             if ledger.stop.is_none() {
                 ledger.stop = Some(Stop::open(peers, deadline));
             }
@@ -170,12 +170,12 @@
     /// Whether a planned stop has come to its end: the process may exit.
     #[must_use]
     pub fn is_stopped(&self) -> bool {
-        self.stop.as_ref().is_some_and(Stop::is_over)
+        self.stop.as_ref().is_some_and(Stop::is_complete)
     }
 
     /// Fires what is due at `now`.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
-        self.input(now, |_, _| ())
+        self.handle_input(now, |_, _| ())
     }
 
     /// When to call [`Ledger::tick`] next; `None` while nothing is due. Epochs need no wake: they
@@ -204,7 +204,7 @@
     /// A host that was paused wakes with messages that were in time for others, not for its own
     /// clock. What timed out is closed before the input is looked at, so that a late grant finds
     /// the key closed.
-    fn input(
+    fn handle_input(
         &mut self,
         now: Duration,
         f: impl FnOnce(&mut Ledger, &mut Vec<Action>),
@@ -212,12 +212,12 @@
         let mut out = Vec::new();
         self.advance(now, &mut out);
         f(self, &mut out);
-        self.go_on_stopping(&mut out);
+        self.advance_stop(&mut out);
         out
     }
 
     fn on_message(&mut self, from: u64, message: Message, out: &mut Vec<Action>) {
-        if from == self.me {
+        if from == self.incarnation {
             return;
         }
         // A host that was only paused was called gone; without this its claims stay closed.
@@ -234,10 +234,10 @@
                 self.with_key(from, &m.key, |l, k| l.on_close_answer(&k, m.closing, out));
             }
             Message::AnswerAsk(m) => {
-                self.with_key(from, &m.key, |l, k| l.on_ask(&k, m.caller, out));
+                self.with_key(from, &m.key, |l, k| l.on_answer_ask(&k, m.caller, out));
             }
             Message::AnswerGive(m) => {
-                self.with_key(from, &m.key, |l, k| l.on_give(&k, m.end, out));
+                self.with_key(from, &m.key, |l, k| l.on_answer_give(&k, m.end, out));
             }
             Message::Handover(m) => self.on_handover(from, m, out),
             Message::HandoverAnswer(m) => self.on_handover_answer(from, &m, out),
@@ -249,24 +249,24 @@
         let Ok(key) = text.parse::<Key>() else {
             return;
         };
-        if self.role(&key) != Role::Stranger && !key.is_solo() && self.other(&key) == from {
+        if self.role(&key) != Role::Neither && !key.is_single_host() && self.peer_of(&key) == from {
             f(self, key);
         }
     }
 
     fn role(&self, key: &Key) -> Role {
-        if key.owner.incarnation == self.me {
+        if key.owner.incarnation == self.incarnation {
             Role::Owner
-        } else if key.witness.incarnation == self.me {
+        } else if key.witness.incarnation == self.incarnation {
             Role::Witness
         } else {
-            Role::Stranger
+            Role::Neither
         }
     }
 
     /// The other side of a key that names this host.
-    fn other(&self, key: &Key) -> u64 {
-        if key.owner.incarnation == self.me {
+    fn peer_of(&self, key: &Key) -> u64 {
+        if key.owner.incarnation == self.incarnation {
             key.witness.incarnation
         } else {
             key.owner.incarnation
@@ -279,9 +279,9 @@
 
     /// Whether the witness of a key of this host's has handed over what it held of the key's epoch:
     /// it will never run the request, and what it ran is among this host's records.
-    fn is_handed(&self, key: &Key) -> bool {
+    fn is_handed_over(&self, key: &Key) -> bool {
         let peer = self.peers.get(&key.witness.incarnation);
-        let handed = peer.and_then(|peer| peer.handed);
+        let handed = peer.and_then(|peer| peer.handed_over);
         handed.is_some_and(|(first, last)| (first..=last).contains(&key.witness.epoch))
     }
 
@@ -292,17 +292,17 @@
     /// Puts a record back, unless its epoch has ended and nobody waits for it any more.
     fn put(&mut self, key: Key, record: Record) {
         let epoch = self.table.epoch_of(&key);
-        if epoch < self.swept && record.is_at_rest() {
-            self.table.release(&record);
-            self.table.trim(epoch);
+        if epoch < self.oldest_retained && record.is_idle() {
+            self.table.release_answer(&record);
+            self.table.remove_empty_epoch(epoch);
             return;
         }
         self.table.put(key, record);
     }
 
     /// Adds an attempt that waits for the key's end.
-    fn join(&mut self, key: &Key, record: &mut Record, waiter: Waiter) {
-        self.table.add_ticket(waiter.attempt_id, key.clone());
+    fn add_waiter(&mut self, key: &Key, record: &mut Record, waiter: Waiter) {
+        self.table.add_attempt(waiter.attempt_id, key.clone());
         record.waiters.push(waiter);
     }
 }
@@ -315,7 +315,7 @@
 /// is wrong by more costs a refused key and a new look-up, never a second run.
 #[must_use]
 pub fn estimate_epoch(started: Duration, now: Duration, length: Duration) -> u64 {
-    let lived = now.saturating_sub(started).as_nanos();
-    let epoch = lived / length.as_nanos().max(1);
+    let elapsed = now.saturating_sub(started).as_nanos();
+    let epoch = elapsed / length.as_nanos().max(1);
     u64::try_from(epoch).unwrap_or(u64::MAX).saturating_sub(1)
 }
--- a/crates/once/src/ledger/owner.rs
+++ b/crates/once/src/ledger/owner.rs
@@ -5,7 +5,7 @@
 use super::{Ledger, Role};
 use crate::{
     Action, Key,
-    record::{Other, Record, State},
+    record::{PeerStatus, Record, State},
 };
 
 impl Ledger {
@@ -33,9 +33,9 @@
         record.pending = None;
         match verdict {
             Verdict::Granted => self.on_grant(key, record, out),
-            Verdict::Taken => self.close_as(key, record, Other::Took, out),
-            Verdict::Closed => self.close_as(key, record, Other::Never, out),
-            Verdict::Ended | Verdict::Full => self.close_as(key, record, Other::Unsure, out),
+            Verdict::Taken => self.close(key, record, PeerStatus::Claimed, out),
+            Verdict::Closed => self.close(key, record, PeerStatus::WillNotRun, out),
+            Verdict::Ended | Verdict::Full => self.close(key, record, PeerStatus::Unknown, out),
         }
     }
 
@@ -43,15 +43,15 @@
     /// witness never runs what it granted, so that the key is then dead.
     pub(super) fn on_grant(&mut self, key: &Key, record: &mut Record, out: &mut Vec<Action>) {
         if record.waiters.is_empty() {
-            self.close_as(key, record, Other::Never, out);
+            self.close(key, record, PeerStatus::WillNotRun, out);
         } else {
-            self.send(key, record, out);
+            self.dispatch(key, record, out);
         }
     }
 
-    fn close_as(&mut self, key: &Key, record: &mut Record, other: Other, out: &mut Vec<Action>) {
-        record.state = State::Closed(other);
-        self.settle(key, record, out);
+    fn close(&mut self, key: &Key, record: &mut Record, peer: PeerStatus, out: &mut Vec<Action>) {
+        record.state = State::Closed(peer);
+        self.resolve(key, record, out);
     }
 
     pub(super) fn on_close_answer(&mut self, key: &Key, closing: Closing, out: &mut Vec<Action>) {
@@ -61,7 +61,7 @@
         let Some(mut record) = self.table.take(key) else {
             return;
         };
-        if record.state == State::Closed(Other::Unsure) {
+        if record.state == State::Closed(PeerStatus::Unknown) {
             self.end_close(key, &mut record, closing, out);
         }
         self.put(key.clone(), record);
@@ -76,9 +76,9 @@
     ) {
         record.pending = None;
         match closing {
-            Closing::Closed => self.close_as(key, record, Other::Never, out),
-            Closing::Taken => self.close_as(key, record, Other::Took, out),
-            Closing::Unknown => self.refuse_silent(record, out),
+            Closing::Closed => self.close(key, record, PeerStatus::WillNotRun, out),
+            Closing::Taken => self.close(key, record, PeerStatus::Claimed, out),
+            Closing::Unknown => self.refuse_timeout(record, out),
         }
     }
 }
--- a/crates/once/src/ledger/request.rs
+++ b/crates/once/src/ledger/request.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use super::{Ledger, Role, time::EpochStanding};
+use super::{Ledger, Role, timers::EpochStatus};
 use crate::{
     Action, Key, RefusalReason, Request, RunStatus,
-    record::{Other, Record, State, Talk, Waiter},
+    record::{PeerRequest, PeerStatus, Record, State, Waiter},
 };
 
 impl Ledger {
     pub(super) fn on_request(&mut self, request: Request, out: &mut Vec<Action>) {
         let role = self.role(&request.key);
-        if role == Role::Stranger {
+        if role == Role::Neither {
             // A client library may send an attempt again by itself, on a new connection to the same
             // address: the process that ran the first copy may be the one whose place this is.
             self.refuse(
@@ -30,12 +30,12 @@
     }
 
     /// Whether the caller may have reached the key's other side with an earlier attempt.
-    fn elsewhere(&self, role: Role, request: &Request) -> bool {
-        let others = match role {
+    fn tried_peer(&self, role: Role, request: &Request) -> bool {
+        let peer_attempts = match role {
             Role::Owner => request.attempts.witness,
-            Role::Witness | Role::Stranger => request.attempts.owner,
+            Role::Witness | Role::Neither => request.attempts.owner,
         };
-        others > 0 && !request.key.is_solo() && !self.limits.faults.ignore_attempts
+        peer_attempts > 0 && !request.key.is_single_host() && !self.limits.faults.ignore_attempts
     }
 
     /// A request whose key has a record.
@@ -47,14 +47,14 @@
         out: &mut Vec<Action>,
     ) {
         let key = &request.key;
-        let elsewhere = self.elsewhere(role, request);
+        let tried_peer = self.tried_peer(role, request);
         let attempt_id = request.attempt_id;
         if record.fingerprint != request.fingerprint && !self.limits.faults.any_caller {
             // Whoever came first with the key holds it on this side for as long as the epoch is
             // held, so no attempt of this caller's runs here.
             self.refuse(
                 attempt_id,
-                no_if(!elsewhere),
+                no_or_unknown(!tried_peer),
                 RefusalReason::Mismatch,
                 None,
                 out,
@@ -69,12 +69,12 @@
                 out,
             );
         } else {
-            self.join(
+            self.add_waiter(
                 key,
                 &mut record,
                 Waiter {
                     attempt_id,
-                    elsewhere,
+                    tried_peer,
                 },
             );
             self.serve_known(key, &mut record, out);
@@ -86,43 +86,44 @@
     fn serve_known(&mut self, key: &Key, record: &mut Record, out: &mut Vec<Action>) {
         match record.state {
             State::Claiming | State::Running => {}
-            State::Claimed if self.limits.faults.run_claimed => self.send(key, record, out),
-            State::Claimed if self.is_gone(self.other(key)) => self.refuse_silent(record, out),
+            State::Claimed if self.limits.faults.run_claimed => self.dispatch(key, record, out),
+            State::Claimed if self.is_gone(self.peer_of(key)) => self.refuse_timeout(record, out),
             State::Claimed if record.pending.is_some() => {}
-            State::Claimed => self.talk(key, record, Talk::Ask, out),
-            _ => self.settle(key, record, out),
+            State::Claimed => self.start_request(key, record, PeerRequest::Answer, out),
+            _ => self.resolve(key, record, out),
         }
     }
 
     /// A request whose key has no record.
     fn on_new(&mut self, role: Role, request: Request, out: &mut Vec<Action>) {
-        if let Some((run, reason, retry_after)) = self.turn_away(role, &request) {
+        if let Some((run, reason, retry_after)) = self.rejection_reason(role, &request) {
             if reason == RefusalReason::LedgerFull && self.is_full() {
-                self.shut();
+                self.close_epochs();
             }
             self.refuse(request.attempt_id, run, reason, retry_after, out);
             return;
         }
-        let elsewhere = self.elsewhere(role, &request);
+        let tried_peer = self.tried_peer(role, &request);
         let key = request.key;
         let mut record = Record::open(request.fingerprint, State::Claiming);
         let attempt_id = request.attempt_id;
-        self.join(
+        self.add_waiter(
             &key,
             &mut record,
             Waiter {
                 attempt_id,
-                elsewhere,
+                tried_peer,
             },
         );
-        let needs_claim = role == Role::Owner && !key.is_solo() && !self.is_handed(&key);
+        let needs_claim =
+            role == Role::Owner && !key.is_single_host() && !self.is_handed_over(&key);
         if !needs_claim || self.limits.faults.skip_claim {
-            self.send(&key, &mut record, out);
+            self.dispatch(&key, &mut record, out);
         } else if self.is_gone(key.witness.incarnation) {
-            record.state = State::Closed(Other::Unsure);
-            self.settle(&key, &mut record, out);
+            record.state = State::Closed(PeerStatus::Unknown);
+            self.resolve(&key, &mut record, out);
         } else {
-            self.talk(&key, &mut record, Talk::Claim, out);
+            self.start_request(&key, &mut record, PeerRequest::Claim, out);
         }
         self.put(key, record);
     }
@@ -131,26 +132,26 @@
     ///
     /// No record is made, so a copy of this attempt may still come, or may have run under a record
     /// that is dropped by now. `no` is said only where this side took no such key and never will.
-    fn turn_away(
+    fn rejection_reason(
         &self,
         role: Role,
         request: &Request,
     ) -> Option<(RunStatus, RefusalReason, Option<Duration>)> {
-        match self.epoch_standing(&request.key) {
-            EpochStanding::Ended => {
+        match self.epoch_status(&request.key) {
+            EpochStatus::Expired => {
                 return Some((RunStatus::Unknown, RefusalReason::EpochExpired, None));
             }
-            EpochStanding::Ahead => {
+            EpochStatus::Future => {
                 return Some((RunStatus::Unknown, RefusalReason::EpochNotStarted, None));
             }
-            EpochStanding::Held => {}
+            EpochStatus::Active => {}
         }
-        let here = no_if(!self.elsewhere(role, request));
+        let run = no_or_unknown(!self.tried_peer(role, request));
         if self.stop.is_some() && !self.limits.faults.take_leaving {
-            return Some((here, RefusalReason::Stopping, None));
+            return Some((run, RefusalReason::Stopping, None));
         }
-        if self.is_full() || self.is_shut(&request.key) {
-            return Some((here, RefusalReason::LedgerFull, Some(self.epoch_left())));
+        if self.is_full() || self.is_epoch_closed(&request.key) {
+            return Some((run, RefusalReason::LedgerFull, Some(self.epoch_remaining())));
         }
         None
     }
@@ -160,29 +161,30 @@
     /// A `no` for want of room is then true for good without a record: a copy of the attempt that
     /// comes when there is room again is turned away too. It costs next to nothing, since there is
     /// no room anyway before an epoch ends, and keys of later look-ups name a later epoch.
-    pub(super) fn shut(&mut self) {
+    pub(super) fn close_epochs(&mut self) {
         if !self.limits.faults.forget_full {
-            self.shut = self.epoch(self.clock).checked_add(1);
+            self.closed_before = self.epoch(self.clock).checked_add(1);
         }
     }
 
     /// Whether this side takes no new key of the key's epoch.
-    fn is_shut(&self, key: &Key) -> bool {
+    fn is_epoch_closed(&self, key: &Key) -> bool {
         let epoch = self.table.epoch_of(key);
-        self.shut.is_some_and(|open| epoch < open)
+        self.closed_before
+            .is_some_and(|first_open| epoch < first_open)
     }
 
     /// Time until the present epoch ends, when a full ledger may have room again.
-    fn epoch_left(&self) -> Duration {
+    fn epoch_remaining(&self) -> Duration {
         let length = self.limits.epoch_length.as_nanos().max(1);
-        let past = self.clock.saturating_sub(self.opened).as_nanos() % length;
-        let left = u64::try_from(length - past).unwrap_or(u64::MAX);
-        Duration::from_nanos(left)
+        let elapsed = self.clock.saturating_sub(self.opened_at).as_nanos() % length;
+        let remaining = u64::try_from(length - elapsed).unwrap_or(u64::MAX);
+        Duration::from_nanos(remaining)
     }
 }
 
-fn no_if(sure: bool) -> RunStatus {
-    if sure {
+fn no_or_unknown(certain: bool) -> RunStatus {
+    if certain {
         RunStatus::No
     } else {
         RunStatus::Unknown
--- a/crates/once/src/ledger/table.rs
+++ b/crates/once/src/ledger/table.rs
@@ -16,7 +16,7 @@
 /// A record is taken out to be changed and put back, so that every index is kept in two places.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Table {
-    me: u64,
+    incarnation: u64,
     epochs: BTreeMap<u64, BTreeMap<Key, Record>>,
     /// Records in `epochs`.
     records: usize,
@@ -25,7 +25,7 @@
     /// For each record with a pending talk, when that is due.
     timers: BTreeSet<(Duration, Key)>,
     /// For each attempt that waits, its key.
-    tickets: BTreeMap<u64, Key>,
+    attempts: BTreeMap<u64, Key>,
     /// Keys with an answer held, in the order the answers came.
     answers: BTreeMap<u64, Key>,
     /// Sum of the lengths of the answers held.
@@ -35,16 +35,16 @@
 }
 
 impl Table {
-    pub(crate) fn open(me: u64) -> Table {
+    pub(crate) fn open(incarnation: u64) -> Table {
         Table {
-            me,
+            incarnation,
             ..Table::default()
         }
     }
 
     /// This host's epoch in a key that names it.
     pub(crate) fn epoch_of(&self, key: &Key) -> u64 {
-        if key.owner.incarnation == self.me {
+        if key.owner.incarnation == self.incarnation {
             key.owner.epoch
         } else {
             key.witness.epoch
@@ -79,7 +79,7 @@
     }
 
     /// Ends the holding of a record that was taken out and is not put back.
-    pub(crate) fn release(&mut self, record: &Record) {
+    pub(crate) fn release_answer(&mut self, record: &Record) {
         if let State::Answered { order, answer } = &record.state {
             self.answer_bytes -= answer.len();
             self.answers.remove(order);
@@ -89,9 +89,9 @@
     /// Holds an answer for a record that is taken out, and drops the oldest answers beyond `room`.
     ///
     /// The answer is no longer than `room`.
-    pub(crate) fn hold(&mut self, key: &Key, answer: Arc<[u8]>, room: usize) -> State {
+    pub(crate) fn cache_answer(&mut self, key: &Key, answer: Arc<[u8]>, capacity: usize) -> State {
         self.answer_bytes += answer.len();
-        while self.answer_bytes > room {
+        while self.answer_bytes > capacity {
             let Some((_, oldest)) = self.answers.pop_first() else {
                 break;
             };
@@ -113,18 +113,18 @@
         };
         if let State::Answered { answer, .. } = &record.state {
             self.answer_bytes -= answer.len();
-            record.state = State::Dropped;
+            record.state = State::Evicted;
         }
     }
 
     /// Drops the records of epochs before `oldest`, but for those on which somebody waits: they go
     /// when they end.
-    pub(crate) fn end_epochs(&mut self, oldest: u64) {
+    pub(crate) fn drop_epochs_before(&mut self, oldest: u64) {
         let later = self.epochs.split_off(&oldest);
         let ended = std::mem::replace(&mut self.epochs, later);
         for (epoch, mut records) in ended {
             records.retain(|_, record| {
-                let keep = !record.is_at_rest();
+                let keep = !record.is_idle();
                 if !keep {
                     self.records -= 1;
                     if let State::Answered { order, answer } = &record.state {
@@ -141,7 +141,7 @@
     }
 
     /// Removes the maps of ended epochs that hold nothing any more.
-    pub(crate) fn trim(&mut self, epoch: u64) {
+    pub(crate) fn remove_empty_epoch(&mut self, epoch: u64) {
         if self.epochs.get(&epoch).is_some_and(BTreeMap::is_empty) {
             self.epochs.remove(&epoch);
         }
@@ -157,16 +157,16 @@
     }
 
     /// Keys with a talk under way.
-    pub(crate) fn talking(&self) -> impl Iterator<Item = &Key> {
+    pub(crate) fn pending_keys(&self) -> impl Iterator<Item = &Key> {
         self.timers.iter().map(|(_, key)| key)
     }
 
-    pub(crate) fn add_ticket(&mut self, attempt_id: u64, key: Key) {
-        self.tickets.insert(attempt_id, key);
+    pub(crate) fn add_attempt(&mut self, attempt_id: u64, key: Key) {
+        self.attempts.insert(attempt_id, key);
     }
 
-    pub(crate) fn end_ticket(&mut self, attempt_id: u64) -> Option<Key> {
-        self.tickets.remove(&attempt_id)
+    pub(crate) fn remove_attempt(&mut self, attempt_id: u64) -> Option<Key> {
+        self.attempts.remove(&attempt_id)
     }
 
     pub(crate) fn records(&self) -> usize {
@@ -178,7 +178,7 @@
     }
 
     pub(crate) fn waiting(&self) -> usize {
-        self.tickets.len()
+        self.attempts.len()
     }
 
     pub(crate) fn answer_bytes(&self) -> usize {
--- a/crates/once/src/ledger/witness.rs
+++ b/crates/once/src/ledger/witness.rs
@@ -2,10 +2,10 @@
 
 use dunlinrock_schema::once::{ClaimAnswer, CloseAnswer, Closing, End, EndKind, Message, Verdict};
 
-use super::{Ledger, Role, time::EpochStanding};
+use super::{Ledger, Role, timers::EpochStatus};
 use crate::{
     Action, Key,
-    record::{Other, Record, State},
+    record::{PeerStatus, Record, State},
 };
 
 impl Ledger {
@@ -15,8 +15,8 @@
             return;
         }
         let verdict = match self.table.get(&key) {
-            Some(record) => verdict_on(record),
-            None if self.epoch_standing(&key) != EpochStanding::Held => Verdict::Ended,
+            Some(record) => verdict_for(record),
+            None if self.epoch_status(&key) != EpochStatus::Active => Verdict::Ended,
             None if self.is_full() => Verdict::Full,
             None => Verdict::Granted,
         };
@@ -51,8 +51,8 @@
     fn close_known(&mut self, key: &Key, mut record: Record, out: &mut Vec<Action>) -> Closing {
         let closing = match record.state {
             State::Claimed | State::Closed(_) => {
-                record.state = State::Closed(Other::Never);
-                self.settle(key, &mut record, out);
+                record.state = State::Closed(PeerStatus::WillNotRun);
+                self.resolve(key, &mut record, out);
                 Closing::Closed
             }
             _ => Closing::Taken,
@@ -62,7 +62,7 @@
     }
 
     fn close_new(&mut self, key: &Key, fingerprint: u64) -> Closing {
-        if self.epoch_standing(key) != EpochStanding::Held {
+        if self.epoch_status(key) != EpochStatus::Active {
             return Closing::Unknown;
         }
         if self.stop.is_some() {
@@ -70,53 +70,53 @@
             return Closing::Closed;
         }
         if self.is_full() {
-            self.shut();
+            self.close_epochs();
             return Closing::Closed;
         }
-        let closed = State::Closed(Other::Never);
+        let closed = State::Closed(PeerStatus::WillNotRun);
         self.put(key.clone(), Record::open(fingerprint, closed));
         Closing::Closed
     }
 
     /// The other side asks how the key ended.
-    pub(super) fn on_ask(&mut self, key: &Key, fingerprint: u64, out: &mut Vec<Action>) {
+    pub(super) fn on_answer_ask(&mut self, key: &Key, fingerprint: u64, out: &mut Vec<Action>) {
         let Some(mut record) = self.table.take(key) else {
-            self.tell_end(key, bare(EndKind::Unknown), out);
+            self.send_end(key, end_without_answer(EndKind::Unknown), out);
             return;
         };
         if record.fingerprint != fingerprint {
-            self.tell_end(key, bare(EndKind::Mismatch), out);
+            self.send_end(key, end_without_answer(EndKind::Mismatch), out);
         } else if record.state == State::Claimed {
-            self.tell_end(key, bare(EndKind::Unknown), out);
+            self.send_end(key, end_without_answer(EndKind::Unknown), out);
         } else {
-            record.asked = true;
-            self.tell_asked(key, &mut record, out);
+            record.peer_waiting = true;
+            self.answer_peer(key, &mut record, out);
         }
         self.put(key.clone(), record);
     }
 
     /// Tells the end at once where it is known; those who wait here are not touched.
-    fn tell_asked(&mut self, key: &Key, record: &mut Record, out: &mut Vec<Action>) {
+    fn answer_peer(&mut self, key: &Key, record: &mut Record, out: &mut Vec<Action>) {
         let end = end_of(&record.state);
         if let Some(end) = end {
-            record.asked = false;
-            self.tell_end(key, end, out);
+            record.peer_waiting = false;
+            self.send_end(key, end, out);
         }
     }
 
     /// The other side tells how the key ended.
-    pub(super) fn on_give(&mut self, key: &Key, end: End, out: &mut Vec<Action>) {
+    pub(super) fn on_answer_give(&mut self, key: &Key, end: End, out: &mut Vec<Action>) {
         let Some(mut record) = self.table.take(key) else {
             return;
         };
-        if learns(&record.state) {
-            self.learn(key, &mut record, end, out);
+        if accepts_peer_end(&record.state) {
+            self.accept_peer_end(key, &mut record, end, out);
         }
         self.put(key.clone(), record);
     }
 }
 
-fn verdict_on(record: &Record) -> Verdict {
+fn verdict_for(record: &Record) -> Verdict {
     match record.state {
         State::Claimed => Verdict::Granted,
         State::Closed(_) => Verdict::Closed,
@@ -126,10 +126,10 @@
 
 /// Whether a record in this state takes the other side's word: this side never runs the request,
 /// and does not yet know how it ended.
-pub(super) fn learns(state: &State) -> bool {
+pub(super) fn accepts_peer_end(state: &State) -> bool {
     matches!(
         state,
-        State::Claimed | State::Closed(Other::Unsure | Other::Took)
+        State::Claimed | State::Closed(PeerStatus::Unknown | PeerStatus::Claimed)
     )
 }
 
@@ -141,14 +141,14 @@
             kind: EndKind::Answered,
             answer: answer.to_vec(),
         }),
-        State::Dropped => Some(bare(EndKind::Dropped)),
-        State::Lost => Some(bare(EndKind::Unknown)),
-        State::Closed(_) => Some(bare(EndKind::Closed)),
+        State::Evicted => Some(end_without_answer(EndKind::Dropped)),
+        State::Indeterminate => Some(end_without_answer(EndKind::Unknown)),
+        State::Closed(_) => Some(end_without_answer(EndKind::Closed)),
     }
 }
 
 /// An end without an answer.
-pub(super) fn bare(kind: EndKind) -> End {
+pub(super) fn end_without_answer(kind: EndKind) -> End {
     End {
         kind,
         answer: Vec::new(),
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -44,7 +44,7 @@
     action::{Action, Outcome, RefusalReason, Request, RunStatus},
     attempts::{AttemptsError, PriorAttempts},
     dunlinrock_schema::once::Message,
-    key::{Key, KeyError, NONCE_MAX, Participant},
+    key::{Key, KeyError, MAX_NONCE_BYTES, Participant},
     ledger::{Ledger, LedgerStats, estimate_epoch},
     limits::{Faults, Limits},
 };
--- a/crates/once/src/record.rs
+++ b/crates/once/src/record.rs
@@ -8,7 +8,7 @@
     /// The attempt.
     pub(crate) attempt_id: u64,
     /// Whether the caller may have reached the other side with an earlier attempt.
-    pub(crate) elsewhere: bool,
+    pub(crate) tried_peer: bool,
 }
 
 /// Where a key stands on this side. A state after `Claiming`, `Claimed` and `Running` is final, but
@@ -29,44 +29,44 @@
         answer: Arc<[u8]>,
     },
     /// It ran, and its answer is not held.
-    Dropped,
+    Evicted,
     /// It may have run.
-    Lost,
+    Indeterminate,
     /// This side did not run it and never will.
-    Closed(Other),
+    Closed(PeerStatus),
 }
 
 /// What a closed side knows of the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) enum Other {
+pub(crate) enum PeerStatus {
     /// The other side may run the request.
-    Unsure,
+    Unknown,
     /// The other side did not run it and never will.
-    Never,
+    WillNotRun,
     /// The other side took it.
-    Took,
+    Claimed,
 }
 
 /// What a side waits for from the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) enum Talk {
+pub(crate) enum PeerRequest {
     /// Owner: a claim.
     Claim,
     /// Owner: a close.
     Close,
     /// The answer.
-    Ask,
+    Answer,
 }
 
 /// A talk with the other side that is under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Pending {
     /// What is waited for.
-    pub(crate) talk: Talk,
+    pub(crate) request: PeerRequest,
     /// When to give up.
-    pub(crate) until: Duration,
+    pub(crate) deadline: Duration,
     /// When to send the message again.
-    pub(crate) again: Duration,
+    pub(crate) resend_at: Duration,
     /// Time between the last message and `again`; doubles, so that a long run is asked for seldom.
     pub(crate) interval: Duration,
 }
@@ -74,7 +74,7 @@
 impl Pending {
     /// When to look at this talk again.
     pub(crate) fn due(&self) -> Duration {
-        self.until.min(self.again)
+        self.deadline.min(self.resend_at)
     }
 }
 
@@ -91,7 +91,7 @@
     /// records are at rest and held for minutes.
     pub(crate) pending: Option<Box<Pending>>,
     /// Whether the other side waits to be told how the request ended.
-    pub(crate) asked: bool,
+    pub(crate) peer_waiting: bool,
 }
 
 impl Record {
@@ -101,12 +101,12 @@
             state,
             waiters: Vec::new(),
             pending: None,
-            asked: false,
+            peer_waiting: false,
         }
     }
 
     /// Whether nobody waits on this side: the record is held for retries only.
-    pub(crate) fn is_at_rest(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         !self.is_open() && self.waiters.is_empty() && self.pending.is_none()
     }
 
