--- a/crates/once/tests/model/mod.rs
+++ b/crates/once/tests/model/mod.rs
@@ -1,8 +1,9 @@
-//! Two real ledgers, a network, a caller and targets, as one state that can be cloned and compared.
+//! Model of two real ledgers, a network, a caller and targets, as one state that can be cloned and
+//! compared.
 //!
-//! A message that is lost is one that is never delivered, and a host that is dead is one that gets
-//! no more turns; neither needs a step of its own. A message may be delivered at any later moment
-//! and in any order; `doubles` of them are delivered and stay under way.
+//! A lost message is one that is never delivered, and a failed host is one that takes no more
+//! steps; neither needs a step of its own. Messages are delivered at any later time and in any
+//! order; up to `duplicates` times, a delivered message stays in flight.
 
 use std::{cell::RefCell, time::Duration};
 
@@ -10,7 +11,7 @@
     Action, Key, Ledger, Limits, Message, Outcome, PriorAttempts, RefusalReason, Request, RunStatus,
 };
 
-/// The caller whose key it is, and one that got hold of the key.
+/// The caller that owns the key, and another caller that has obtained it.
 pub(crate) const CALLER: u8 = 0;
 pub(crate) const INTRUDER: u8 = 1;
 
@@ -19,23 +20,23 @@
 pub(crate) const WITNESS: usize = 1;
 
 thread_local! {
-    /// Each distinct message once, so that a state holds its number.
+    /// All distinct messages; a state refers to them by index.
     static MESSAGES: RefCell<Vec<Message>> = const { RefCell::new(Vec::new()) };
 }
 
-/// What may happen in a search, and how often.
+/// Maximum number of each kind of event in a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Budget {
     /// Attempts of the caller.
     pub attempts: u8,
     /// Attempts of the intruder.
     pub intrusions: u8,
-    /// Deliveries after which the message is still under way.
+    /// Deliveries after which the message is still in flight.
     pub duplicates: u8,
-    /// Attempts whose caller closes its connection.
+    /// Attempts whose caller disconnects.
     pub cancels: u8,
-    /// For each host: restarts, jumps past the end of the epoch, words that the other is gone,
-    /// planned stops.
+    /// For each host: restarts, clock jumps past the end of the epoch, reports that the other host
+    /// is gone, graceful shutdowns.
     pub restarts: [u8; 2],
     pub jumps: [u8; 2],
     pub gone_notices: [u8; 2],
@@ -43,7 +44,7 @@
 }
 
 impl Budget {
-    /// Messages late, lost and reordered, and timeouts at any moment; nothing else.
+    /// Only late, lost and reordered messages, and timeouts at any time.
     pub(crate) const PLAIN: Budget = Budget {
         attempts: 3,
         intrusions: 0,
@@ -56,15 +57,15 @@
     };
 }
 
-/// A broken promise.
+/// Violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Violation {
     RanTwice,
     /// The answer to the latest attempt was `no`, and the request ran, before or after.
     FalseNo,
-    /// A key was called dead for good, and ran.
+    /// The key was reported as permanently closed, and the request ran.
     RanAfterClose,
-    /// An answer went to another caller.
+    /// An answer was sent to another caller.
     WrongCaller,
     /// `yes` or an answer without a run.
     FalseYes,
@@ -76,7 +77,7 @@
     caller: u8,
     role: usize,
     attempts: PriorAttempts,
-    /// Whether a copy is still under way.
+    /// Whether a copy is still in flight.
     in_flight: bool,
     deliveries: u8,
 }
@@ -94,7 +95,7 @@
     NotRun,
 }
 
-/// A request that a host was told to send.
+/// Request that a host dispatched to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Sent {
     incarnation: u64,
@@ -108,26 +109,26 @@
     now: Duration,
 }
 
-/// One state.
+/// State of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Model {
     hosts: [Host; 2],
     key: Key,
     limits: Limits,
     attempts: Vec<Attempt>,
-    /// Peer messages under way, sorted: receiver, sender, number of the message.
+    /// Peer messages in flight, sorted: receiver, sender, index of the message.
     net: Vec<(u64, u64, u16)>,
     sent: Vec<Sent>,
     budget: Budget,
-    /// Runs at targets, by whose request it was.
+    /// Number of runs at targets, by caller.
     runs: [u8; 2],
-    /// Whether the answer to the latest attempt of each was `no`.
+    /// Whether the latest attempt was refused with `no`, by caller.
     refused_no: [bool; 2],
     permanently_closed: bool,
     pub(crate) violation: Option<Violation>,
 }
 
-/// A step, for the account of a failure.
+/// Step between two states, for the report of a violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
     Attempt { caller: u8, role: usize },
@@ -143,7 +144,8 @@
     Finished { sent: usize },
 }
 
-/// Limits of a search: few distinct times, no repeated messages (a doubled one is the same).
+/// Limits of a search: few distinct times, and no resends, since a duplicate is the same as a
+/// resend.
 pub(crate) fn limits() -> Limits {
     Limits {
         max_records: 2,
@@ -186,14 +188,14 @@
         }
     }
 
-    /// The same with the owner as its own witness.
+    /// Makes the owner its own witness.
     pub(crate) fn single_host(mut self) -> Model {
         let participant = self.key.owner;
         self.key = Key::bind(participant, participant, "n").unwrap();
         self
     }
 
-    /// Fills a host's ledger with claims of a third one.
+    /// Fills a host's ledger with claims of a third host.
     pub(crate) fn fill(mut self, host: usize) -> Model {
         let participant = self.hosts[host].ledger.participant(Duration::ZERO);
         let third = dunlinrock_once::Participant {
@@ -217,7 +219,7 @@
         self
     }
 
-    /// Lets an epoch pass and binds the key to the next one.
+    /// Advances the hosts by an epoch and binds the key to the next one.
     pub(crate) fn next_epoch(mut self) -> Model {
         for host in &mut self.hosts {
             host.now += EPOCH;
@@ -228,8 +230,8 @@
         self
     }
 
-    /// Has the witness take and answer another key of the two hosts, so that its hand-over has two
-    /// parts.
+    /// Makes the witness accept and answer another key of the two hosts, so that its handover has
+    /// two parts.
     pub(crate) fn with_other_key(mut self) -> Model {
         let key = Key::bind(self.key.owner, self.key.witness, "a").unwrap();
         let request = Request {
@@ -245,7 +247,7 @@
         self
     }
 
-    /// Every step that can be taken now, with the state after it.
+    /// Returns every possible step with its resulting state.
     pub(crate) fn steps(&self) -> Vec<(Step, Model)> {
         let mut steps = Vec::new();
         if self.violation.is_some() {
@@ -476,8 +478,8 @@
         self.act(host, actions);
     }
 
-    /// A new process in the host's place: another incarnation, nothing kept. What it had sent to
-    /// targets may still run.
+    /// Replaces the host's process by a new one: another incarnation, without records. Requests
+    /// that the old process dispatched may still run.
     fn restart(&mut self, host: usize) {
         self.budget.restarts[host] -= 1;
         let incarnation = self.incarnation(host) + 10;
@@ -485,7 +487,7 @@
             ledger: Ledger::open(incarnation, self.limits, Duration::ZERO),
             now: Duration::ZERO,
         };
-        // What is under way to the old process can no longer be delivered.
+        // Messages in flight to the old process can no longer be delivered.
         let live = [self.incarnation(OWNER), self.incarnation(WITNESS)];
         self.net.retain(|(to, ..)| live.contains(to));
     }
--- a/crates/once/tests/sim/matrix.rs
+++ b/crates/once/tests/sim/matrix.rs
@@ -1,4 +1,4 @@
-//! The fault matrix: each fault at each step of a keyed request, and what its caller gets.
+//! The fault matrix: each fault at each step of a keyed request, with the result for its caller.
 
 use std::{fmt::Write, time::Duration};
 
@@ -6,7 +6,9 @@
 
 use super::{Delivery, Event, Packet, Sim, Target, call::Reply};
 
-/// Where a fault strikes: as the first message of this kind goes out, or at a moment.
+/// Step at which a fault is injected: the first message of this kind, or the end of an epoch.
+///
+/// The names of the variants are printed in the table of the notes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Step {
     Request,
@@ -24,7 +26,7 @@
     EpochEnd,
 }
 
-/// What goes wrong.
+/// Injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Fault {
     Lost,
@@ -45,18 +47,18 @@
     CallerTurns,
 }
 
-/// What leads to the steps.
+/// Sequence of events that leads to the steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scenario {
-    /// A request to the owner that is claimed, sent and answered.
+    /// A request to the owner is claimed, dispatched and answered.
     Plain,
-    /// The caller's first attempt, at the witness, is lost; so are the owner's claims.
+    /// The caller's first attempt, at the witness, and the owner's claims are lost.
     Closing,
-    /// The request takes longer than the caller waits; the caller turns to the witness.
+    /// The request takes longer than the caller's timeout; the caller retries at the witness.
     LongRun,
-    /// The answer is lost and the owner is stopped as planned before the caller asks again.
+    /// The answer is lost, and the owner shuts down gracefully before the caller's retry.
     OwnerStops,
-    /// The same with a witness that took the request.
+    /// Like `OwnerStops`, but the witness runs the request and shuts down.
     WitnessStops,
     /// The epoch ends while the request runs.
     EpochEnds,
@@ -124,7 +126,7 @@
 const OWNER: usize = 0;
 const WITNESS: usize = 1;
 const PAUSE: Duration = Duration::from_secs(5);
-/// Longer than the epochs held.
+/// Longer than the retained epochs.
 const LONG_PAUSE: Duration = Duration::from_secs(50);
 const LATE: Duration = Duration::from_secs(4);
 const LONG_WORK: Duration = Duration::from_secs(3);
@@ -145,33 +147,33 @@
     }
 }
 
-/// Whether a fault can strike at a step.
+/// Returns whether a fault can be injected at a step.
 pub(crate) fn applies(step: Step, fault: Fault) -> bool {
     let connection = matches!(step, Step::Send | Step::TargetAnswer | Step::Answer);
     match fault {
-        // One connection carries a request and its answer once.
+        // A connection carries a request and its answer once.
         Fault::Doubled => !connection && step != Step::EpochEnd,
         Fault::Lost | Fault::Late => step != Step::EpochEnd,
-        // The targets have done their part by then.
+        // After the dispatch, a fault of the target comes too late.
         Fault::TargetRefuses | Fault::TargetDies | Fault::TargetKilled => step <= Step::Send,
         _ => true,
     }
 }
 
-/// What came of a request.
+/// Result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Cell {
-    /// What the caller has in the end.
+    /// Final result for the caller.
     pub(crate) end: &'static str,
     pub(crate) runs: u32,
     pub(crate) attempts: usize,
-    /// Broken promises, of this call and the one beside it.
+    /// Violated invariants of this call and the second one.
     pub(crate) violations: Vec<&'static str>,
-    /// Faults that did strike.
+    /// Number of injected faults.
     pub(crate) fault_hits: usize,
 }
 
-/// Plays a story with faults.
+/// Runs a scenario with faults.
 pub(crate) fn run(scenario: Scenario, faults: &[(Step, Fault)]) -> Cell {
     let mut sim = Sim::open(2, limits(scenario), fault_injector(scenario, faults));
     let first = match scenario {
@@ -190,7 +192,7 @@
         _ => None,
     };
     if let Some(host) = stopping {
-        // A key of the same binding is used for the first time after the stop.
+        // Another key of the same binding is used for the first time after the stop.
         let role = 1 - host;
         sim.at(STOP, Event::Stop(host));
         sim.at(EXIT, Event::Exit(host));
@@ -229,7 +231,7 @@
     }
 }
 
-/// Strikes with each fault once, as the first message of its step goes out.
+/// Injects each fault once, with the first message of its step.
 fn fault_injector(scenario: Scenario, faults: &[(Step, Fault)]) -> super::Faults {
     let mut left = faults.to_vec();
     let mut lost_request = false;
@@ -251,7 +253,7 @@
         }
         let mut target = None;
         left.retain(|(at, fault)| {
-            // A fault of the targets strikes with the first send after its step has come.
+            // A fault of a target applies to the first request sent to a target after its step.
             let hit = step == Some(*at);
             if hit {
                 sim.fault_hits += 1;
@@ -329,7 +331,7 @@
     }
 }
 
-/// The matrix as Markdown, steps down and faults across the columns of several tables.
+/// Formats the matrix as Markdown tables, with a row for each step and a column for each fault.
 pub(crate) fn markdown() -> String {
     let mut text = String::new();
     for faults in FAULTS.chunks(4) {
