--- a/crates/once/src/ledger/handover.rs
+++ b/crates/once/src/ledger/handover.rs
@@ -310,8 +310,8 @@
         let peer = self.peers.entry(from).or_default();
         peer.updated_at = clock;
         peer.received_parts.insert(part);
-        let held = u32::try_from(peer.received_parts.len()).unwrap_or(u32::MAX);
-        if held >= parts || self.limits.faults.first_part {
+        let received = u32::try_from(peer.received_parts.len()).unwrap_or(u32::MAX);
+        if received >= parts || self.limits.faults.first_part {
             peer.handed_over = Some((first_epoch, last_epoch));
             self.on_handover_complete(from, out);
         }
--- a/crates/once/src/ledger/resolve.rs
+++ b/crates/once/src/ledger/resolve.rs
@@ -73,8 +73,8 @@
         out: &mut Vec<Action>,
     ) {
         self.notify_peer(key, record, EndKind::Closed, out);
-        let took = peer == PeerStatus::Claimed;
-        if !took {
+        let peer_claimed = peer == PeerStatus::Claimed;
+        if !peer_claimed {
             self.refuse_closed(key, record, out);
         }
         if record.waiters.is_empty() {
@@ -82,7 +82,7 @@
         } else if self.is_gone(self.peer_of(key)) {
             self.refuse_timeout(record, out);
         } else if record.pending.is_none() {
-            let request = if took {
+            let request = if peer_claimed {
                 PeerRequest::Answer
             } else {
                 PeerRequest::Close
--- a/crates/once/src/record.rs
+++ b/crates/once/src/record.rs
@@ -44,7 +44,7 @@
     Unknown,
     /// The peer did not run the request and never will.
     WillNotRun,
-    /// The peer took the request to run it.
+    /// The peer accepted the request to run it.
     Claimed,
 }
 
