--- a/crates/once/src/ledger/owner.rs
+++ b/crates/once/src/ledger/owner.rs
@@ -1,11 +1,11 @@
-//! The owner's side: answers to its claims and closes.
+//! Owner of a key: answers to its claim and close requests.
 
 use dunlinrock_schema::once::{Closing, Verdict};
 
 use super::{Ledger, Role};
 use crate::{
     Action, Key,
-    record::{Other, Record, State},
+    record::{PeerStatus, Record, State},
 };
 
 impl Ledger {
@@ -22,7 +22,8 @@
         self.put(key.clone(), record);
     }
 
-    /// Takes the witness's word on a claim; anything but a grant closes the key for good.
+    /// Applies the witness's verdict on a claim; any verdict but a grant closes the key
+    /// permanently.
     fn end_claim(
         &mut self,
         key: &Key,
@@ -33,25 +34,25 @@
         record.pending = None;
         match verdict {
             Verdict::Granted => self.on_grant(key, record, out),
-            Verdict::Taken => self.close_as(key, record, Other::Took, out),
-            Verdict::Closed => self.close_as(key, record, Other::Never, out),
-            Verdict::Ended | Verdict::Full => self.close_as(key, record, Other::Unsure, out),
+            Verdict::Taken => self.close(key, record, PeerStatus::Claimed, out),
+            Verdict::Closed => self.close(key, record, PeerStatus::WillNotRun, out),
+            Verdict::Ended | Verdict::Full => self.close(key, record, PeerStatus::Unknown, out),
         }
     }
 
-    /// Sends the request, or closes the key where nobody waits whose request could be sent. The
-    /// witness never runs what it granted, so that the key is then dead.
+    /// Dispatches the request, or closes the key if no attempt waits. The witness never runs a
+    /// request whose claim it granted, so the key is then permanently closed.
     pub(super) fn on_grant(&mut self, key: &Key, record: &mut Record, out: &mut Vec<Action>) {
         if record.waiters.is_empty() {
-            self.close_as(key, record, Other::Never, out);
+            self.close(key, record, PeerStatus::WillNotRun, out);
         } else {
-            self.send(key, record, out);
+            self.dispatch(key, record, out);
         }
     }
 
-    fn close_as(&mut self, key: &Key, record: &mut Record, other: Other, out: &mut Vec<Action>) {
-        record.state = State::Closed(other);
-        self.settle(key, record, out);
+    fn close(&mut self, key: &Key, record: &mut Record, peer: PeerStatus, out: &mut Vec<Action>) {
+        record.state = State::Closed(peer);
+        self.resolve(key, record, out);
     }
 
     pub(super) fn on_close_answer(&mut self, key: &Key, closing: Closing, out: &mut Vec<Action>) {
@@ -61,7 +62,7 @@
         let Some(mut record) = self.table.take(key) else {
             return;
         };
-        if record.state == State::Closed(Other::Unsure) {
+        if record.state == State::Closed(PeerStatus::Unknown) {
             self.end_close(key, &mut record, closing, out);
         }
         self.put(key.clone(), record);
@@ -76,9 +77,9 @@
     ) {
         record.pending = None;
         match closing {
-            Closing::Closed => self.close_as(key, record, Other::Never, out),
-            Closing::Taken => self.close_as(key, record, Other::Took, out),
-            Closing::Unknown => self.refuse_silent(record, out),
+            Closing::Closed => self.close(key, record, PeerStatus::WillNotRun, out),
+            Closing::Taken => self.close(key, record, PeerStatus::Claimed, out),
+            Closing::Unknown => self.refuse_timeout(record, out),
         }
     }
 }
