--- a/crates/cli/src/commands/store.rs
+++ b/crates/cli/src/commands/store.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dunlinrock_node::{
-    operate::{self, InForce},
+    operate::{self, ActiveConfig},
     store::{Store, StoreError},
 };
 
@@ -29,10 +29,10 @@
 }
 
 /// Reads what is in force.
-pub(crate) async fn read(store: &Store) -> Result<Option<InForce>, Failure> {
+pub(crate) async fn read(store: &Store) -> Result<Option<ActiveConfig>, Failure> {
     operate::read(store).await.map_err(|e| {
         let exit = match e.downcast_ref::<StoreError>() {
-            Some(StoreError::Away { .. } | StoreError::Lost { .. }) => Exit::Away,
+            Some(StoreError::Unavailable { .. } | StoreError::Indeterminate { .. }) => Exit::Away,
             _ => Exit::Failed,
         };
         Failure::open(exit, format!("{e:#}"))
@@ -40,7 +40,7 @@
 }
 
 /// Reads what is in force, where there is something.
-pub(crate) async fn read_some(args: &args::Store) -> Result<InForce, Failure> {
+pub(crate) async fn read_some(args: &args::Store) -> Result<ActiveConfig, Failure> {
     let found = read(&open(args)?).await?;
     found.ok_or_else(|| {
         let message = format!(
--- a/crates/edge/src/control/changes.rs
+++ b/crates/edge/src/control/changes.rs
@@ -4,7 +4,7 @@
 
 use dunlinrock_node::{
     clock::{millis, since_boot},
-    wire::{Client, Failure, Flow, PackError, pack, unpack},
+    wire::{Client, ClientError, CodecError, StreamTimeouts, pack, unpack},
 };
 use http::{Request, StatusCode};
 use http_body_util::Full;
@@ -83,11 +83,11 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum AskError {
     #[error(transparent)]
-    Call(#[from] Failure),
+    Call(#[from] ClientError),
     #[error("status {0}")]
     Status(StatusCode),
     #[error(transparent)]
-    Pack(#[from] PackError),
+    Pack(#[from] CodecError),
     #[error(transparent)]
     Unasked(#[from] http::Error),
 }
@@ -107,13 +107,13 @@
     asked: &Asked,
 ) -> Result<Heard, AskError> {
     let body = pack(asked)?;
-    let flow = Flow {
+    let timeouts = StreamTimeouts {
         head: HOLD + SLACK,
-        pause: PAUSE,
-        whole: WHOLE,
+        idle: PAUSE,
+        total: WHOLE,
     };
     let request = Request::post(format!("http://{address}{PATH}")).body(Full::from(body))?;
-    let answer = client.call_flowing(request, flow).await?;
+    let answer = client.call_streaming(request, timeouts).await?;
     if answer.status != StatusCode::OK {
         return Err(AskError::Status(answer.status));
     }
@@ -165,7 +165,7 @@
     }
 }
 
-async fn tell(shared: &Shared, asked: Asked) -> Result<Told, PackError> {
+async fn tell(shared: &Shared, asked: Asked) -> Result<Told, CodecError> {
     let asked_at = since_boot();
     let mut changed = shared.changed.subscribe();
     let newer = changed.wait_for(|m| m.said > asked.reached || m.version > asked.version);
--- a/crates/edge/src/control/mod.rs
+++ b/crates/edge/src/control/mod.rs
@@ -9,7 +9,7 @@
 
 use std::{net::TcpListener, sync::Arc, thread::JoinHandle, time::Duration};
 
-use dunlinrock_node::serve::{Limits, serve};
+use dunlinrock_node::serve::{ConnectionLimits, serve};
 use tokio::{runtime::Builder, sync::watch};
 use viz::{Router, Tree};
 
@@ -96,7 +96,7 @@
             return;
         }
     };
-    let limits = Limits {
+    let limits = ConnectionLimits {
         connections,
         header_bytes: HEADER_BYTES,
         header_time: HEADER_TIME,
--- a/crates/edge/src/control/tokens.rs
+++ b/crates/edge/src/control/tokens.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use dunlinrock_decide::admit::direct::TokenGrant;
-use dunlinrock_node::wire::{Client, Failure, PackError, pack, unpack};
+use dunlinrock_node::wire::{Client, ClientError, CodecError, pack, unpack};
 use http::{Request, StatusCode};
 use http_body_util::Full;
 use serde::{Deserialize, Serialize};
@@ -32,11 +32,11 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum TokenError {
     #[error(transparent)]
-    Call(#[from] Failure),
+    Call(#[from] ClientError),
     #[error("status {0}: {1}")]
     Status(StatusCode, String),
     #[error(transparent)]
-    Pack(#[from] PackError),
+    Pack(#[from] CodecError),
     #[error(transparent)]
     Unasked(#[from] http::Error),
 }
--- a/crates/edge/src/model/packed.rs
+++ b/crates/edge/src/model/packed.rs
@@ -3,7 +3,7 @@
 use std::io::{Read, Write};
 
 use bytes::Bytes;
-use dunlinrock_node::wire::{PackError, pack, unpack};
+use dunlinrock_node::wire::{CodecError, pack, unpack};
 use flate2::{Compression, read::DeflateDecoder, write::DeflateEncoder};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
@@ -25,7 +25,7 @@
     /// # Errors
     ///
     /// When it cannot be encoded.
-    pub fn pack<T: Serialize>(value: &T) -> Result<Packed, PackError> {
+    pub fn pack<T: Serialize>(value: &T) -> Result<Packed, CodecError> {
         let plain = pack(value)?;
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(&plain)?;
@@ -37,7 +37,7 @@
     /// # Errors
     ///
     /// When it is broken or larger than a host takes.
-    pub fn unpack<T: DeserializeOwned>(&self) -> Result<T, PackError> {
+    pub fn unpack<T: DeserializeOwned>(&self) -> Result<T, CodecError> {
         let mut plain = Vec::new();
         DeflateDecoder::new(&*self.0)
             .take(MOST)
--- a/crates/edge/src/world/mod.rs
+++ b/crates/edge/src/world/mod.rs
@@ -20,7 +20,7 @@
     time::Duration,
 };
 
-use dunlinrock_node::wire::PackError;
+use dunlinrock_node::wire::CodecError;
 
 use self::ending::Pending;
 pub use self::{
@@ -127,7 +127,7 @@
     /// # Errors
     ///
     /// When the version in force cannot be packed.
-    pub fn news(&mut self, held: u64) -> Result<Option<News>, PackError> {
+    pub fn news(&mut self, held: u64) -> Result<Option<News>, CodecError> {
         self.versions.news(held)
     }
 
--- a/crates/edge/src/world/versions.rs
+++ b/crates/edge/src/world/versions.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, sync::Arc};
 
-use dunlinrock_node::wire::PackError;
+use dunlinrock_node::wire::CodecError;
 use serde::{Deserialize, Serialize};
 
 use crate::model::{Config, KeyIndex, Misfit, Packed, Patch, RouteIndex};
@@ -29,7 +29,7 @@
     Misfit(#[from] Misfit),
     /// They cannot be unpacked.
     #[error(transparent)]
-    Pack(#[from] PackError),
+    Pack(#[from] CodecError),
 }
 
 /// A packed patch and where it begins.
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// When the version in force cannot be packed.
-    pub fn news(&mut self, held: u64) -> Result<Option<News>, PackError> {
+    pub fn news(&mut self, held: u64) -> Result<Option<News>, CodecError> {
         let Some(now) = self.now.as_ref().filter(|now| now.version > held) else {
             return Ok(None);
         };
--- a/crates/node/src/dump/mod.rs
+++ b/crates/node/src/dump/mod.rs
@@ -12,7 +12,7 @@
         control, ledger,
         pools::{self, PoolReport},
     },
-    metrics::COUNTS,
+    metrics::COUNTERS,
     ring,
     shared::Shared,
     view::{Member, PoolRoute, View},
@@ -52,7 +52,7 @@
             "grade": format!("{:?}", word.status).to_lowercase(),
             "life_ms": millis(word.ttl),
         })).collect::<Vec<_>>(),
-        "counts": COUNTS
+        "counts": COUNTERS
             .iter()
             .map(|count| (count.name().to_owned(), json!(shared.metrics.total(*count))))
             .collect::<serde_json::Map<_, _>>(),
--- a/crates/node/src/duties/callers/call.rs
+++ b/crates/node/src/duties/callers/call.rs
@@ -14,7 +14,7 @@
 use super::peer;
 use crate::{
     call::{Bounds, Call, answer_fields, read_body, target_fields, timeout_field},
-    metrics::Count,
+    metrics::Counter,
     run::{Links, dispatch, relay, run_keyed},
     shared::Shared,
     wire::{self, Answer, Kind, Trouble},
@@ -24,14 +24,14 @@
 const PREFIX: &str = "/v1/call/";
 
 pub(super) async fn answer(shared: &Arc<Shared>, links: &Links, request: Request) -> Response {
-    shared.metrics.count(Count::Calls);
+    shared.metrics.count(Counter::Calls);
     let since = Instant::now();
     let id: Arc<str> = format!("{:x}-{:x}", shared.me.incarnation, shared.ticket()).into();
     let result = run(shared, links, request, &id).await;
     shared.metrics.time("call.time", since.elapsed());
     match result {
         Ok(answer) => {
-            shared.metrics.count(Count::Answered);
+            shared.metrics.count(Counter::Answered);
             whole(answer, &id)
         }
         Err(trouble) => {
@@ -45,11 +45,11 @@
     }
 }
 
-fn counter(run: Run) -> Count {
+fn counter(run: Run) -> Counter {
     match run {
-        Run::No => Count::NotRun,
-        Run::Unknown => Count::Unknown,
-        Run::Yes => Count::Ran,
+        Run::No => Counter::NotRun,
+        Run::Unknown => Counter::Unknown,
+        Run::Yes => Counter::Ran,
     }
 }
 
--- a/crates/node/src/duties/callers/lookup.rs
+++ b/crates/node/src/duties/callers/lookup.rs
@@ -13,7 +13,7 @@
 
 use super::peer;
 use crate::{
-    metrics::Count,
+    metrics::Counter,
     shared::Shared,
     wire::{Kind, Trouble},
 };
@@ -22,7 +22,7 @@
 const PREFIX: &str = "/v1/hosts/";
 
 pub(super) fn answer(shared: &Shared, request: &Request) -> Response {
-    shared.metrics.count(Count::Lookups);
+    shared.metrics.count(Counter::Lookups);
     match find(shared, request) {
         Ok(response) => response,
         Err(trouble) => trouble.response("-"),
--- a/crates/node/src/duties/callers/mod.rs
+++ b/crates/node/src/duties/callers/mod.rs
@@ -35,10 +35,10 @@
     })
 }
 
-fn limits(shared: &Shared) -> serve::Limits {
+fn limits(shared: &Shared) -> serve::ConnectionLimits {
     let limits = &shared.limits;
     let size = |n: u64| usize::try_from(n).unwrap_or(usize::MAX);
-    serve::Limits {
+    serve::ConnectionLimits {
         connections: size(limits.connections.get()),
         header_bytes: size(limits.header_bytes),
         header_time: Duration::from_millis(limits.header_ms.get()),
--- a/crates/node/src/duties/control/state.rs
+++ b/crates/node/src/duties/control/state.rs
@@ -38,7 +38,7 @@
         ledger,
         pools::{self, PoolReport},
     },
-    metrics::Count,
+    metrics::Counter,
     shared::Shared,
     store::{HostList, Store},
     view::Member,
@@ -354,7 +354,7 @@
             revision = next.revision, apply = &*switch.entry.id, by = &*switch.entry.by;
             "configuration in force"
         );
-        self.shared.metrics.count(Count::Revisions);
+        self.shared.metrics.count(Counter::Revisions);
         self.membership.set_revision(next.revision);
         self.in_force = next;
         self.steering.limit(&self.in_force.config);
--- a/crates/node/src/duties/control/tasks.rs
+++ b/crates/node/src/duties/control/tasks.rs
@@ -24,7 +24,7 @@
         ledger::{self, LedgerReport},
         pools::{self, PoolReport},
     },
-    metrics::{Count, Metrics},
+    metrics::{Counter, Metrics},
     ring,
     store::{HostList, ROOT_KEY, Store, Versioned, perform},
     view::Member,
@@ -127,7 +127,7 @@
             // A version that no key has: the first watch answers at once.
             let mut known = u64::MAX;
             while on.wait_for(|on| *on).await.is_ok() {
-                caller.metrics.count(Count::StoreCalls);
+                caller.metrics.count(Counter::StoreCalls);
                 match caller.store.watch(ROOT_KEY, known, WATCH_TIME).await {
                     Ok(Some(found)) => {
                         known = found.version;
@@ -135,7 +135,7 @@
                     }
                     Ok(None) => {}
                     Err(e) => {
-                        caller.metrics.count(Count::StoreFailures);
+                        caller.metrics.count(Counter::StoreFailures);
                         log::debug!(error:% = e; "the root was not watched");
                         tokio::time::sleep(STORE_PAUSE).await;
                     }
@@ -156,11 +156,11 @@
     pub(super) fn read_root(&self) {
         let caller = self.clone();
         tokio::spawn(async move {
-            caller.metrics.count(Count::StoreCalls);
+            caller.metrics.count(Counter::StoreCalls);
             match caller.store.get(ROOT_KEY).await {
                 Ok(found) => caller.bring_root(&found),
                 Err(e) => {
-                    caller.metrics.count(Count::StoreFailures);
+                    caller.metrics.count(Counter::StoreFailures);
                     log::debug!(error:% = e; "the root was not read");
                     caller.bring(Done::Failed(Source::Store));
                 }
@@ -173,7 +173,7 @@
         let caller = self.clone();
         tokio::spawn(async move {
             let reads = hashes.into_iter().map(|hash| {
-                caller.metrics.count(Count::StoreCalls);
+                caller.metrics.count(Counter::StoreCalls);
                 perform(&caller.store, StoreOp::ReadPiece(hash))
             });
             let mut pieces = Vec::new();
@@ -192,7 +192,7 @@
     /// Sends a control message and brings its answer back, if it has one.
     pub(super) fn send(&self, to: &Arc<str>, address: SocketAddr, message: &Message) {
         let frame = coord_wire::encode(message);
-        self.metrics.add(Count::ControlOut, frame.len() as u64);
+        self.metrics.add(Counter::ControlOut, frame.len() as u64);
         let asks = matches!(message, Message::RootAsk(_) | Message::PieceAsk(_));
         let (caller, name) = (self.clone(), Arc::clone(to));
         tokio::spawn(async move {
@@ -204,7 +204,7 @@
                 Ok(answer) if answer.status == StatusCode::OK && !answer.body.is_empty() => {
                     caller
                         .metrics
-                        .add(Count::ControlIn, answer.body.len() as u64);
+                        .add(Counter::ControlIn, answer.body.len() as u64);
                     caller.bring(Done::Answer(name, answer.body));
                 }
                 Ok(answer) if answer.status.is_success() && !asks => {}
@@ -221,7 +221,7 @@
     /// Asks another host for its shares and for room.
     pub(super) fn steer(&self, to: Arc<Member>, ask: &SteerAsk) {
         let frame = coord_wire::encode(ask);
-        self.metrics.add(Count::SteerOut, frame.len() as u64);
+        self.metrics.add(Counter::SteerOut, frame.len() as u64);
         let caller = self.clone();
         tokio::spawn(async move {
             let sent = caller
@@ -229,7 +229,9 @@
                 .post(to.peers, super::STEER_PATH, frame, SEND_TIME)
                 .await;
             let Ok(answer) = sent else { return };
-            caller.metrics.add(Count::SteerIn, answer.body.len() as u64);
+            caller
+                .metrics
+                .add(Counter::SteerIn, answer.body.len() as u64);
             if answer.status == StatusCode::OK
                 && let Ok(give) = coord_wire::decode(&answer.body)
             {
--- a/crates/node/src/duties/ledger/post.rs
+++ b/crates/node/src/duties/ledger/post.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use dunlinrock_coord::once::Message;
 
-use crate::wire::{self, Client, PackError};
+use crate::wire::{self, Client, CodecError};
 
 /// Path on which hosts take ledger messages.
 pub const LEDGER_PATH: &str = "/peer/v1/ledger";
@@ -14,7 +14,7 @@
 
 /// Sends a message without waiting for it to arrive.
 pub(super) fn send(client: &Client, to: SocketAddr, from: u64, message: &Message) {
-    let frame = match wire::pack(message).and_then(|body| wire::join(&from, &body)) {
+    let frame = match wire::pack(message).and_then(|body| wire::join_frame(&from, &body)) {
         Ok(frame) => frame,
         Err(e) => {
             log::error!(error:% = e; "a ledger message could not be written");
@@ -30,7 +30,7 @@
 }
 
 /// Reads a message and the incarnation that says it sent it.
-pub fn read_message(frame: &Bytes) -> Result<(u64, Message), PackError> {
-    let (from, body) = wire::split::<u64>(frame)?;
+pub fn read_message(frame: &Bytes) -> Result<(u64, Message), CodecError> {
+    let (from, body) = wire::split_frame::<u64>(frame)?;
     Ok((from, wire::unpack(&body)?))
 }
--- a/crates/node/src/duties/peers/handlers.rs
+++ b/crates/node/src/duties/peers/handlers.rs
@@ -17,7 +17,7 @@
     call::{Bounds, Call, read_body},
     dump,
     duties::{control, ledger, pools::PoolId},
-    metrics::Count,
+    metrics::Counter,
     run::{self, Links, read_call, run_keyed, write_answer},
     shared::Shared,
     wire::{Answer, Kind, Trouble},
@@ -38,7 +38,7 @@
         Ok(taken) => taken,
         Err(response) => return response,
     };
-    shared.metrics.count(Count::Runs);
+    shared.metrics.count(Counter::Runs);
     let view = shared.view.load_full();
     let result = match view.pools.get(&pool) {
         Some(route) if view.ready => run::run(shared, links, route, &call).await,
@@ -88,10 +88,10 @@
         .get(&sender)
         .map(|member| member.peers.ip());
     if known.is_none() || known != from.map(|address| address.ip()) {
-        shared.metrics.count(Count::Strangers);
+        shared.metrics.count(Counter::Strangers);
         return StatusCode::FORBIDDEN.into_response();
     }
-    shared.metrics.count(Count::LedgerMessages);
+    shared.metrics.count(Counter::LedgerMessages);
     match shared.ledger.push(ledger::Input::Hear {
         from: sender,
         message,
@@ -104,7 +104,7 @@
 
 /// Takes in a message for the control duty and gives its answer back.
 pub(super) async fn control(shared: &Shared, request: Request) -> Response {
-    let counts = (Count::ControlIn, Count::ControlOut);
+    let counts = (Counter::ControlIn, Counter::ControlOut);
     ask(shared, request, counts, |from, frame, reply| {
         control::Input::Hear { from, frame, reply }
     })
@@ -113,7 +113,7 @@
 
 /// Takes in an ask for shares and room.
 pub(super) async fn steer(shared: &Shared, request: Request) -> Response {
-    let counts = (Count::SteerIn, Count::SteerOut);
+    let counts = (Counter::SteerIn, Counter::SteerOut);
     ask(shared, request, counts, |from, frame, reply| {
         control::Input::Steer { from, frame, reply }
     })
@@ -123,7 +123,7 @@
 async fn ask(
     shared: &Shared,
     request: Request,
-    counts: (Count, Count),
+    counts: (Counter, Counter),
     input: impl FnOnce(IpAddr, Bytes, oneshot::Sender<control::Reply>) -> control::Input,
 ) -> Response {
     let Some(from) = peer(&request) else {
@@ -132,7 +132,7 @@
     let Ok(frame) = read_body(request.into_body(), bounds(CONTROL_BYTES)).await else {
         return StatusCode::BAD_REQUEST.into_response();
     };
-    shared.metrics.count(Count::ControlMessages);
+    shared.metrics.count(Counter::ControlMessages);
     shared.metrics.add(counts.0, frame.len() as u64);
     let (reply, answer) = oneshot::channel();
     if shared.control.push(input(from.ip(), frame, reply)).is_err() {
@@ -145,7 +145,7 @@
         }
         Ok(Ok(control::Reply::Taken)) => StatusCode::NO_CONTENT.into_response(),
         Ok(Ok(control::Reply::Stranger)) => {
-            shared.metrics.count(Count::Strangers);
+            shared.metrics.count(Counter::Strangers);
             StatusCode::FORBIDDEN.into_response()
         }
         Ok(Ok(control::Reply::Unreadable)) => StatusCode::BAD_REQUEST.into_response(),
@@ -171,7 +171,7 @@
         .values()
         .any(|member| Some(member.peers.ip()) == from)
     {
-        shared.metrics.count(Count::Strangers);
+        shared.metrics.count(Counter::Strangers);
         return Err(StatusCode::FORBIDDEN.into_response());
     }
     let size = usize::try_from(shared.limits.body_bytes.get()).unwrap_or(usize::MAX);
--- a/crates/node/src/duties/peers/mod.rs
+++ b/crates/node/src/duties/peers/mod.rs
@@ -42,7 +42,7 @@
                 return;
             }
         };
-        let limits = serve::Limits {
+        let limits = serve::ConnectionLimits {
             connections: CONNECTIONS,
             header_bytes: HEADER_BYTES,
             header_time: HEADER_TIME,
--- a/crates/node/src/metrics/count.rs
+++ b/crates/node/src/metrics/count.rs
@@ -2,7 +2,7 @@
 
 /// A counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Count {
+pub enum Counter {
     /// Look-ups answered.
     Lookups,
     /// Calls taken in.
@@ -40,47 +40,47 @@
 }
 
 /// All counters, in the order of their values.
-pub const COUNTS: [Count; 17] = [
-    Count::Lookups,
-    Count::Calls,
-    Count::Answered,
-    Count::NotRun,
-    Count::Unknown,
-    Count::Ran,
-    Count::Runs,
-    Count::LedgerMessages,
-    Count::ControlMessages,
-    Count::ControlIn,
-    Count::ControlOut,
-    Count::SteerIn,
-    Count::SteerOut,
-    Count::Strangers,
-    Count::StoreCalls,
-    Count::StoreFailures,
-    Count::Revisions,
+pub const COUNTERS: [Counter; 17] = [
+    Counter::Lookups,
+    Counter::Calls,
+    Counter::Answered,
+    Counter::NotRun,
+    Counter::Unknown,
+    Counter::Ran,
+    Counter::Runs,
+    Counter::LedgerMessages,
+    Counter::ControlMessages,
+    Counter::ControlIn,
+    Counter::ControlOut,
+    Counter::SteerIn,
+    Counter::SteerOut,
+    Counter::Strangers,
+    Counter::StoreCalls,
+    Counter::StoreFailures,
+    Counter::Revisions,
 ];
 
-impl Count {
+impl Counter {
     /// Name of the metric, after the prefix of the settings.
     pub fn name(self) -> &'static str {
         match self {
-            Count::Lookups => "lookups",
-            Count::Calls => "calls",
-            Count::Answered => "calls.answered",
-            Count::NotRun => "calls.not_run",
-            Count::Unknown => "calls.unknown",
-            Count::Ran => "calls.ran",
-            Count::Runs => "peer.runs",
-            Count::LedgerMessages => "peer.ledger",
-            Count::ControlMessages => "peer.control",
-            Count::ControlIn => "peer.control_in_bytes",
-            Count::ControlOut => "peer.control_out_bytes",
-            Count::SteerIn => "peer.steer_in_bytes",
-            Count::SteerOut => "peer.steer_out_bytes",
-            Count::Strangers => "peer.strangers",
-            Count::StoreCalls => "store.calls",
-            Count::StoreFailures => "store.failures",
-            Count::Revisions => "revisions",
+            Counter::Lookups => "lookups",
+            Counter::Calls => "calls",
+            Counter::Answered => "calls.answered",
+            Counter::NotRun => "calls.not_run",
+            Counter::Unknown => "calls.unknown",
+            Counter::Ran => "calls.ran",
+            Counter::Runs => "peer.runs",
+            Counter::LedgerMessages => "peer.ledger",
+            Counter::ControlMessages => "peer.control",
+            Counter::ControlIn => "peer.control_in_bytes",
+            Counter::ControlOut => "peer.control_out_bytes",
+            Counter::SteerIn => "peer.steer_in_bytes",
+            Counter::SteerOut => "peer.steer_out_bytes",
+            Counter::Strangers => "peer.strangers",
+            Counter::StoreCalls => "store.calls",
+            Counter::StoreFailures => "store.failures",
+            Counter::Revisions => "revisions",
         }
     }
 }
--- a/crates/node/src/metrics/mod.rs
+++ b/crates/node/src/metrics/mod.rs
@@ -16,7 +16,7 @@
 
 use cadence::{Counted, Gauged, QueuingMetricSink, StatsdClient, Timed, UdpMetricSink};
 
-pub use count::{COUNTS, Count};
+pub use count::{COUNTERS, Counter};
 
 /// Datagrams that may wait to be sent; more are dropped.
 const QUEUE: usize = 8192;
@@ -38,7 +38,7 @@
     /// Opens metrics that are sent to `receiver`; without one they are only counted.
     pub fn open(prefix: &str, receiver: Option<SocketAddr>) -> anyhow::Result<Metrics> {
         let client = receiver.map(|to| client(prefix, to)).transpose()?;
-        let zeros = || COUNTS.iter().map(|_| AtomicU64::new(0)).collect();
+        let zeros = || COUNTERS.iter().map(|_| AtomicU64::new(0)).collect();
         Ok(Metrics {
             inner: Arc::new(Inner {
                 client,
@@ -49,19 +49,19 @@
     }
 
     /// Counts one.
-    pub fn count(&self, count: Count) {
+    pub fn count(&self, count: Counter) {
         self.add(count, 1);
     }
 
     /// Counts several.
-    pub fn add(&self, count: Count, n: u64) {
+    pub fn add(&self, count: Counter, n: u64) {
         if let Some(total) = self.inner.totals.get(count as usize) {
             total.fetch_add(n, Ordering::Relaxed);
         }
     }
 
     /// Total of a counter since the start.
-    pub fn total(&self, count: Count) -> u64 {
+    pub fn total(&self, count: Counter) -> u64 {
         self.inner
             .totals
             .get(count as usize)
@@ -88,7 +88,11 @@
         let Some(client) = &self.inner.client else {
             return;
         };
-        for ((count, total), sent) in COUNTS.iter().zip(&self.inner.totals).zip(&self.inner.sent) {
+        for ((count, total), sent) in COUNTERS
+            .iter()
+            .zip(&self.inner.totals)
+            .zip(&self.inner.sent)
+        {
             let total = total.load(Ordering::Relaxed);
             let before = sent.swap(total, Ordering::Relaxed);
             if let Ok(n @ 1..) = i64::try_from(total.saturating_sub(before)) {
--- a/crates/node/src/operate/apply.rs
+++ b/crates/node/src/operate/apply.rs
@@ -19,7 +19,7 @@
     state = if *.in_doubt { "may have taken effect or may yet: look for its id with `history`" }
         else { "has not taken effect" }
 )]
-pub struct Doubt {
+pub struct UncertainApply {
     /// Id of the apply.
     pub id: Arc<str>,
     /// Time it was tried for.
@@ -32,13 +32,13 @@
 ///
 /// # Errors
 ///
-/// [`Doubt`] where the store did not answer in time.
+/// [`UncertainApply`] where the store did not answer in time.
 pub async fn apply(
     store: &Store,
     config: &Config,
     intent: ApplyRequest,
     time: Duration,
-) -> Result<ApplyOutcome, Doubt> {
+) -> Result<ApplyOutcome, UncertainApply> {
     let id = Arc::clone(&intent.id);
     let origin = Instant::now();
     let end = origin + time;
@@ -61,7 +61,7 @@
             () = sleep_until(end) => Vec::new(),
         };
         if Instant::now() >= end && apply.outcome().is_none() {
-            return Err(Doubt {
+            return Err(UncertainApply {
                 id,
                 time,
                 in_doubt: apply.in_doubt(),
--- a/crates/node/src/operate/mod.rs
+++ b/crates/node/src/operate/mod.rs
@@ -4,6 +4,6 @@
 mod read;
 
 pub use self::{
-    apply::{Doubt, apply},
-    read::{InForce, read},
+    apply::{UncertainApply, apply},
+    read::{ActiveConfig, read},
 };
--- a/crates/node/src/operate/read.rs
+++ b/crates/node/src/operate/read.rs
@@ -12,7 +12,7 @@
 
 /// The configuration in force, with its root.
 #[derive(Clone, Debug)]
-pub struct InForce {
+pub struct ActiveConfig {
     /// The root.
     pub root: Root,
     /// The whole configuration.
@@ -24,14 +24,14 @@
 /// # Errors
 ///
 /// When the store does not answer, or holds something that cannot be read.
-pub async fn read(store: &Store) -> anyhow::Result<Option<InForce>> {
+pub async fn read(store: &Store) -> anyhow::Result<Option<ActiveConfig>> {
     let found = store.get(ROOT_KEY).await?;
     let Some(value) = found.value else {
         return Ok(None);
     };
     let root: Root = wire::decode(&value).context("the root in the store cannot be read")?;
     let config = fetch(store, &root, &mut Pieces::new()).await?;
-    Ok(Some(InForce { root, config }))
+    Ok(Some(ActiveConfig { root, config }))
 }
 
 /// Fetches the pieces of a root that `held` lacks and joins them.
--- a/crates/node/src/run/forward.rs
+++ b/crates/node/src/run/forward.rs
@@ -23,7 +23,7 @@
     duties::pools::PoolId,
     shared::Shared,
     view::{Member, PoolRoute},
-    wire::{self, Answer, Failure, Kind, PackError, Trouble},
+    wire::{self, Answer, ClientError, CodecError, Kind, Trouble},
 };
 
 /// Path on which hosts take requests for the pools they own.
@@ -72,7 +72,7 @@
     call: &Call,
 ) -> (Result<Answer, Trouble>, Option<Load>) {
     let time = call.deadline.saturating_duration_since(Instant::now());
-    let frame = match wire::join(&head(domain, call, time), &call.body) {
+    let frame = match wire::join_frame(&head(domain, call, time), &call.body) {
         Ok(frame) => frame,
         Err(e) => return (Err(unsent(&e)), None),
     };
@@ -82,7 +82,7 @@
         }
         Ok(answer) => refused(owner, &answer),
         Err(e) if e.is_unsent() => unsent(&e),
-        Err(e @ Failure::Timeout(_)) => Trouble::unknown(
+        Err(e @ ClientError::Timeout(_)) => Trouble::unknown(
             Kind::DeadlinePassed,
             format!("handed to {}: {e}", owner.name),
         ),
@@ -137,7 +137,7 @@
 
 /// Reads a request that another host handed over.
 pub fn read_call(frame: &Bytes) -> anyhow::Result<(PoolId, Call)> {
-    let (head, body): (RunHead, Bytes) = wire::split(frame)?;
+    let (head, body): (RunHead, Bytes) = wire::split_frame(frame)?;
     let pool = PoolId {
         service: Arc::clone(&head.service),
         domain: head.domain,
@@ -169,7 +169,7 @@
 pub fn write_answer(
     result: &Result<Answer, Trouble>,
     load: Option<Load>,
-) -> Result<Vec<u8>, PackError> {
+) -> Result<Vec<u8>, CodecError> {
     let load = load.as_ref().map(write_load);
     match result {
         Ok(answer) => {
@@ -178,7 +178,7 @@
                 status: answer.status.as_u16(),
                 fields,
             };
-            wire::join(
+            wire::join_frame(
                 &RunAnswer {
                     end: RunEnd::Answer(head),
                     load,
@@ -188,19 +188,19 @@
         }
         Err(trouble) => {
             let end = RunEnd::Trouble(write_trouble(trouble));
-            wire::join(&RunAnswer { end, load }, &[])
+            wire::join_frame(&RunAnswer { end, load }, &[])
         }
     }
 }
 
 /// Reads what [`write_answer`] wrote.
-pub fn read_answer(frame: &Bytes) -> Result<(Result<Answer, Trouble>, Option<Load>), PackError> {
-    let (head, body): (RunAnswer, Bytes) = wire::split(frame)?;
+pub fn read_answer(frame: &Bytes) -> Result<(Result<Answer, Trouble>, Option<Load>), CodecError> {
+    let (head, body): (RunAnswer, Bytes) = wire::split_frame(frame)?;
     let result = match head.end {
         RunEnd::Answer(head) => Ok(Answer {
             status: StatusCode::from_u16(head.status)
-                .map_err(|_| PackError::Frame("its status is none"))?,
-            headers: read_fields(&head.fields).map_err(|_| PackError::Frame("a field is none"))?,
+                .map_err(|_| CodecError::Frame("its status is none"))?,
+            headers: read_fields(&head.fields).map_err(|_| CodecError::Frame("a field is none"))?,
             body,
         }),
         RunEnd::Trouble(trouble) => Err(read_trouble(&trouble)),
--- a/crates/node/src/run/target.rs
+++ b/crates/node/src/run/target.rs
@@ -10,7 +10,7 @@
 use crate::{
     call::Call,
     clock::millis,
-    wire::{self, Answer, Client, Failure, Part},
+    wire::{self, Answer, Client, ClientError, Part},
 };
 
 /// Time in which a target that broke off must take a connection to count as alive.
@@ -45,10 +45,10 @@
     match client.call(request, time).await {
         Ok(answer) => answered(answer),
         Err(e) if e.is_unsent() => failed(Outcome::Refused, e.to_string()),
-        Err(e @ Failure::Timeout(_)) => failed(Outcome::TimedOut, e.to_string()),
-        Err(e @ Failure::Large(_)) => failed(Outcome::Failed, e.to_string()),
+        Err(e @ ClientError::Timeout(_)) => failed(Outcome::TimedOut, e.to_string()),
+        Err(e @ ClientError::Large(_)) => failed(Outcome::Failed, e.to_string()),
         Err(
-            e @ Failure::Broken {
+            e @ ClientError::Broken {
                 part: Part::Body, ..
             },
         ) => failed(Outcome::Failed, e.to_string()),
--- a/crates/node/src/serve/mod.rs
+++ b/crates/node/src/serve/mod.rs
@@ -20,7 +20,7 @@
 
 /// Limits on the connections of one listener.
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct ConnectionLimits {
     /// Connections served at once; the next waits in the listener's backlog.
     pub connections: usize,
     /// Largest head, in bytes; more is answered 431.
@@ -45,7 +45,7 @@
 pub async fn serve(
     listener: TcpListener,
     tree: Arc<Tree>,
-    limits: Limits,
+    limits: ConnectionLimits,
     mut stop: watch::Receiver<bool>,
 ) -> Result<(), Infallible> {
     let room = Arc::new(Semaphore::new(limits.connections));
@@ -82,7 +82,7 @@
     stream: TcpStream,
     peer: SocketAddr,
     tree: Arc<Tree>,
-    limits: Limits,
+    limits: ConnectionLimits,
     mut stop: watch::Receiver<bool>,
 ) {
     if stream.set_nodelay(true).is_err() {
--- a/crates/node/src/store/list.rs
+++ b/crates/node/src/store/list.rs
@@ -70,7 +70,7 @@
     }
 
     fn failed(&self, detail: &str) -> StoreError {
-        StoreError::Away {
+        StoreError::Unavailable {
             address: self.address,
             detail: format!("list of hosts: {detail}"),
         }
--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -21,9 +21,9 @@
 use crate::wire::{Answer, Client};
 
 /// Version of a key that does not exist.
-pub const ABSENT: u64 = 0;
+pub const NO_VERSION: u64 = 0;
 /// Largest value the store takes, in bytes.
-pub const VALUE_BYTES: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 /// Time beyond a watch's wait after which the watch counts as lost.
 const WATCH_MARGIN: Duration = Duration::from_secs(2);
 
@@ -32,7 +32,7 @@
 pub enum StoreError {
     /// The store did not see the call, or said that it did nothing.
     #[error("the store at {address} is not available: {detail}")]
-    Away {
+    Unavailable {
         /// Address of the store.
         address: SocketAddr,
         /// What was seen.
@@ -40,7 +40,7 @@
     },
     /// The call may have taken effect: its answer was lost.
     #[error("the store at {address} gave no answer; a write may have taken effect: {detail}")]
-    Lost {
+    Indeterminate {
         /// Address of the store.
         address: SocketAddr,
         /// What was seen.
@@ -58,7 +58,7 @@
 
 /// Result of a compare-and-swap that the store answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Swap {
+pub enum SwapResult {
     /// The write took effect; the key's new version.
     Done(u64),
     /// Another version was there; which.
@@ -68,7 +68,7 @@
 /// A value with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Versioned {
-    /// Version of the key; [`ABSENT`] where it does not exist.
+    /// Version of the key; [`NO_VERSION`] where it does not exist.
     pub version: u64,
     /// The value; `None` where the key does not exist.
     pub value: Option<Bytes>,
@@ -88,7 +88,7 @@
     /// after `timeout`.
     pub fn open(address: SocketAddr, prefix: &str, timeout: Duration) -> Store {
         Store {
-            client: Client::open(2 * VALUE_BYTES),
+            client: Client::open(2 * MAX_VALUE_BYTES),
             address,
             prefix: prefix.to_owned(),
             timeout,
@@ -125,8 +125,13 @@
         Ok((found.version != known).then_some(found))
     }
 
-    /// Writes a key where its version is `version` ([`ABSENT`]: where it does not exist).
-    pub async fn swap(&self, key: &str, version: u64, value: Bytes) -> Result<Swap, StoreError> {
+    /// Writes a key where its version is `version` ([`NO_VERSION`]: where it does not exist).
+    pub async fn swap(
+        &self,
+        key: &str,
+        version: u64,
+        value: Bytes,
+    ) -> Result<SwapResult, StoreError> {
         let request = self
             .request(Method::PUT, key)
             .header(header::IF_MATCH, etag(version));
@@ -137,7 +142,7 @@
     }
 
     /// Writes a key whatever its version is.
-    pub async fn put(&self, key: &str, value: Bytes) -> Result<Swap, StoreError> {
+    pub async fn put(&self, key: &str, value: Bytes) -> Result<SwapResult, StoreError> {
         let request = self.request(Method::PUT, key);
         let answer = self
             .send(request.body(Full::new(value)), self.timeout)
@@ -163,7 +168,7 @@
     }
 
     /// Deletes a key where its version is `version`.
-    pub async fn delete(&self, key: &str, version: u64) -> Result<Swap, StoreError> {
+    pub async fn delete(&self, key: &str, version: u64) -> Result<SwapResult, StoreError> {
         let request = self
             .request(Method::DELETE, key)
             .header(header::IF_MATCH, etag(version));
@@ -171,7 +176,7 @@
             .send(request.body(Full::default()), self.timeout)
             .await?;
         if answer.status == StatusCode::NO_CONTENT {
-            return Ok(Swap::Done(ABSENT));
+            return Ok(SwapResult::Done(NO_VERSION));
         }
         self.swapped(&answer)
     }
@@ -213,18 +218,18 @@
                 })
             }
             StatusCode::NOT_FOUND => Ok(Versioned {
-                version: ABSENT,
+                version: NO_VERSION,
                 value: None,
             }),
             other => Err(self.refused(&format!("it answered {other} to a read"))),
         }
     }
 
-    fn swapped(&self, answer: &Answer) -> Result<Swap, StoreError> {
+    fn swapped(&self, answer: &Answer) -> Result<SwapResult, StoreError> {
         match answer.status {
-            StatusCode::PRECONDITION_FAILED => Ok(Swap::Conflict(self.version(answer)?)),
-            StatusCode::NOT_FOUND => Ok(Swap::Conflict(ABSENT)),
-            status if status.is_success() => Ok(Swap::Done(self.version(answer)?)),
+            StatusCode::PRECONDITION_FAILED => Ok(SwapResult::Conflict(self.version(answer)?)),
+            StatusCode::NOT_FOUND => Ok(SwapResult::Conflict(NO_VERSION)),
+            status if status.is_success() => Ok(SwapResult::Done(self.version(answer)?)),
             other => Err(self.refused(&format!("it answered {other} to a write"))),
         }
     }
@@ -239,14 +244,14 @@
     }
 
     fn away(&self, detail: &str) -> StoreError {
-        StoreError::Away {
+        StoreError::Unavailable {
             address: self.address,
             detail: detail.to_owned(),
         }
     }
 
     fn lost(&self, detail: &str) -> StoreError {
-        StoreError::Lost {
+        StoreError::Indeterminate {
             address: self.address,
             detail: detail.to_owned(),
         }
--- a/crates/node/src/store/operations.rs
+++ b/crates/node/src/store/operations.rs
@@ -6,7 +6,7 @@
     root::{StoreOp, StoreReply, VersionedValue},
 };
 
-use super::{ABSENT, Store, StoreError, Swap};
+use super::{NO_VERSION, Store, StoreError, SwapResult};
 
 /// Key of the root.
 pub const ROOT_KEY: &str = "root";
@@ -51,7 +51,7 @@
             StoreReply::Done
         }
         StoreOp::SwapRoot { expect, bytes } => {
-            let version = expect.unwrap_or(ABSENT);
+            let version = expect.unwrap_or(NO_VERSION);
             swapped(
                 store
                     .swap(ROOT_KEY, version, Bytes::copy_from_slice(&bytes))
@@ -72,9 +72,9 @@
     })
 }
 
-fn swapped(swap: Swap) -> StoreReply {
+fn swapped(swap: SwapResult) -> StoreReply {
     match swap {
-        Swap::Done(_) => StoreReply::Done,
-        Swap::Conflict(_) => StoreReply::Conflict,
+        SwapResult::Done(_) => StoreReply::Done,
+        SwapResult::Conflict(_) => StoreReply::Conflict,
     }
 }
--- a/crates/node/src/wire/client.rs
+++ b/crates/node/src/wire/client.rs
@@ -35,7 +35,7 @@
 
 /// A call that gave no whole answer.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum ClientError {
     /// The other side was not reached, or broke off.
     #[error("{part:?} failed: {detail}")]
     Broken {
@@ -55,12 +55,12 @@
     Large(usize),
 }
 
-impl Failure {
+impl ClientError {
     /// Whether the other side certainly never saw the request.
     pub fn is_unsent(&self) -> bool {
         matches!(
             self,
-            Failure::Broken {
+            ClientError::Broken {
                 part: Part::Connect,
                 ..
             }
@@ -74,13 +74,13 @@
 /// narrow link that others use as well takes seconds, and begun anew it takes as long again and fills the
 /// link besides. As long as it goes on, the other side is there; that it has gone shows by a pause.
 #[derive(Clone, Copy, Debug)]
-pub struct Flow {
+pub struct StreamTimeouts {
     /// Until its head.
     pub head: Duration,
     /// Between two pieces of its body.
-    pub pause: Duration,
+    pub idle: Duration,
     /// For all of it, from the head on.
-    pub whole: Duration,
+    pub total: Duration,
 }
 
 /// A whole answer.
@@ -138,27 +138,27 @@
         &self,
         request: Request<Full<Bytes>>,
         time: Duration,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Answer, ClientError> {
         match tokio::time::timeout(time, self.answer(request)).await {
             Ok(result) => result,
-            Err(_) => Err(Failure::Timeout(time)),
+            Err(_) => Err(ClientError::Timeout(time)),
         }
     }
 
     /// Sends a request and waits for its whole answer for as long as it goes on.
-    pub async fn call_flowing(
+    pub async fn call_streaming(
         &self,
         request: Request<Full<Bytes>>,
-        flow: Flow,
-    ) -> Result<Answer, Failure> {
-        let response = tokio::time::timeout(flow.head, self.inner.request(request))
+        timeouts: StreamTimeouts,
+    ) -> Result<Answer, ClientError> {
+        let response = tokio::time::timeout(timeouts.head, self.inner.request(request))
             .await
-            .map_err(|_| Failure::Timeout(flow.head))?
+            .map_err(|_| ClientError::Timeout(timeouts.head))?
             .map_err(|e| unanswered(&e))?;
         let (head, body) = response.into_parts();
-        let body = tokio::time::timeout(flow.whole, self.pieces(body, flow.pause))
+        let body = tokio::time::timeout(timeouts.total, self.pieces(body, timeouts.idle))
             .await
-            .map_err(|_| Failure::Timeout(flow.whole))??;
+            .map_err(|_| ClientError::Timeout(timeouts.total))??;
         Ok(Answer {
             status: head.status,
             headers: head.headers,
@@ -173,14 +173,14 @@
         path: &str,
         body: Vec<u8>,
         time: Duration,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Answer, ClientError> {
         let request = Request::post(format!("http://{address}{path}"))
             .body(Full::new(Bytes::from(body)))
             .map_err(|e| broken(Part::Connect, &e))?;
         self.call(request, time).await
     }
 
-    async fn answer(&self, request: Request<Full<Bytes>>) -> Result<Answer, Failure> {
+    async fn answer(&self, request: Request<Full<Bytes>>) -> Result<Answer, ClientError> {
         let response = match self.inner.request(request).await {
             Ok(response) => response,
             Err(e) => return Err(unanswered(&e)),
@@ -197,14 +197,14 @@
         })
     }
 
-    /// Reads a body of which a piece comes at least every `pause`.
-    async fn pieces(&self, body: Incoming, pause: Duration) -> Result<Bytes, Failure> {
+    /// Reads a body of which a piece comes at least every `idle`.
+    async fn pieces(&self, body: Incoming, idle: Duration) -> Result<Bytes, ClientError> {
         let mut body = Limited::new(body, self.answer_bytes);
         let mut whole = BytesMut::new();
         loop {
-            let frame = tokio::time::timeout(pause, body.frame())
+            let frame = tokio::time::timeout(idle, body.frame())
                 .await
-                .map_err(|_| Failure::Stalled(pause))?;
+                .map_err(|_| ClientError::Stalled(idle))?;
             let Some(frame) = frame else {
                 return Ok(whole.freeze());
             };
@@ -217,11 +217,11 @@
     }
 
     /// Why a body did not come whole.
-    fn unread(&self, error: &(dyn std::error::Error + 'static)) -> Failure {
+    fn unread(&self, error: &(dyn std::error::Error + 'static)) -> ClientError {
         if error.is::<LengthLimitError>() {
-            return Failure::Large(self.answer_bytes);
+            return ClientError::Large(self.answer_bytes);
         }
-        Failure::Broken {
+        ClientError::Broken {
             part: Part::Body,
             detail: error.to_string(),
         }
@@ -229,17 +229,17 @@
 }
 
 /// Why no head came.
-fn unanswered(error: &legacy::Error) -> Failure {
+fn unanswered(error: &legacy::Error) -> ClientError {
     match error.is_connect() {
         true => broken(Part::Connect, error),
         false => broken(Part::Head, error),
     }
 }
 
-fn broken(part: Part, error: &dyn std::error::Error) -> Failure {
+fn broken(part: Part, error: &dyn std::error::Error) -> ClientError {
     let detail = match error.source() {
         Some(source) => format!("{error}: {source}"),
         None => error.to_string(),
     };
-    Failure::Broken { part, detail }
+    ClientError::Broken { part, detail }
 }
--- a/crates/node/src/wire/mod.rs
+++ b/crates/node/src/wire/mod.rs
@@ -5,10 +5,10 @@
 mod pack;
 mod problem;
 
-pub use client::{Answer, Client, Failure, Flow, Part};
+pub use client::{Answer, Client, ClientError, Part, StreamTimeouts};
 pub use names::{
     ATTEMPTS, CALLER, CLIENT, FINGERPRINT, HOPS, KEY, KIND, OUTCOME, REQUEST, REQUEST_ID,
     REQUEST_TIMEOUT, RETRY_SAFE, TARGET_LOAD, TARGET_SHED, TIMEOUT,
 };
-pub use pack::{PackError, join, pack, split, unpack};
+pub use pack::{CodecError, join_frame, pack, split_frame, unpack};
 pub use problem::{Kind, Trouble};
--- a/crates/node/src/wire/pack.rs
+++ b/crates/node/src/wire/pack.rs
@@ -7,7 +7,7 @@
 
 /// A body could not be written or read.
 #[derive(Debug, thiserror::Error)]
-pub enum PackError {
+pub enum CodecError {
     /// A message could not be encoded.
     #[error("encoding a message for another host: {0}")]
     Encode(#[from] rmp_serde::encode::Error),
@@ -23,12 +23,12 @@
 }
 
 /// Encodes a message.
-pub fn pack<T: Serialize>(message: &T) -> Result<Vec<u8>, PackError> {
+pub fn pack<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     Ok(rmp_serde::to_vec_named(message)?)
 }
 
 /// Decodes a message.
-pub fn unpack<T: DeserializeOwned>(body: &[u8]) -> Result<T, PackError> {
+pub fn unpack<T: DeserializeOwned>(body: &[u8]) -> Result<T, CodecError> {
     Ok(rmp_serde::from_slice(body)?)
 }
 
@@ -37,9 +37,10 @@
 
 /// Writes a head and, after it, a body as it is. A body packed as an array would grow by half and
 /// be copied once more.
-pub fn join<T: Serialize>(head: &T, body: &[u8]) -> Result<Vec<u8>, PackError> {
+pub fn join_frame<T: Serialize>(head: &T, body: &[u8]) -> Result<Vec<u8>, CodecError> {
     let head = pack(head)?;
-    let length = u32::try_from(head.len()).map_err(|_| PackError::Frame("its head is too long"))?;
+    let length =
+        u32::try_from(head.len()).map_err(|_| CodecError::Frame("its head is too long"))?;
     let mut out = Vec::with_capacity(LENGTH_BYTES + head.len() + body.len());
     out.extend_from_slice(&length.to_be_bytes());
     out.extend_from_slice(&head);
@@ -47,14 +48,14 @@
     Ok(out)
 }
 
-/// Reads what [`join`] wrote; the body shares the frame's memory.
-pub fn split<T: DeserializeOwned>(frame: &Bytes) -> Result<(T, Bytes), PackError> {
+/// Reads what [`join_frame`] wrote; the body shares the frame's memory.
+pub fn split_frame<T: DeserializeOwned>(frame: &Bytes) -> Result<(T, Bytes), CodecError> {
     let Some((length, rest)) = frame.split_first_chunk::<LENGTH_BYTES>() else {
-        return Err(PackError::Frame("it is shorter than a length"));
+        return Err(CodecError::Frame("it is shorter than a length"));
     };
     let length = usize::try_from(u32::from_be_bytes(*length)).unwrap_or(usize::MAX);
     let Some(head) = rest.get(..length) else {
-        return Err(PackError::Frame("it is shorter than its head"));
+        return Err(CodecError::Frame("it is shorter than its head"));
     };
     Ok((unpack(head)?, frame.slice(LENGTH_BYTES + length..)))
 }
