--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -24,14 +24,14 @@
         loop {
             let earlier = tokio::select! {
                 () = signals.next() => break,
-                earlier = host.outnumbered() => earlier,
+                earlier = host.higher_incarnation() => earlier,
             };
             let ended = tokio::task::spawn_blocking(|| host.wait());
             ended.await.map_err(anyhow::Error::from)??;
-            host = Host::succeed(settings.clone(), earlier)?;
+            host = Host::spawn_above(settings.clone(), earlier)?;
         }
         log::info!("planned stop begins; a second signal ends the host at once");
-        host.leave();
+        host.start_shutdown();
         let (tell, ended) = oneshot::channel();
         thread::Builder::new()
             .name("stop".to_owned())
--- a/crates/cli/src/demo/callers.rs
+++ b/crates/cli/src/demo/callers.rs
@@ -21,7 +21,7 @@
     let starts: Vec<SocketAddr> = stage
         .hosts
         .iter()
-        .map(dunlinrock_node::Host::callers)
+        .map(dunlinrock_node::Host::callers_addr)
         .collect();
     let regions = || stage.config.regions.keys();
     let mut callers = Vec::new();
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -136,7 +136,7 @@
 
 fn stop_host(host: Host) -> Result<Stopped, Failure> {
     let name = Arc::clone(host.name());
-    host.leave();
+    host.start_shutdown();
     let time = host.wait()?;
     Ok(Stopped { name, time })
 }
--- a/crates/cli/src/demo/stage.rs
+++ b/crates/cli/src/demo/stage.rs
@@ -158,7 +158,7 @@
                 let settings = self.settings(&host_name(domain, n), domain, &entry.region);
                 let host = Host::spawn(settings)?;
                 self.regions
-                    .insert(host.callers(), Arc::clone(&entry.region));
+                    .insert(host.callers_addr(), Arc::clone(&entry.region));
                 self.hosts.push(host);
             }
         }
--- a/crates/node/src/duties/control/mod.rs
+++ b/crates/node/src/duties/control/mod.rs
@@ -55,8 +55,8 @@
             Some(input) = inputs.recv() => control.input(input),
         }
         // Nobody was served, so that there is nothing to drain.
-        let outnumbered = shared.outnumbered.borrow().map(|_| Duration::ZERO);
-        if let Some(drain) = control.ended().or(outnumbered) {
+        let higher_incarnation = shared.higher_incarnation.borrow().map(|_| Duration::ZERO);
+        if let Some(drain) = control.ended().or(higher_incarnation) {
             return Ending { drain };
         }
     }
--- a/crates/node/src/duties/control/state.rs
+++ b/crates/node/src/duties/control/state.rs
@@ -279,7 +279,9 @@
                         incarnation = self.shared.me.incarnation, earlier = incarnation;
                         "an earlier process of this host has the higher number, by its clock; begun anew"
                     );
-                    self.shared.outnumbered.send_replace(Some(incarnation));
+                    self.shared
+                        .higher_incarnation
+                        .send_replace(Some(incarnation));
                 }
                 member::Action::Superseded { incarnation } => {
                     log::error!(incarnation = incarnation; "another process has this host's name");
--- a/crates/node/src/host/mod.rs
+++ b/crates/node/src/host/mod.rs
@@ -36,7 +36,7 @@
 /// Pause before a full ring is tried again.
 const PUSH_PAUSE: Duration = Duration::from_millis(1);
 
-/// A running host. Dropped without [`Host::leave`], it goes on until the process ends.
+/// A running host. Dropped without [`Host::start_shutdown`], it goes on until the process ends.
 #[derive(Debug)]
 pub struct Host {
     shared: Arc<Shared>,
@@ -60,7 +60,7 @@
     ///
     /// When an address of the settings is malformed or cannot be bound, or a thread does not start.
     pub fn spawn(settings: Settings) -> anyhow::Result<Host> {
-        Host::succeed(settings, 0)
+        Host::spawn_above(settings, 0)
     }
 
     /// The same, with an incarnation above that of an earlier process.
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// As [`Host::spawn`].
-    pub fn succeed(settings: Settings, earlier: u64) -> anyhow::Result<Host> {
+    pub fn spawn_above(settings: Settings, earlier: u64) -> anyhow::Result<Host> {
         let callers = listen::bind("callers", &settings.callers)?;
         let peers = listen::bind("peers", &settings.peers)?;
         let clock = Clock::open();
@@ -106,7 +106,7 @@
             meters: Meters::default(),
             fence,
             published: watch::channel(0).0,
-            outnumbered: watch::channel(None).0,
+            higher_incarnation: watch::channel(None).0,
             pools,
             ledger: ledger.sender,
             epoch: ledger.epoch,
@@ -134,12 +134,12 @@
     }
 
     /// Address on which callers are served.
-    pub fn callers(&self) -> SocketAddr {
+    pub fn callers_addr(&self) -> SocketAddr {
         self.shared.me.callers
     }
 
     /// Address on which other hosts are served.
-    pub fn peers(&self) -> SocketAddr {
+    pub fn peers_addr(&self) -> SocketAddr {
         self.shared.me.peers
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Waits until a view passes `test`.
-    pub async fn until(&self, test: impl Fn(&View) -> bool) {
+    pub async fn wait_for(&self, test: impl Fn(&View) -> bool) {
         let mut published = self.shared.published.subscribe();
         while !test(&self.shared.view.load()) {
             // The sender lives as long as the host.
@@ -175,11 +175,11 @@
     }
 
     /// Waits until an earlier process of this name turns out to have the higher incarnation, which it gives.
-    /// The host serves nobody then and ends by itself; [`Host::succeed`] takes its place after
+    /// The host serves nobody then and ends by itself; [`Host::spawn_above`] takes its place after
     /// [`Host::wait`].
-    pub async fn outnumbered(&self) -> u64 {
-        let mut outnumbered = self.shared.outnumbered.subscribe();
-        let earlier = outnumbered.wait_for(Option::is_some).await;
+    pub async fn higher_incarnation(&self) -> u64 {
+        let mut higher_incarnation = self.shared.higher_incarnation.subscribe();
+        let earlier = higher_incarnation.wait_for(Option::is_some).await;
         // The sender lives as long as the host.
         earlier
             .ok()
@@ -189,7 +189,7 @@
 
     /// Begins a planned stop: others are told at once, cached look-ups are honoured until they have
     /// expired, requests in flight end, records are handed on.
-    pub fn leave(&self) {
+    pub fn start_shutdown(&self) {
         if self.shared.control.push(control::Input::Leave).is_err() {
             log::warn!("the control duty is busy; ask again to leave");
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -16,7 +16,7 @@
 //! let host = Host::spawn(settings).unwrap();
 //!
 //! // It answers, and is not ready before it holds a configuration.
-//! assert_ne!(host.callers().port(), 0);
+//! assert_ne!(host.callers_addr().port(), 0);
 //! assert!(!host.is_ready());
 //! ```
 //!
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -50,7 +50,7 @@
     /// Number of the newest view, for those who wait for one.
     pub published: watch::Sender<u64>,
     /// Incarnation of an earlier process of this name, if it is higher than this one's.
-    pub outnumbered: watch::Sender<Option<u64>>,
+    pub higher_incarnation: watch::Sender<Option<u64>>,
     /// Keeps a host that was paused from starting what it held.
     pub fence: Fence,
     /// To the pools duty.
