--- a/crates/node/src/duties/control/state.rs
+++ b/crates/node/src/duties/control/state.rs
@@ -38,7 +38,7 @@
         ledger,
         pools::{self, PoolReport},
     },
-    metrics::Count,
+    metrics::Counter,
     shared::Shared,
     store::{HostList, Store},
     view::Member,
@@ -279,7 +279,9 @@
                         incarnation = self.shared.me.incarnation, earlier = incarnation;
                         "an earlier process of this host has the higher number, by its clock; begun anew"
                     );
-                    self.shared.outnumbered.send_replace(Some(incarnation));
+                    self.shared
+                        .higher_incarnation
+                        .send_replace(Some(incarnation));
                 }
                 member::Action::Superseded { incarnation } => {
                     log::error!(incarnation = incarnation; "another process has this host's name");
@@ -354,7 +356,7 @@
             revision = next.revision, apply = &*switch.entry.id, by = &*switch.entry.by;
             "configuration in force"
         );
-        self.shared.metrics.count(Count::Revisions);
+        self.shared.metrics.count(Counter::Revisions);
         self.membership.set_revision(next.revision);
         self.in_force = next;
         self.steering.limit(&self.in_force.config);
