--- a/crates/admit/examples/loads.rs
+++ b/crates/admit/examples/loads.rs
@@ -2,7 +2,7 @@
 
 use dunlinrock_admit::{
     PoolConfig,
-    drive::{Figures, Group, LOADS, Policy, SITES, load, play},
+    simulation::{Figures, Group, LOADS, Policy, SITES, load, play},
 };
 
 const SEED: u64 = 7;
--- a/crates/admit/examples/sweep.rs
+++ b/crates/admit/examples/sweep.rs
@@ -4,7 +4,7 @@
 
 use dunlinrock_admit::{
     PoolConfig,
-    drive::{Group, LOADS, Policy, SITES, Site, load, play},
+    simulation::{Group, LOADS, Policy, SITES, Site, load, play},
 };
 
 const SEED: u64 = 11;
--- a/crates/admit/src/direct/mod.rs
+++ b/crates/admit/src/direct/mod.rs
@@ -4,24 +4,24 @@
 //! so that no request waits for a message between hosts: a part is smaller than what a shared
 //! counter could allow, and never adds up to more.
 
-mod budget;
-mod bytes;
-mod cold;
+mod body_budget;
+mod cold_start;
 mod connections;
-mod forecast;
+mod ejection;
+mod latency;
 mod limit;
 mod ranks;
-mod set_aside;
-mod sharers;
+mod recent_hosts;
+mod retry_budget;
 
 pub use self::{
-    budget::{RetryBudget, RetryLimits},
-    bytes::BodyBudget,
-    cold::{ColdStartLimiter, ColdStartLimits},
+    body_budget::BodyBudget,
+    cold_start::{ColdStartLimiter, ColdStartLimits},
     connections::{AcceptDecision, ConnectionLimits, OpenConnections},
-    forecast::LatencyEstimator,
+    ejection::{Ejection, Evidence, FailureRate},
+    latency::LatencyEstimator,
     limit::{LimitShare, RateLimitConfig, TokenBucket, TokenCache, TokenGrant},
     ranks::PriorityShedder,
-    set_aside::{Ejection, Evidence, FailureRate},
-    sharers::RecentHosts,
+    recent_hosts::RecentHosts,
+    retry_budget::{RetryBudget, RetryLimits},
 };
--- a/crates/admit/src/fair/mod.rs
+++ b/crates/admit/src/fair_queue/mod.rs
@@ -9,7 +9,7 @@
 //! own backlog and nobody else's; a caller that comes now and then ranks at the pool's clock, at
 //! the head. The clocks are kept in a [`Sketch`] of fixed size.
 
+mod clock_sketch;
 mod queue;
-mod sketch;
 
 pub(crate) use self::queue::{FairQueue, Slot};
--- a/crates/admit/src/fair/queue.rs
+++ b/crates/admit/src/fair_queue/queue.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-use super::sketch::Sketch;
+use super::clock_sketch::Sketch;
 
 /// A key may have this many times the share of a caller before it ranks behind: callers are who
 /// pays, keys are only what is popular. With 1 a heavy caller who asks for the same key as everybody
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -51,26 +51,26 @@
 //! | whether it runs again | failing targets, late runs | `retries.md` |
 //! | whether it may run at all | a request that kills its targets | `quarantine.md` |
 //!
-//! [`drive`] plays these loads against the pools and against [`baseline`]; `cargo run --release
+//! [`simulation`] plays these loads against the pools and against [`baseline`]; `cargo run --release
 //! --example loads` prints the table and `--example sweep` the sweeps that chose the thresholds.
 
 pub mod baseline;
-mod choose;
 pub mod direct;
-pub mod drive;
-mod fair;
+mod fair_queue;
 mod pool;
+mod pool_choice;
 mod quarantine;
-mod retry;
-mod room;
+mod retry_budget;
+mod service_time;
+pub mod simulation;
+mod slot_shares;
 mod target;
-mod work;
 
 pub use crate::{
-    choose::{PoolCandidate, choose_pool},
     pool::{
         Action, Cancelled, Completion, Counts, Decision, Load, LoadReport, Offer, Outcome, Pool,
         PoolConfig, PoolState, RefusalReason, TargetSpec, TargetState,
     },
+    pool_choice::{PoolCandidate, choose_pool},
     quarantine::{Quarantine, QuarantineStatus, QuarantineUpdate, Victim},
 };
--- a/crates/admit/src/pool/admit.rs
+++ b/crates/admit/src/pool/admit.rs
@@ -12,7 +12,7 @@
 use crate::{
     Decision, Offer, Pool, QuarantineStatus, RefusalReason,
     pool::request::{Place, Request},
-    work::Class,
+    service_time::Class,
 };
 
 /// Deviations of the sum of the service times ahead that are added to the expected wait. At 1, one
--- a/crates/admit/src/pool/mod.rs
+++ b/crates/admit/src/pool/mod.rs
@@ -1,15 +1,15 @@
 //! The pool: one service's targets in one failure domain.
 
 mod admit;
-mod due;
+mod config;
 mod finish;
-mod offer;
+mod isolation;
+mod overload;
 mod request;
-mod rules;
 mod start;
 mod state;
-mod strain;
-mod trial;
+mod timers;
+mod types;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,22 +18,22 @@
 };
 
 pub use self::{
-    offer::{Action, Cancelled, Completion, Decision, LoadReport, Offer, Outcome, RefusalReason},
-    rules::{PoolConfig, TargetSpec},
+    config::{PoolConfig, TargetSpec},
     state::{Counts, Load, PoolState, TargetState},
+    types::{Action, Cancelled, Completion, Decision, LoadReport, Offer, Outcome, RefusalReason},
 };
 use crate::{
     Quarantine, QuarantineStatus, QuarantineUpdate,
-    fair::FairQueue,
+    fair_queue::FairQueue,
     pool::{
+        isolation::Trials,
+        overload::Strain,
         request::{Place, Request},
-        strain::Strain,
-        trial::Trials,
     },
-    retry::Budget,
-    room::{Meter, Room},
+    retry_budget::Budget,
+    service_time::{Class, Kinds},
+    slot_shares::{Meter, Room},
     target::Targets,
-    work::{Class, Kinds},
 };
 
 /// The targets of one service in one failure domain, with the requests that wait and run.
--- a/crates/admit/src/pool/request.rs
+++ b/crates/admit/src/pool/request.rs
@@ -4,9 +4,9 @@
 
 use crate::{
     Offer, RefusalReason,
-    fair::Slot,
+    fair_queue::Slot,
+    service_time::{Class, Estimate},
     target::Ask,
-    work::{Class, Estimate},
 };
 
 /// Where a request stands.
--- a/crates/admit/src/pool/start.rs
+++ b/crates/admit/src/pool/start.rs
@@ -4,9 +4,9 @@
 
 use crate::{
     Action, Pool, RefusalReason,
-    fair::Slot,
+    fair_queue::Slot,
     pool::request::{Place, Run},
-    work::Class,
+    service_time::Class,
 };
 
 /// Requests at the head of a queue that are looked at when the first cannot be placed, because the
--- a/crates/admit/src/drive/naive.rs
+++ b/crates/admit/src/simulation/baselines.rs
@@ -9,9 +9,9 @@
 
 use crate::{
     baseline::{random, two_choices},
-    drive::{
+    simulation::{
         Fault, Figures, Scenario,
-        event::Events,
+        event_queue::Events,
         scenario::{DOMAINS, EVERY, KILLS_AFTER, LAG, RESTART, Request, SENDS},
         target::Target,
     },
--- a/crates/admit/src/drive/mod.rs
+++ b/crates/admit/src/simulation/mod.rs
@@ -5,15 +5,15 @@
 //! cluster: hosts neither fail nor talk to each other here, apart from the delay of a hand-over and
 //! the age of the summaries by which a pool is chosen.
 
-mod event;
-mod figures;
-mod naive;
+mod baselines;
+mod event_queue;
 mod pools;
+mod results;
 mod scenario;
 mod target;
 
 pub use self::{
-    figures::{Figures, Group},
+    results::{Figures, Group},
     scenario::{Fault, LOADS, SITES, Scenario, Site, Work, load},
 };
 
@@ -40,7 +40,7 @@
 pub fn play(scenario: &Scenario, policy: &Policy) -> Figures {
     match policy {
         Policy::Pools(rules) => pools::play(scenario, rules),
-        Policy::Random => naive::play(scenario, None),
-        Policy::TwoChoices { hosts, tries } => naive::play(scenario, Some((*hosts, *tries))),
+        Policy::Random => baselines::play(scenario, None),
+        Policy::TwoChoices { hosts, tries } => baselines::play(scenario, Some((*hosts, *tries))),
     }
 }
--- a/crates/admit/src/drive/pools/watch.rs
+++ b/crates/admit/src/simulation/pools/metrics.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     LoadReport,
-    drive::{
+    simulation::{
         pools::{Event, Play},
         scenario::{EVERY, LAG},
     },
--- a/crates/admit/src/drive/pools/mod.rs
+++ b/crates/admit/src/simulation/pools/mod.rs
@@ -1,7 +1,7 @@
 //! Plays a scenario against pools.
 
+mod metrics;
 mod runs;
-mod watch;
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -10,9 +10,9 @@
 use crate::{
     Action, Decision, Load, LoadReport, Offer, Pool, PoolCandidate, PoolConfig, RefusalReason,
     TargetSpec, choose_pool,
-    drive::{
+    simulation::{
         Fault, Figures, Scenario,
-        event::Events,
+        event_queue::Events,
         scenario::{DOMAINS, LAG, Request},
         target::Target,
     },
--- a/crates/admit/src/drive/pools/runs.rs
+++ b/crates/admit/src/simulation/pools/runs.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     Completion, Outcome,
-    drive::{
+    simulation::{
         pools::{Event, Play, Run},
         scenario::{KILLS_AFTER, RESTART, Request, SENDS},
     },
--- a/crates/admit/src/drive/target.rs
+++ b/crates/admit/src/simulation/target.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     LoadReport,
-    drive::{Fault, Scenario},
+    simulation::{Fault, Scenario},
 };
 
 /// Times as long as usual that a cold target takes at first.
--- a/crates/admit/src/room/mod.rs
+++ b/crates/admit/src/slot_shares/mod.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use crate::{PoolConfig, work::Class};
+use crate::{PoolConfig, service_time::Class};
 
 /// Time over which short work is averaged.
 const WINDOW: f64 = 5.0;
--- a/crates/admit/src/target/mod.rs
+++ b/crates/admit/src/target/mod.rs
@@ -5,16 +5,16 @@
 //! slots and for a bounded time, so that a false report costs some capacity and never overruns.
 
 mod health;
-mod limit;
-mod set;
+mod slot_limit;
+mod target_set;
 
-pub(crate) use self::set::{Ask, Finished, Targets};
+pub(crate) use self::target_set::{Ask, Finished, Targets};
 
 use std::{sync::Arc, time::Duration};
 
 use crate::{
     LoadReport, PoolConfig, TargetSpec,
-    target::{health::Health, limit::Limits},
+    target::{health::Health, slot_limit::Limits},
 };
 
 /// One target.
