--- a/crates/admit/src/direct/body_budget.rs
+++ b/crates/admit/src/direct/body_budget.rs
@@ -7,40 +7,40 @@
 /// Part of the memory that bodies may take. The rest is for connections, some 10 KB each, for the
 /// libraries' buffers, which hold a body a second time while it is read or written, and for what the
 /// host believes.
-const PART: f64 = 0.3;
+const MEMORY_FRACTION: f64 = 0.3;
 
 /// Bytes of bodies held, and how many may be.
 #[derive(Clone, Debug)]
 pub struct BodyBudget {
-    most: u64,
-    held: u64,
+    max: u64,
+    used: u64,
 }
 
 impl BodyBudget {
     /// Opens the budget of a process with `memory` bytes, none of them taken.
     pub fn open(memory: u64) -> BodyBudget {
         BodyBudget {
-            most: (memory as f64 * PART) as u64,
-            held: 0,
+            max: (memory as f64 * MEMORY_FRACTION) as u64,
+            used: 0,
         }
     }
 
     /// Takes room for a body. A single body always has room: refused, it would be refused for ever.
     pub fn try_reserve(&mut self, bytes: u64) -> bool {
-        if self.held > 0 && self.held + bytes > self.most {
+        if self.used > 0 && self.used + bytes > self.max {
             return false;
         }
-        self.held += bytes;
+        self.used += bytes;
         true
     }
 
     /// Gives room back that was taken.
     pub fn release(&mut self, bytes: u64) {
-        self.held = self.held.saturating_sub(bytes);
+        self.used = self.used.saturating_sub(bytes);
     }
 
     /// Bytes held.
     pub fn used(&self) -> u64 {
-        self.held
+        self.used
     }
 }
--- a/crates/admit/src/direct/cold_start.rs
+++ b/crates/admit/src/direct/cold_start.rs
@@ -23,7 +23,7 @@
 
 /// Part of the bound that is spent: hosts that have just joined are known to others a little later,
 /// and until then the parts of all add up to more.
-const SPENT: f64 = 0.8;
+const UTILIZATION: f64 = 0.8;
 
 impl ColdStartLimits {
     /// Requests a second that one host may send to a target.
@@ -33,17 +33,17 @@
     /// same ones. A longer time between two requests of every host would not do: the first ones of
     /// all hosts could still come in the same second, which is when the target is coldest.
     pub fn host_rate(&self, me: u64, hosts: &[u64], target: u64) -> u32 {
-        let most = ((self.rate * self.factor + self.slack) * SPENT).max(1.0) as usize;
-        let each = most / hosts.len().max(1);
-        if each > 0 {
-            return u32::try_from(each).unwrap_or(u32::MAX);
+        let limit = ((self.rate * self.factor + self.slack) * UTILIZATION).max(1.0) as usize;
+        let per_host = limit / hosts.len().max(1);
+        if per_host > 0 {
+            return u32::try_from(per_host).unwrap_or(u32::MAX);
         }
         let mine = mix(me, target);
-        let before = hosts
+        let ranked_before = hosts
             .iter()
             .filter(|host| mix(**host, target) < mine)
             .count();
-        u32::from(before < most)
+        u32::from(ranked_before < limit)
     }
 }
 
@@ -68,11 +68,11 @@
     }
 
     /// Takes one request if this host's part has room in the last second.
-    pub fn try_admit(&mut self, part: u32, now: Duration) -> bool {
+    pub fn try_admit(&mut self, host_rate: u32, now: Duration) -> bool {
         while self.sent.front().is_some_and(|at| *at + WINDOW <= now) {
             self.sent.pop_front();
         }
-        if self.sent.len() >= part as usize {
+        if self.sent.len() >= host_rate as usize {
             return false;
         }
         self.sent.push_back(now);
--- a/crates/admit/src/direct/connections.rs
+++ b/crates/admit/src/direct/connections.rs
@@ -11,28 +11,28 @@
 
 /// Descriptors that are no connections, and those to the store and to other hosts: systems keep some
 /// 200 for files, and a host has about 20 of its own.
-const FILES: u32 = 220;
+const RESERVED_DESCRIPTORS: u32 = 220;
 
 /// Connections that the control duty serves: look-ups above all, each of which lasts milliseconds.
-const CONTROL: u32 = 640;
+const CONTROL_CONNECTIONS: u32 = 640;
 
 /// Part of the limit that each of the two above takes at most, where the limit is small.
-const PART: f64 = 0.25;
+const RESERVED_FRACTION: f64 = 0.25;
 
 /// Part of the bound above which idle connections are closed. A closed connection is read for a tenth
 /// of a second more before its descriptor is free; in that time a burst opens a few hundred.
-const PRESSED: f64 = 0.75;
+const LOW_WATERMARK: f64 = 0.75;
 
 /// Part of the bound above which connections end with their next answer: those that have been idle
 /// for long are gone by then, and did not suffice.
-const TIGHT: f64 = 0.9;
+const HIGH_WATERMARK: f64 = 0.9;
 
 /// Part of the bound that idle connections to targets may take.
-const KEPT: f64 = 0.25;
+const MAX_IDLE_FRACTION: f64 = 0.25;
 
 /// Connections closed for one that arrives: more than one, so that the number falls while a burst
 /// goes on, and few, so that no turn of the loop is long.
-const CLOSED: u32 = 2;
+const EVICTED_PER_ACCEPT: u32 = 2;
 
 /// How many connections a host may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,34 +66,34 @@
 impl ConnectionLimits {
     /// The bound of a process that may have `descriptors` open files.
     pub fn for_descriptors(descriptors: u32) -> ConnectionLimits {
-        let part = (f64::from(descriptors) * PART) as u32;
-        let control = CONTROL.min(part);
+        let fraction = (f64::from(descriptors) * RESERVED_FRACTION) as u32;
+        let control = CONTROL_CONNECTIONS.min(fraction);
         ConnectionLimits {
-            max_open: descriptors - control - FILES.min(part),
+            max_open: descriptors - control - RESERVED_DESCRIPTORS.min(fraction),
             control,
         }
     }
 
     /// Whether so many are held that idle ones should go.
-    pub fn above_low_watermark(&self, held: OpenConnections) -> bool {
-        self.has_part(held, PRESSED)
+    pub fn above_low_watermark(&self, open: OpenConnections) -> bool {
+        self.is_above(open, LOW_WATERMARK)
     }
 
     /// Whether so many are held that each should end with its next answer.
-    pub fn above_high_watermark(&self, held: OpenConnections) -> bool {
-        self.has_part(held, TIGHT)
+    pub fn above_high_watermark(&self, open: OpenConnections) -> bool {
+        self.is_above(open, HIGH_WATERMARK)
     }
 
-    fn has_part(&self, held: OpenConnections, part: f64) -> bool {
-        f64::from(held.callers + held.targets) >= f64::from(self.max_open) * part
+    fn is_above(&self, open: OpenConnections, fraction: f64) -> bool {
+        f64::from(open.callers + open.targets) >= f64::from(self.max_open) * fraction
     }
 
     /// Decides about a connection that arrives; `held` does not count it.
-    pub fn on_accept(&self, held: OpenConnections) -> AcceptDecision {
-        if held.callers + held.targets >= self.max_open {
-            AcceptDecision::Refuse(CLOSED)
-        } else if self.above_low_watermark(held) {
-            AcceptDecision::AcceptAndEvict(CLOSED)
+    pub fn on_accept(&self, open: OpenConnections) -> AcceptDecision {
+        if open.callers + open.targets >= self.max_open {
+            AcceptDecision::Refuse(EVICTED_PER_ACCEPT)
+        } else if self.above_low_watermark(open) {
+            AcceptDecision::AcceptAndEvict(EVICTED_PER_ACCEPT)
         } else {
             AcceptDecision::Accept
         }
@@ -101,6 +101,6 @@
 
     /// Idle connections to targets that may be kept.
     pub fn max_idle(&self) -> u32 {
-        (f64::from(self.max_open) * KEPT) as u32
+        (f64::from(self.max_open) * MAX_IDLE_FRACTION) as u32
     }
 }
--- a/crates/admit/src/direct/ejection.rs
+++ b/crates/admit/src/direct/ejection.rs
@@ -13,29 +13,29 @@
 
 /// First pause of a target that cannot be reached. A restart takes seconds, so that the third trial
 /// meets a target that is back.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+const MIN_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Longest pause: a target that is back gets its objects after this at the latest.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
 /// Weight of the newest outcome in the share of failures: about the last eight count.
-const WEIGHT: f64 = 0.125;
+const EWMA_WEIGHT: f64 = 0.125;
 
 /// How far the share of failures is above that of all targets of the service where a target is set
 /// aside. The usual failures are below 0.05; a target that fails one in three costs more second runs
 /// than its objects cost elsewhere.
-const BAD_SHARE: f64 = 0.3;
+const MAX_FAILURE_RATE: f64 = 0.3;
 
 /// Factor on the share of the whole service; above 1, since that of a target's last eight outcomes swings
 /// around it.
 const SERVICE_FACTOR: f64 = 1.2;
 
 /// Weight of the newest outcome in the share of failures of a service: about the last 16 count.
-const SERVICE_WEIGHT: f64 = 1.0 / 16.0;
+const SERVICE_EWMA_WEIGHT: f64 = 1.0 / 16.0;
 
 /// Trials in a row that did not reach a target, after which it is taken for down. One may be a lost
 /// packet: requests that are at the target are then better left there.
-const DOWN_TRIALS: u32 = 2;
+const DOWN_AFTER: u32 = 2;
 
 /// How a request at a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
 
     /// Whether bad answers are so common that another target is no better.
     pub fn is_high(&self) -> bool {
-        self.0 > BAD_SHARE
+        self.0 > MAX_FAILURE_RATE
     }
 
     /// Notes how a request at one of the targets ended. One that was not reached is held against that
@@ -71,7 +71,7 @@
             Evidence::Bad => 1.0,
             Evidence::Down => return,
         };
-        self.0 += (bad - self.0) * SERVICE_WEIGHT;
+        self.0 += (bad - self.0) * SERVICE_EWMA_WEIGHT;
     }
 }
 
@@ -79,12 +79,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Ejection {
     failures: f64,
-    pause: Duration,
-    until: Option<Duration>,
+    backoff: Duration,
+    ejected_until: Option<Duration>,
     /// Trials in a row that did not reach the target.
-    downs: u32,
+    unreachable: u32,
     /// Whether one request tries the target; others stay away until its end.
-    trying: bool,
+    probing: bool,
 }
 
 impl Ejection {
@@ -95,23 +95,27 @@
 
     /// Whether requests may go to the target: it is sound, or its pause is over and nobody tries it.
     pub fn is_usable(&self, now: Duration) -> bool {
-        self.until.is_none_or(|until| now >= until && !self.trying)
+        self.ejected_until
+            .is_none_or(|ejected_until| now >= ejected_until && !self.probing)
     }
 
     /// Whether the target is set aside, its pause over or not.
     pub fn is_ejected(&self) -> bool {
-        self.until.is_some()
+        self.ejected_until.is_some()
     }
 
     /// Whether the target is down beyond doubt, so that what is at it will not be answered.
     pub fn is_down(&self) -> bool {
-        self.downs >= DOWN_TRIALS
+        self.unreachable >= DOWN_AFTER
     }
 
     /// A request goes to the target.
     pub fn on_start(&mut self, now: Duration) {
-        if self.until.is_some_and(|until| now >= until) {
-            self.trying = true;
+        if self
+            .ejected_until
+            .is_some_and(|ejected_until| now >= ejected_until)
+        {
+            self.probing = true;
         }
     }
 
@@ -119,47 +123,52 @@
     /// the target is newly set aside.
     pub fn on_end(&mut self, evidence: Evidence, service: FailureRate, now: Duration) -> bool {
         let bad = if evidence == Evidence::Good { 0.0 } else { 1.0 };
-        self.failures += (bad - self.failures) * WEIGHT;
-        let tried = std::mem::take(&mut self.trying);
+        self.failures += (bad - self.failures) * EWMA_WEIGHT;
+        let was_probe = std::mem::take(&mut self.probing);
         match evidence {
             Evidence::Good => {
-                self.downs = 0;
-                if tried {
+                self.unreachable = 0;
+                if was_probe {
                     *self = Ejection::open();
                 }
                 false
             }
-            Evidence::Bad if self.failures > BAD_SHARE + service.0 * SERVICE_FACTOR => {
-                self.set(now)
+            Evidence::Bad if self.failures > MAX_FAILURE_RATE + service.0 * SERVICE_FACTOR => {
+                self.eject(now)
             }
-            Evidence::Bad if tried && !service.is_high() => self.set(now),
+            Evidence::Bad if was_probe && !service.is_high() => self.eject(now),
             Evidence::Bad => {
-                if tried {
-                    (self.until, self.pause) = (None, Duration::ZERO);
+                if was_probe {
+                    (self.ejected_until, self.backoff) = (None, Duration::ZERO);
                 }
                 false
             }
             Evidence::Down => {
-                let counts = self.until.is_none_or(|until| now >= until);
-                self.downs += u32::from(counts);
-                self.set(now)
+                let counts = self
+                    .ejected_until
+                    .is_none_or(|ejected_until| now >= ejected_until);
+                self.unreachable += u32::from(counts);
+                self.eject(now)
             }
         }
     }
 
     /// A request that tried the target was withdrawn and says nothing about it.
     pub fn cancel_probe(&mut self) {
-        self.trying = false;
+        self.probing = false;
     }
 
-    fn set(&mut self, now: Duration) -> bool {
+    fn eject(&mut self, now: Duration) -> bool {
         // Requests in flight end together; only the first of them lengthens the pause.
-        if self.until.is_some_and(|until| now < until) {
+        if self
+            .ejected_until
+            .is_some_and(|ejected_until| now < ejected_until)
+        {
             return false;
         }
-        let new = self.until.is_none();
-        self.pause = (self.pause * 2).clamp(FIRST_PAUSE, LONGEST_PAUSE);
-        self.until = Some(now + self.pause);
+        let new = self.ejected_until.is_none();
+        self.backoff = (self.backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
+        self.ejected_until = Some(now + self.backoff);
         new
     }
 }
--- a/crates/admit/src/direct/latency.rs
+++ b/crates/admit/src/direct/latency.rs
@@ -7,23 +7,23 @@
 
 /// Weight of the newest run in the usual time: about the last 16 runs count, a second or two of a
 /// busy route.
-const WEIGHT: f64 = 1.0 / 16.0;
+const EWMA_WEIGHT: f64 = 1.0 / 16.0;
 
 /// Requests for each slot of a target while nothing is known of a route's runs.
-const UNKNOWN_ROOM: u32 = 2;
+const UNKNOWN_LIMIT_PER_SLOT: u32 = 2;
 
 /// Requests for each slot at most, however short the runs: a target's own queue is a few times its
 /// slots, and what it turns away has cost a second send.
-const MOST_ROOM: u32 = 3;
+const MAX_LIMIT_PER_SLOT: u32 = 3;
 
 /// How many times the usual a run of a sound target may take. A cold run takes about three warm ones,
 /// and the usual time lies between the two.
-const SLOW: f64 = 4.0;
+const SLOW_FACTOR: f64 = 4.0;
 
 /// Usual time of a route's runs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LatencyEstimator {
-    usual: Option<Duration>,
+    mean: Option<Duration>,
 }
 
 impl LatencyEstimator {
@@ -38,33 +38,33 @@
     pub fn record(&mut self, time: Duration, busy: u32, slots: u32) {
         let ahead = f64::from((busy + 1).saturating_sub(slots));
         let time = time.div_f64(1.0 + ahead / f64::from(slots.max(1)));
-        let usual = self.usual.unwrap_or(time);
-        self.usual = Some(usual.mul_f64(1.0 - WEIGHT) + time.mul_f64(WEIGHT));
+        let mean = self.mean.unwrap_or(time);
+        self.mean = Some(mean.mul_f64(1.0 - EWMA_WEIGHT) + time.mul_f64(EWMA_WEIGHT));
     }
 
     /// Expected time until a request starts at a target that has `busy` requests for its `slots`.
     pub fn queue_delay(&self, busy: u32, slots: u32) -> Duration {
-        let usual = self.usual.unwrap_or_default();
+        let mean = self.mean.unwrap_or_default();
         let ahead = (busy + 1).saturating_sub(slots);
-        usual.mul_f64(f64::from(ahead) / f64::from(slots.max(1)))
+        mean.mul_f64(f64::from(ahead) / f64::from(slots.max(1)))
     }
 
     /// Whether an answer took so long that its target is to blame. It never is for want of knowledge.
     pub fn is_slow(&self, time: Duration, busy: u32, slots: u32) -> bool {
-        let Some(usual) = self.usual else {
+        let Some(mean) = self.mean else {
             return false;
         };
-        time > self.queue_delay(busy, slots) + usual.mul_f64(SLOW)
+        time > self.queue_delay(busy, slots) + mean.mul_f64(SLOW_FACTOR)
     }
 
     /// Requests that a target with `slots` may have, for one more to be answered within `time`;
     /// never less than its slots.
     pub fn concurrency_limit(&self, slots: u32, time: Duration) -> u32 {
-        let Some(usual) = self.usual.filter(|usual| !usual.is_zero()) else {
-            return slots * UNKNOWN_ROOM;
+        let Some(mean) = self.mean.filter(|mean| !mean.is_zero()) else {
+            return slots * UNKNOWN_LIMIT_PER_SLOT;
         };
-        let runs = time.as_secs_f64() / usual.as_secs_f64();
-        let most = f64::from(slots) * runs.clamp(1.0, f64::from(MOST_ROOM));
-        most as u32
+        let runs = time.as_secs_f64() / mean.as_secs_f64();
+        let limit = f64::from(slots) * runs.clamp(1.0, f64::from(MAX_LIMIT_PER_SLOT));
+        limit as u32
     }
 }
--- a/crates/admit/src/direct/limit.rs
+++ b/crates/admit/src/direct/limit.rs
@@ -13,24 +13,24 @@
 
 /// How long a token may be used after it was asked for: a round trip between regions, a busy processor, and
 /// the way to a target. What runs in a window was given out in it or within this time before it.
-const LIFE: Duration = Duration::from_millis(250);
+const TOKEN_TTL: Duration = Duration::from_millis(250);
 
 /// Part of the bound that is given out. The rest is for slices that two hosts count for a moment, while one
 /// takes over from the other, and for requests that are held up on their way and arrive together.
-const GIVEN_PART: f64 = 0.95;
+const GRANTED_FRACTION: f64 = 0.95;
 
 /// Part of a slice's window that may be given out at once. Whoever takes a slice over does not know what
 /// was just given out, and waits for as long as this takes to come back.
-const BURST_PART: f64 = 0.05;
+const BURST_FRACTION: f64 = 0.05;
 
 /// Tokens that may be given out at once, at least: a slice of a small limit is a few tokens a second.
-const LEAST_BURST: f64 = 2.0;
+const MIN_BURST: f64 = 2.0;
 
 /// Length of the spans in which a bucket remembers what it gave out.
-const SPAN: Duration = Duration::from_millis(100);
+const BUCKET_LENGTH: Duration = Duration::from_millis(100);
 
 /// Time over which a host remembers how many tokens it needed.
-const DEMAND_TIME: Duration = Duration::from_secs(1);
+const DEMAND_DECAY: Duration = Duration::from_secs(1);
 
 /// How far all hosts together may go beyond a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -46,23 +46,23 @@
 impl RateLimitConfig {
     /// How long a token may be used after it was asked for.
     pub fn token_ttl(&self) -> Duration {
-        LIFE
+        TOKEN_TTL
     }
 
     /// Requests that may run in a window.
-    pub fn most(&self, rate: f64, burst: f64) -> f64 {
+    pub fn max_requests(&self, rate: f64, burst: f64) -> f64 {
         (rate * self.window.as_secs_f64() + burst) * (1.0 + self.over) + self.slack
     }
 
     /// One of `slices` equal slices of a limit.
-    pub fn share(&self, rate: f64, burst: f64, slices: usize) -> LimitShare {
-        let most = self.most(rate, burst) * GIVEN_PART / slices.max(1) as f64;
-        let span = self.window + LIFE;
+    pub fn share(&self, rate: f64, burst: f64, shares: usize) -> LimitShare {
+        let max_tokens = self.max_requests(rate, burst) * GRANTED_FRACTION / shares.max(1) as f64;
+        let span = self.window + TOKEN_TTL;
         LimitShare {
-            most,
+            max_tokens,
             span,
-            rate: most / span.as_secs_f64(),
-            burst: (most * BURST_PART).max(LEAST_BURST.min(most)),
+            rate: max_tokens / span.as_secs_f64(),
+            burst: (max_tokens * BURST_FRACTION).max(MIN_BURST.min(max_tokens)),
         }
     }
 }
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitShare {
     /// Tokens that may be given out in any span of the length `span`.
-    pub most: f64,
+    pub max_tokens: f64,
     /// That length.
     pub span: Duration,
     /// Tokens a second.
@@ -91,7 +91,7 @@
     level: Option<f64>,
     at: Duration,
     /// What was given out, by the start of its [`SPAN`].
-    given: VecDeque<(Duration, u32)>,
+    granted: VecDeque<(Duration, u32)>,
 }
 
 /// Answer to a host that asked for tokens.
@@ -110,54 +110,54 @@
         TokenBucket {
             level: None,
             at: since,
-            given: VecDeque::new(),
+            granted: VecDeque::new(),
         }
     }
 
     /// Takes up to `want` tokens.
-    pub fn take(&mut self, slice: &LimitShare, want: u32, now: Duration) -> TokenGrant {
+    pub fn take(&mut self, share: &LimitShare, wanted: u32, now: Duration) -> TokenGrant {
         let passed = now.saturating_sub(self.at).as_secs_f64();
-        let level = self.level.unwrap_or(-slice.burst);
-        let level = (level + passed * slice.rate).min(slice.burst);
+        let level = self.level.unwrap_or(-share.burst);
+        let level = (level + passed * share.rate).min(share.burst);
         self.at = self.at.max(now);
         while self
-            .given
+            .granted
             .front()
-            .is_some_and(|(start, _)| *start + SPAN + slice.span <= now)
+            .is_some_and(|(start, _)| *start + BUCKET_LENGTH + share.span <= now)
         {
-            self.given.pop_front();
+            self.granted.pop_front();
         }
-        let given: u32 = self.given.iter().map(|(_, count)| count).sum();
-        let room = (slice.most - f64::from(given)).max(0.0);
-        let count = want.min(level.min(room) as u32);
+        let granted: u32 = self.granted.iter().map(|(_, count)| count).sum();
+        let available = (share.max_tokens - f64::from(granted)).max(0.0);
+        let count = wanted.min(level.min(available) as u32);
         self.level = Some(level - f64::from(count));
-        if count > 0 || want == 0 {
-            self.note(count, now);
+        if count > 0 || wanted == 0 {
+            self.record(count, now);
             return TokenGrant {
                 count,
                 retry_after: Duration::ZERO,
             };
         }
-        let due = (1.0 - level).max(0.0) / slice.rate.max(f64::MIN_POSITIVE);
-        let due = Duration::try_from_secs_f64(due).unwrap_or(Duration::MAX);
-        let leaves = self.given.front().filter(|_| room < 1.0);
-        let leaves = leaves.map_or(Duration::ZERO, |(start, _)| {
-            (*start + SPAN + slice.span).saturating_sub(now)
+        let retry_after = (1.0 - level).max(0.0) / share.rate.max(f64::MIN_POSITIVE);
+        let retry_after = Duration::try_from_secs_f64(retry_after).unwrap_or(Duration::MAX);
+        let next_expiry = self.granted.front().filter(|_| available < 1.0);
+        let next_expiry = next_expiry.map_or(Duration::ZERO, |(start, _)| {
+            (*start + BUCKET_LENGTH + share.span).saturating_sub(now)
         });
         TokenGrant {
             count,
-            retry_after: due.max(leaves),
+            retry_after: retry_after.max(next_expiry),
         }
     }
 
-    fn note(&mut self, count: u32, now: Duration) {
+    fn record(&mut self, count: u32, now: Duration) {
         match self
-            .given
+            .granted
             .back_mut()
-            .filter(|(start, _)| now < *start + SPAN)
+            .filter(|(start, _)| now < *start + BUCKET_LENGTH)
         {
             Some((_, sum)) => *sum += count,
-            None => self.given.push_back((now, count)),
+            None => self.granted.push_back((now, count)),
         }
     }
 }
@@ -166,9 +166,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct TokenCache {
     /// Ends of the tokens that are held.
-    ends: VecDeque<Duration>,
+    expirations: VecDeque<Duration>,
     /// Tokens needed, fading over [`DEMAND_TIME`], as of a moment.
-    needed: (f64, Duration),
+    demand: (f64, Duration),
 }
 
 impl TokenCache {
@@ -179,41 +179,45 @@
 
     /// Notes that a token is needed.
     pub fn record_demand(&mut self, now: Duration) {
-        self.needed = (self.needed(now) + 1.0, now);
+        self.demand = (self.demand(now) + 1.0, now);
     }
 
     /// Takes a token that has not ended; tells its end.
     pub fn take(&mut self, now: Duration) -> Option<Duration> {
-        while self.ends.front().is_some_and(|end| *end <= now) {
-            self.ends.pop_front();
+        while self
+            .expirations
+            .front()
+            .is_some_and(|expires_at| *expires_at <= now)
+        {
+            self.expirations.pop_front();
         }
-        self.ends.pop_front()
+        self.expirations.pop_front()
     }
 
     /// Gives a token back whose request did not run.
-    pub fn return_token(&mut self, end: Duration) {
-        let at = self.ends.partition_point(|held| *held <= end);
-        self.ends.insert(at, end);
+    pub fn return_token(&mut self, expires_at: Duration) {
+        let at = self.expirations.partition_point(|held| *held <= expires_at);
+        self.expirations.insert(at, expires_at);
     }
 
     /// Tokens to ask for: one, and as many more as are likely to be needed while they live. While they are
     /// `scarce` one alone: what is not used is missing elsewhere.
-    pub fn refill_size(&self, rules: &RateLimitConfig, scarce: bool, now: Duration) -> u32 {
+    pub fn refill_size(&self, config: &RateLimitConfig, scarce: bool, now: Duration) -> u32 {
         if scarce {
             return 1;
         }
-        let rate = self.needed(now) / DEMAND_TIME.as_secs_f64();
-        1 + (rate * rules.token_ttl().as_secs_f64()) as u32
+        let rate = self.demand(now) / DEMAND_DECAY.as_secs_f64();
+        1 + (rate * config.token_ttl().as_secs_f64()) as u32
     }
 
     /// Takes in tokens that were asked for at `asked`.
-    pub fn add(&mut self, count: u32, asked: Duration, rules: &RateLimitConfig) {
-        (0..count).for_each(|_| self.return_token(asked + rules.token_ttl()));
+    pub fn add(&mut self, count: u32, requested_at: Duration, config: &RateLimitConfig) {
+        (0..count).for_each(|_| self.return_token(requested_at + config.token_ttl()));
     }
 
-    fn needed(&self, now: Duration) -> f64 {
-        let (needed, at) = self.needed;
-        let passed = now.saturating_sub(at).div_duration_f64(DEMAND_TIME);
-        needed * (-passed).exp()
+    fn demand(&self, now: Duration) -> f64 {
+        let (demand, at) = self.demand;
+        let passed = now.saturating_sub(at).div_duration_f64(DEMAND_DECAY);
+        demand * (-passed).exp()
     }
 }
--- a/crates/admit/src/direct/ranks.rs
+++ b/crates/admit/src/direct/ranks.rs
@@ -6,41 +6,42 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// Weight of the newest request in a rank's share.
-const WEIGHT: f64 = 1.0 / 16.0;
+const EWMA_WEIGHT: f64 = 1.0 / 16.0;
 
 /// Time in which a share that is not renewed falls to a third.
-const FADE: Duration = Duration::from_secs(2);
+const DECAY_TIME: Duration = Duration::from_secs(2);
 
 /// Share of refusals among the more urgent at which the less urgent leave them all queues.
-const WHOLE: f64 = 0.1;
+const FULL_SHEDDING_FRACTION: f64 = 0.1;
 
 /// Part of the less urgent that are treated as the most urgent ones are. Without it they would not be
 /// served at all for as long as the more urgent alone fill the targets.
-pub(super) const EQUAL_PART: f64 = 1.0 / 3.0;
+pub(super) const EQUAL_FRACTION: f64 = 1.0 / 3.0;
 
 /// Share of requests that found no room.
 #[derive(Clone, Copy, Debug, Default)]
-struct Refused {
+struct RefusalRate {
     share: f64,
     at: Duration,
 }
 
-impl Refused {
-    fn note(&mut self, is_refused: bool, now: Duration) {
-        self.share = self.faded(now) * (1.0 - WEIGHT) + f64::from(u8::from(is_refused)) * WEIGHT;
+impl RefusalRate {
+    fn record(&mut self, is_refused: bool, now: Duration) {
+        self.share =
+            self.decayed(now) * (1.0 - EWMA_WEIGHT) + f64::from(u8::from(is_refused)) * EWMA_WEIGHT;
         self.at = now;
     }
 
-    fn faded(&self, now: Duration) -> f64 {
+    fn decayed(&self, now: Duration) -> f64 {
         let since = now.saturating_sub(self.at);
-        self.share * (-since.div_duration_f64(FADE)).exp()
+        self.share * (-since.div_duration_f64(DECAY_TIME)).exp()
     }
 }
 
 /// What a service's requests found lately, by rank; 0 is the most urgent.
 #[derive(Clone, Debug, Default)]
 pub struct PriorityShedder {
-    refused: BTreeMap<u8, Refused>,
+    refused: BTreeMap<u8, RefusalRate>,
 }
 
 impl PriorityShedder {
@@ -51,7 +52,10 @@
 
     /// Notes whether a request was refused for want of room.
     pub fn record(&mut self, rank: u8, is_refused: bool, now: Duration) {
-        self.refused.entry(rank).or_default().note(is_refused, now);
+        self.refused
+            .entry(rank)
+            .or_default()
+            .record(is_refused, now);
     }
 
     /// Requests that a target with `slots` may have for one of `rank` to be sent to it, where one of the
@@ -59,18 +63,18 @@
     pub fn concurrency_limit(
         &self,
         rank: u8,
-        room: u32,
+        limit: u32,
         slots: u32,
         draw: f64,
         now: Duration,
     ) -> u32 {
-        if draw < EQUAL_PART {
-            return room;
+        if draw < EQUAL_FRACTION {
+            return limit;
         }
-        let urgent = self.refused.range(..rank);
-        let most = urgent.map(|(_, r)| r.faded(now)).fold(0.0, f64::max);
-        let left = 1.0 - (most / WHOLE).min(1.0);
-        let queue = f64::from(room.saturating_sub(slots));
-        slots + (queue * left).ceil() as u32
+        let higher = self.refused.range(..rank);
+        let highest = higher.map(|(_, r)| r.decayed(now)).fold(0.0, f64::max);
+        let remaining = 1.0 - (highest / FULL_SHEDDING_FRACTION).min(1.0);
+        let queue = f64::from(limit.saturating_sub(slots));
+        slots + (queue * remaining).ceil() as u32
     }
 }
--- a/crates/admit/src/direct/recent_hosts.rs
+++ b/crates/admit/src/direct/recent_hosts.rs
@@ -9,13 +9,13 @@
 /// How long a host counts after its entry vanished. What it spent stays in the windows of the bounds
 /// for ten seconds; a store that turns some hosts away is usually back within a minute. A host that
 /// is gone for good makes the parts of the others smaller for this long, and nothing else.
-const MEMORY: Duration = Duration::from_secs(60);
+const KEEP_TIME: Duration = Duration::from_secs(60);
 
 /// Hosts that share bounds, as the hashes of their names.
 #[derive(Clone, Debug, Default)]
 pub struct RecentHosts {
     /// When each was last listed.
-    listed: BTreeMap<u64, Duration>,
+    last_listed: BTreeMap<u64, Duration>,
 }
 
 impl RecentHosts {
@@ -29,8 +29,8 @@
     /// To be called with each change of the list. `before` are the hosts that were listed until now.
     pub fn update(&mut self, before: &[u64], now_listed: &[u64], now: Duration) -> Vec<u64> {
         let seen = before.iter().chain(now_listed);
-        self.listed.extend(seen.map(|host| (*host, now)));
-        self.listed.retain(|_, at| *at + MEMORY > now);
-        self.listed.keys().copied().collect()
+        self.last_listed.extend(seen.map(|host| (*host, now)));
+        self.last_listed.retain(|_, at| *at + KEEP_TIME > now);
+        self.last_listed.keys().copied().collect()
     }
 }
--- a/crates/admit/src/direct/retry_budget.rs
+++ b/crates/admit/src/direct/retry_budget.rs
@@ -12,21 +12,21 @@
     time::Duration,
 };
 
-use super::ranks::EQUAL_PART;
+use super::ranks::EQUAL_FRACTION;
 
 /// Slices of the window; a run is forgotten at most one slice late.
-const SLICES: u32 = 10;
+const WINDOW_BUCKETS: u32 = 10;
 
 /// Part of the bound that is spent: hosts that join are known to others a little later, and until
 /// then the parts of all add up to more than the whole.
-const SPENT: f64 = 0.8;
+const UTILIZATION: f64 = 0.8;
 
 /// Part of the bound that is spent within the first window of a host's life.
 ///
 /// A host that was killed may have spent its whole part a moment before, and its successor does not
 /// know: killed while targets shed, all hosts together made up to 1.2 times the second runs allowed.
 /// What a killed host may have spent and this part are the whole bound.
-const FRESH_SPENT: f64 = 1.0 - SPENT;
+const RESTARTED_UTILIZATION: f64 = 1.0 - UTILIZATION;
 
 /// The bound for all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -41,27 +41,27 @@
 
 /// Second runs of one rank.
 #[derive(Clone, Copy, Debug, Default)]
-struct Repeats {
-    asked: u32,
+struct RetryCounts {
+    requested: u32,
     /// Never more than were asked for.
-    given: u32,
+    granted: u32,
 }
 
 /// Runs that began within a part of the window.
 #[derive(Clone, Debug, Default)]
-struct Slice {
+struct Bucket {
     start: Duration,
-    first: u32,
-    repeats: BTreeMap<u8, Repeats>,
+    requests: u32,
+    retries: BTreeMap<u8, RetryCounts>,
 }
 
 /// First and second runs of one service in the last window, at one host.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     /// When the host started, if another process may have spent its part before.
-    since: Option<Duration>,
+    restarted_at: Option<Duration>,
     /// Oldest first.
-    slices: VecDeque<Slice>,
+    buckets: VecDeque<Bucket>,
 }
 
 impl RetryBudget {
@@ -72,16 +72,16 @@
 
     /// Opens the budget of a host that started at `since`, and may be the successor of one that was
     /// killed.
-    pub fn open_restarted(since: Duration) -> RetryBudget {
+    pub fn open_restarted(restarted_at: Duration) -> RetryBudget {
         RetryBudget {
-            since: Some(since),
+            restarted_at: Some(restarted_at),
             ..RetryBudget::default()
         }
     }
 
     /// Notes a request that a caller sent.
-    pub fn record_request(&mut self, rules: &RetryLimits, now: Duration) {
-        self.slice(rules, now).first += 1;
+    pub fn record_request(&mut self, limits: &RetryLimits, now: Duration) {
+        self.bucket(limits, now).requests += 1;
     }
 
     /// Takes a second run for a request of `rank` if this host's part has one left, and the more urgent
@@ -89,75 +89,81 @@
     /// in 0 to 1.
     pub fn try_retry(
         &mut self,
-        rules: &RetryLimits,
+        limits: &RetryLimits,
         hosts: usize,
         rank: u8,
         draw: f64,
         now: Duration,
     ) -> bool {
-        self.of_rank(rules, rank, now).asked += 1;
-        let most = self.most(rules, hosts, now);
-        let spent = self.sum(|_, repeats| repeats.given);
-        let kept = self.sum(|other, repeats| match other < rank {
-            true => repeats.asked,
-            false => repeats.given,
+        self.counts_of(limits, rank, now).requested += 1;
+        let max_retries = self.max_retries(limits, hosts, now);
+        let granted_total = self.sum(|_, retries| retries.granted);
+        let reserved = self.sum(|other, retries| match other < rank {
+            true => retries.requested,
+            false => retries.granted,
         });
-        let taken = if draw < EQUAL_PART { spent } else { kept };
-        if f64::from(taken + 1) > most {
+        let taken = if draw < EQUAL_FRACTION {
+            granted_total
+        } else {
+            reserved
+        };
+        if f64::from(taken + 1) > max_retries {
             return false;
         }
-        self.of_rank(rules, rank, now).given += 1;
+        self.counts_of(limits, rank, now).granted += 1;
         true
     }
 
     /// Second runs in the window that this host's part allows.
-    fn most(&self, rules: &RetryLimits, hosts: usize, now: Duration) -> f64 {
-        let first: u32 = self.slices.iter().map(|s| s.first).sum();
-        let slack = rules.slack / hosts.max(1) as f64;
-        let ratio = f64::from(first) * rules.ratio;
-        match self.fresh_for(rules, now) {
-            None => SPENT * (ratio + slack),
+    fn max_retries(&self, limits: &RetryLimits, hosts: usize, now: Duration) -> f64 {
+        let requests: u32 = self.buckets.iter().map(|s| s.requests).sum();
+        let slack = limits.slack / hosts.max(1) as f64;
+        let ratio = f64::from(requests) * limits.ratio;
+        match self.age_if_restarted(limits, now) {
+            None => UTILIZATION * (ratio + slack),
             // The slack grows: killed time and again, a host has in all no more of it than one that
             // lives on.
-            Some(lived) => FRESH_SPENT * (ratio + slack * lived.div_duration_f64(rules.window)),
+            Some(age) => {
+                RESTARTED_UTILIZATION * (ratio + slack * age.div_duration_f64(limits.window))
+            }
         }
     }
 
     /// Adds up what the window holds of each rank.
-    fn sum(&self, part: impl Fn(u8, &Repeats) -> u32) -> u32 {
-        let all = self.slices.iter().flat_map(|s| &s.repeats);
-        all.map(|(rank, repeats)| part(*rank, repeats)).sum()
+    fn sum(&self, count: impl Fn(u8, &RetryCounts) -> u32) -> u32 {
+        let all = self.buckets.iter().flat_map(|s| &s.retries);
+        all.map(|(rank, retries)| count(*rank, retries)).sum()
     }
 
     /// Time that a host has lived which may succeed a killed one, while what that one spent may still
     /// be in the window.
-    fn fresh_for(&self, rules: &RetryLimits, now: Duration) -> Option<Duration> {
-        let lived = now.saturating_sub(self.since?);
-        (lived < rules.window).then_some(lived)
+    fn age_if_restarted(&self, limits: &RetryLimits, now: Duration) -> Option<Duration> {
+        let age = now.saturating_sub(self.restarted_at?);
+        (age < limits.window).then_some(age)
     }
 
     /// What the slice of `now` holds of a rank.
-    fn of_rank(&mut self, rules: &RetryLimits, rank: u8, now: Duration) -> &mut Repeats {
-        self.slice(rules, now).repeats.entry(rank).or_default()
+    fn counts_of(&mut self, limits: &RetryLimits, rank: u8, now: Duration) -> &mut RetryCounts {
+        self.bucket(limits, now).retries.entry(rank).or_default()
     }
 
     /// The slice of `now`; those that left the window go.
-    fn slice(&mut self, rules: &RetryLimits, now: Duration) -> &mut Slice {
-        let length = rules.window / SLICES;
+    fn bucket(&mut self, limits: &RetryLimits, now: Duration) -> &mut Bucket {
+        let length = limits.window / WINDOW_BUCKETS;
         while self
-            .slices
+            .buckets
             .front()
-            .is_some_and(|s| s.start + rules.window + length <= now)
+            .is_some_and(|s| s.start + limits.window + length <= now)
         {
-            self.slices.pop_front();
+            self.buckets.pop_front();
         }
-        if self.slices.back().is_none_or(|s| s.start + length <= now) {
-            self.slices.push_back(Slice {
+        if self.buckets.back().is_none_or(|s| s.start + length <= now) {
+            self.buckets.push_back(Bucket {
                 start: now,
-                ..Slice::default()
+                ..Bucket::default()
             });
         }
-        let last = self.slices.len() - 1;
-        &mut self.slices[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 }
--- a/crates/admit/src/fair_queue/clock_sketch.rs
+++ b/crates/admit/src/fair_queue/clock_sketch.rs
@@ -27,7 +27,7 @@
 
     /// The clock of an id, or a later one if others share its cells.
     pub(crate) fn read(&self, id: u64) -> u64 {
-        self.spots(id)
+        self.cells_of(id)
             .map(|i| self.cells[i])
             .into_iter()
             .min()
@@ -36,14 +36,14 @@
 
     /// Moves the clock of an id forward to `to`.
     pub(crate) fn raise(&mut self, id: u64, to: u64) {
-        for i in self.spots(id) {
+        for i in self.cells_of(id) {
             self.cells[i] = self.cells[i].max(to);
         }
     }
 
     /// Takes back the last raise of an id, unless it or others have raised its cells since.
     pub(crate) fn lower(&mut self, id: u64, from: u64, to: u64) {
-        for i in self.spots(id) {
+        for i in self.cells_of(id) {
             if self.cells[i] == from {
                 self.cells[i] = to;
             }
@@ -56,7 +56,7 @@
         self.seed = self.seed.wrapping_add(1);
     }
 
-    fn spots(&self, id: u64) -> [usize; ROWS] {
+    fn cells_of(&self, id: u64) -> [usize; ROWS] {
         let hash = mix(id ^ self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         std::array::from_fn(|row| row * CELLS + (hash >> (16 * row)) as usize % CELLS)
     }
--- a/crates/admit/src/fair_queue/mod.rs
+++ b/crates/admit/src/fair_queue/mod.rs
@@ -12,4 +12,4 @@
 mod clock_sketch;
 mod queue;
 
-pub(crate) use self::queue::{FairQueue, Slot};
+pub(crate) use self::queue::{FairQueue, QueueKey};
--- a/crates/admit/src/fair_queue/queue.rs
+++ b/crates/admit/src/fair_queue/queue.rs
@@ -7,14 +7,14 @@
 /// A key may have this many times the share of a caller before it ranks behind: callers are who
 /// pays, keys are only what is popular. With 1 a heavy caller who asks for the same key as everybody
 /// pushes the others back, with 16 it hardly does, and a hot key is held back as well.
-const KEY_SHARE: u64 = 16;
+const KEY_WEIGHT: u64 = 16;
 
 /// Seconds of queueing over which the speed of the clock is averaged.
-const MEMORY: f64 = 0.2;
+const RATE_WINDOW: f64 = 0.2;
 
 /// A place in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Slot {
+pub(crate) struct QueueKey {
     /// Virtual start time, in microseconds of work.
     pub(crate) rank: u64,
     /// Order of arrival among equal ranks.
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    slot: Slot,
+    queue_key: QueueKey,
     ticket: u64,
     work: u64,
     charge: Option<Charge>,
@@ -43,31 +43,31 @@
 /// The jump of the clock when the queue runs empty counts too: without it only the queues that
 /// last would be measured, and callers would be refused for waits that never come.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
+struct ClockRate {
     /// Clock and time when it was last looked at.
     mark: Option<(u64, Duration)>,
     /// Way of the clock, in microseconds of work, of late.
-    way: f64,
+    distance: f64,
     /// Time that it took, in seconds.
     time: f64,
 }
 
-impl Pace {
-    fn note(&mut self, clock: u64, now: Duration) {
+impl ClockRate {
+    fn record(&mut self, clock: u64, now: Duration) {
         if let Some((from, since)) = self.mark {
-            self.way += (clock - from) as f64;
+            self.distance += (clock - from) as f64;
             self.time += now.saturating_sub(since).as_secs_f64();
         }
         self.mark = Some((clock, now));
-        if self.time > MEMORY {
-            self.way /= 2.0;
+        if self.time > RATE_WINDOW {
+            self.distance /= 2.0;
             self.time /= 2.0;
         }
     }
 
     /// Units of the clock per second.
-    fn speed(&self) -> Option<f64> {
-        (self.time > MEMORY / 10.0).then(|| (self.way / self.time).max(1.0))
+    fn per_second(&self) -> Option<f64> {
+        (self.time > RATE_WINDOW / 10.0).then(|| (self.distance / self.time).max(1.0))
     }
 }
 
@@ -80,10 +80,10 @@
     /// Rank of the request that was started last.
     clock: u64,
     /// Latest rank ever given, to which the clock jumps when the queue has run empty.
-    top: u64,
+    max_rank: u64,
     seq: u64,
     total: u64,
-    pace: Pace,
+    clock_rate: ClockRate,
     callers: Sketch,
     keys: Sketch,
 }
@@ -93,10 +93,10 @@
         Self {
             list: VecDeque::new(),
             clock: 0,
-            top: 0,
+            max_rank: 0,
             seq: 0,
             total: 0,
-            pace: Pace::default(),
+            clock_rate: ClockRate::default(),
             callers: Sketch::open(seed),
             keys: Sketch::open(!seed),
         }
@@ -124,57 +124,60 @@
 
     /// Number of requests and work, in microseconds, that are served before this rank.
     pub(crate) fn ahead(&self, rank: u64) -> (usize, u64) {
-        let n = self.list.partition_point(|e| e.slot.rank <= rank);
+        let n = self.list.partition_point(|e| e.queue_key.rank <= rank);
         let work = self.total * n as u64 / self.list.len().max(1) as u64;
         (n, work)
     }
 
     /// Adds a request and charges its caller and its key.
-    pub(crate) fn push(&mut self, ticket: u64, caller: u64, key: u64, work: u64) -> Slot {
+    pub(crate) fn push(&mut self, ticket: u64, caller: u64, key: u64, work: u64) -> QueueKey {
         let rank = self.rank(caller, key);
         let work = work.max(1);
-        let own = self.clock.max(self.callers.read(caller));
-        self.callers.raise(caller, own + work);
+        let caller_start = self.clock.max(self.callers.read(caller));
+        self.callers.raise(caller, caller_start + work);
         // A request that waits behind its caller's own backlog takes up its key's turn only later
         // and less often. Charged in full, a heavy caller would push back everybody else who asks
         // for the same key.
-        let lead = (own - self.clock) / work;
-        let charge = work / KEY_SHARE / (1 + lead);
-        let spot = self.clock.max(self.keys.read(key));
-        self.keys.raise(key, spot + charge);
-        self.top = self.top.max(own + work).max(spot + charge);
+        let lead = (caller_start - self.clock) / work;
+        let charge = work / KEY_WEIGHT / (1 + lead);
+        let key_start = self.clock.max(self.keys.read(key));
+        self.keys.raise(key, key_start + charge);
+        self.max_rank = self
+            .max_rank
+            .max(caller_start + work)
+            .max(key_start + charge);
         let charge = Charge {
             caller,
-            callers: (own, own + work),
+            callers: (caller_start, caller_start + work),
             key,
-            keys: (spot, spot + charge),
+            keys: (key_start, key_start + charge),
         };
         self.insert(ticket, rank, work, Some(charge))
     }
 
     /// Adds a request at the head, without a charge: it had its turn and has to be run again.
-    pub(crate) fn push_front(&mut self, ticket: u64, work: u64) -> Slot {
+    pub(crate) fn push_front(&mut self, ticket: u64, work: u64) -> QueueKey {
         self.insert(ticket, self.clock, work.max(1), None)
     }
 
-    fn insert(&mut self, ticket: u64, rank: u64, work: u64, charge: Option<Charge>) -> Slot {
+    fn insert(&mut self, ticket: u64, rank: u64, work: u64, charge: Option<Charge>) -> QueueKey {
         self.seq += 1;
-        let slot = Slot {
+        let queue_key = QueueKey {
             rank,
             seq: self.seq,
         };
-        let at = self.list.partition_point(|e| e.slot < slot);
+        let at = self.list.partition_point(|e| e.queue_key < queue_key);
         self.list.insert(
             at,
             Entry {
-                slot,
+                queue_key,
                 ticket,
                 work,
                 charge,
             },
         );
         self.total += work;
-        slot
+        queue_key
     }
 
     /// The ticket at a place from the head.
@@ -184,48 +187,51 @@
 
     /// Rank and ticket of the request that would be served last.
     pub(crate) fn last(&self) -> Option<(u64, u64)> {
-        self.list.back().map(|e| (e.slot.rank, e.ticket))
+        self.list.back().map(|e| (e.queue_key.rank, e.ticket))
     }
 
     /// Time until the clock reaches a rank at its present speed.
     ///
     /// Those who wait now are not all who are served before: callers with earlier clocks will
     /// still come. Where every caller offers more than its share, half of what is served comes so.
-    pub(crate) fn reach(&self, rank: u64) -> Duration {
+    pub(crate) fn time_to_reach(&self, rank: u64) -> Duration {
         let lead = rank.saturating_sub(self.clock) as f64;
-        match self.pace.speed() {
-            Some(speed) if lead > 0.0 => Duration::from_secs_f64((lead / speed).min(1e6)),
+        match self.clock_rate.per_second() {
+            Some(per_second) if lead > 0.0 => Duration::from_secs_f64((lead / per_second).min(1e6)),
             _ => Duration::ZERO,
         }
     }
 
     /// Removes a request that starts now: the pool's clock moves to its rank.
-    pub(crate) fn start(&mut self, slot: Slot, now: Duration) {
-        self.clock = self.clock.max(slot.rank);
-        self.pace.note(self.clock, now);
-        self.take(slot);
+    pub(crate) fn start(&mut self, queue_key: QueueKey, now: Duration) {
+        self.clock = self.clock.max(queue_key.rank);
+        self.clock_rate.record(self.clock, now);
+        self.take(queue_key);
         if self.list.is_empty() {
-            self.pace.note(self.clock, now);
-            self.pace.mark = None;
+            self.clock_rate.record(self.clock, now);
+            self.clock_rate.mark = None;
         }
     }
 
     /// Removes a request that leaves without having been started, and takes back its charge:
     /// otherwise a caller would pay for work that it did not get.
-    pub(crate) fn remove(&mut self, slot: Slot) {
-        if let Some(c) = self.take(slot).and_then(|e| e.charge) {
+    pub(crate) fn remove(&mut self, queue_key: QueueKey) {
+        if let Some(c) = self.take(queue_key).and_then(|e| e.charge) {
             self.callers.lower(c.caller, c.callers.1, c.callers.0);
             self.keys.lower(c.key, c.keys.1, c.keys.0);
         }
     }
 
-    fn take(&mut self, slot: Slot) -> Option<Entry> {
-        let at = self.list.binary_search_by_key(&slot, |e| e.slot).ok()?;
+    fn take(&mut self, queue_key: QueueKey) -> Option<Entry> {
+        let at = self
+            .list
+            .binary_search_by_key(&queue_key, |e| e.queue_key)
+            .ok()?;
         let entry = self.list.remove(at)?;
         self.total -= entry.work;
         if self.list.is_empty() {
-            self.clock = self.clock.max(self.top);
-            self.pace.mark = None;
+            self.clock = self.clock.max(self.max_rank);
+            self.clock_rate.mark = None;
             self.callers.reseed();
             self.keys.reseed();
         }
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -72,5 +72,5 @@
         PoolConfig, PoolState, RefusalReason, TargetSpec, TargetState,
     },
     pool_choice::{PoolCandidate, choose_pool},
-    quarantine::{Quarantine, QuarantineStatus, QuarantineUpdate, Victim},
+    quarantine::{CrashedRun, Quarantine, QuarantineStatus, QuarantineUpdate},
 };
--- a/crates/admit/src/pool/admit.rs
+++ b/crates/admit/src/pool/admit.rs
@@ -17,32 +17,32 @@
 
 /// Deviations of the sum of the service times ahead that are added to the expected wait. At 1, one
 /// admitted request in six would wait longer than estimated; at 2, one in forty.
-const SPREAD: f64 = 2.0;
+const WAIT_DEVIATIONS: f64 = 2.0;
 
 /// How much better a claim has to be to push another out, in requests of its own kind.
-const CLAIM: u64 = 1;
+const MIN_ADVANTAGE: u64 = 1;
 
 /// Most that requests which are still to come may add to the wait behind those that are here, as a
 /// multiple of it. The speed of the queue's clock is measured while there is a queue; a queue of a
 /// few requests is gone before the clock gets to a rank at that speed.
-const OVERTAKEN: f64 = 3.0;
+const MAX_OVERTAKING: f64 = 3.0;
 
 /// Least time after which a refused caller is asked to come back. Less would let refused callers
 /// make more load than the work itself.
-const RETRY_MIN: Duration = Duration::from_millis(50);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Longest time after which a refused caller is asked to come back.
-const RETRY_MAX: Duration = Duration::from_secs(30);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// What a request that came now would meet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Wait {
     /// Time until what waits and ranks before it has been started.
-    pub(super) here: Duration,
+    pub(super) current: Duration,
     /// Expected wait, with those who are still to come.
     pub(super) mean: Duration,
     /// Wait that is rarely exceeded.
-    pub(super) most: Duration,
+    pub(super) upper: Duration,
 }
 
 impl Pool {
@@ -50,7 +50,7 @@
     ///
     /// A refusal is final: the request has not run and will not.
     pub fn offer(&mut self, offer: Offer, now: Duration) -> Decision {
-        self.targets.refresh(&self.rules, now);
+        self.targets.refresh(&self.config, now);
         let estimate = self.kinds.estimate(offer.kind);
         let class = self.class(estimate.mean);
         if let Err(reason) = self.check(&offer, now) {
@@ -62,7 +62,7 @@
         }
         let request = Request::open(offer, class, estimate);
         if self.quarantine.status(request.fingerprint, now) == Some(QuarantineStatus::Suspect) {
-            return self.offer_trial(request, now);
+            return self.offer_suspect(request, now);
         }
         match self.place_now(&request, now) {
             Some(at) => self.start_offered(request, at, now),
@@ -84,7 +84,7 @@
         if now + self.kinds.estimate(offer.kind).mean > offer.deadline {
             return Err(RefusalReason::DeadlineExceeded);
         }
-        if !offer.tried.is_empty() && !self.budget.spend() {
+        if !offer.tried.is_empty() && !self.budget.try_spend() {
             return Err(RefusalReason::RetryBudget);
         }
         Ok(())
@@ -98,11 +98,12 @@
         if !self.queues[request.class as usize].is_empty() {
             return None;
         }
-        let room = self.room(now);
-        if request.class == Class::Long && !room.long_fits() {
+        let slot_shares = self.slot_shares(now);
+        if request.class == Class::Long && !slot_shares.long_may_start() {
             return None;
         }
-        self.targets.place(&request.ask(self.strain(), now), now)
+        self.targets
+            .place(&request.placement_request(self.depth_per_slot(), now), now)
     }
 
     fn start_offered(&mut self, request: Request, at: usize, now: Duration) -> Decision {
@@ -110,7 +111,7 @@
         self.tickets.insert(ticket, request);
         let target = self.run(ticket, at, now);
         self.counts.started += 1;
-        self.budget.earn();
+        self.budget.record_request();
         Decision::Start { target }
     }
 
@@ -119,29 +120,29 @@
         let queue = &self.queues[request.class as usize];
         let rank = queue.rank(request.caller, request.key);
         let wait = self.wait(request.class, rank, now);
-        if wait.most > self.rules.standing {
-            self.strains[request.class as usize].note(now);
+        if wait.upper > self.config.overload_wait {
+            self.overloads[request.class as usize].record(now);
         }
-        let patience = self.patience(request.class, request.estimate.mean, now);
-        request.wait(patience, now);
+        let max_wait = self.max_wait(request.class, request.estimate.mean, now);
+        request.wait(max_wait, now);
         // The deadline is the caller's and has to hold; patience only bounds the queue.
-        let late = now + wait.most + request.estimate.tail > request.deadline;
-        if late || now + wait.mean > request.latest {
-            let over = (now + wait.most).saturating_sub(request.latest);
-            return self.refused(request.reason, bounded(over));
+        let late = now + wait.upper + request.estimate.tail > request.deadline;
+        if late || now + wait.mean > request.start_by {
+            let over = (now + wait.upper).saturating_sub(request.start_by);
+            return self.refused(request.reason, clamp_retry_after(over));
         }
-        if self.crowded(&request, rank, now) {
-            return self.refused(request.reason, bounded(wait.mean));
+        if self.is_queue_full_for(&request, rank, now) {
+            return self.refused(request.reason, clamp_retry_after(wait.mean));
         }
-        if self.waiting() >= self.rules.max_queued && !self.displace(request.class, rank, now) {
+        if self.waiting() >= self.config.max_queued && !self.evict_worst(request.class, rank, now) {
             let retry_after = self.retry_after(RefusalReason::QueueFull, request.fingerprint, now);
             return self.refused(RefusalReason::QueueFull, retry_after);
         }
         let work = request.estimate.mean.as_micros() as u64;
         let (ticket, caller, key) = (request.ticket, request.caller, request.key);
-        let slot = self.queues[request.class as usize].push(ticket, caller, key, work);
-        request.place = Place::Queued(slot);
-        self.due.insert((request.latest, ticket));
+        let queue_key = self.queues[request.class as usize].push(ticket, caller, key, work);
+        request.place = Place::Queued(queue_key);
+        self.start_deadlines.insert((request.start_by, ticket));
         let class = request.class;
         self.tickets.insert(ticket, request);
         self.trim(class, now);
@@ -153,17 +154,17 @@
     ///
     /// If only its own rank counted, equal callers would be let in ahead of each other all the
     /// time, and half of those let in would be refused after waiting in vain.
-    fn crowded(&mut self, request: &Request, rank: u64, now: Duration) -> bool {
+    fn is_queue_full_for(&mut self, request: &Request, rank: u64, now: Duration) -> bool {
         let class = request.class;
         let Some((last, ticket)) = self.queues[class as usize].last() else {
             return false;
         };
-        let wait = self.wait(class, last.max(rank), now).here;
-        if now + wait <= request.latest {
+        let wait = self.wait(class, last.max(rank), now).current;
+        if now + wait <= request.start_by {
             return false;
         }
         let work = request.estimate.mean.as_micros() as u64;
-        if last < rank + CLAIM * work {
+        if last < rank + MIN_ADVANTAGE * work {
             return true;
         }
         let reason = self
@@ -182,7 +183,7 @@
                 return;
             };
             let reason = request.reason;
-            if now + self.wait(class, rank, now).here <= request.latest {
+            if now + self.wait(class, rank, now).current <= request.start_by {
                 return;
             }
             self.refuse(ticket, reason, now);
@@ -191,7 +192,7 @@
 
     /// Makes room in a full queue for a request of this rank: the request that would be served
     /// last leaves. Without this a heavy caller who came first would keep everybody else out.
-    fn displace(&mut self, class: Class, rank: u64, now: Duration) -> bool {
+    fn evict_worst(&mut self, class: Class, rank: u64, now: Duration) -> bool {
         let other = match class {
             Class::Short => Class::Long,
             Class::Long => Class::Short,
@@ -212,28 +213,34 @@
     /// The wait of a request with this rank.
     pub(super) fn wait(&self, class: Class, rank: u64, now: Duration) -> Wait {
         let other = &self.queues[1 - class as usize];
-        let slots = f64::from(self.room(now).serving(class, !other.is_empty()));
+        let slots = f64::from(self.slot_shares(now).serving(class, !other.is_empty()));
         let (n, work) = self.queues[class as usize].ahead(rank);
         let ahead = work as f64 / 1e6;
         let first = self.first_free(class);
-        let reach = self.queues[class as usize].reach(rank).as_secs_f64();
+        let reach = self.queues[class as usize]
+            .time_to_reach(rank)
+            .as_secs_f64();
         let here = first + ahead / slots;
-        let mean = here.max(reach.min(here * OVERTAKEN));
+        let mean = here.max(reach.min(here * MAX_OVERTAKING));
         let each = if n == 0 {
             0.0
         } else {
             ahead / n as f64 / slots
         };
-        let spread = SPREAD * first.max(each * (n as f64).sqrt());
+        let spread = WAIT_DEVIATIONS * first.max(each * (n as f64).sqrt());
         // With no slot at all, nothing moves until the limits change.
         let still = match self.targets.slots() {
-            0 => self.targets.until().unwrap_or(now).saturating_sub(now),
+            0 => self
+                .targets
+                .next_change()
+                .unwrap_or(now)
+                .saturating_sub(now),
             _ => Duration::ZERO,
         };
         Wait {
-            here: still + Duration::from_secs_f64(here),
+            current: still + Duration::from_secs_f64(here),
             mean: still + Duration::from_secs_f64(mean),
-            most: still + Duration::from_secs_f64(mean + spread),
+            upper: still + Duration::from_secs_f64(mean + spread),
         }
     }
 
@@ -242,13 +249,14 @@
     /// A class waits for its own runs and for those of the other, whichever end sooner: pages that
     /// turn over a few slots in milliseconds do not wait for the summaries in the rest.
     fn first_free(&self, class: Class) -> f64 {
-        let turn = |i: usize| self.load[i] as f64 / 1e6 / f64::from(self.busy[i].max(1)).powi(2);
+        let slot_interval =
+            |i: usize| self.load[i] as f64 / 1e6 / f64::from(self.busy[i].max(1)).powi(2);
         let (own, other) = (class as usize, 1 - class as usize);
         match (self.busy[own], self.busy[other]) {
             (0, 0) => 0.0,
-            (0, _) => turn(other),
-            (_, 0) => turn(own),
-            _ => turn(own).min(turn(other)),
+            (0, _) => slot_interval(other),
+            (_, 0) => slot_interval(own),
+            _ => slot_interval(own).min(slot_interval(other)),
         }
     }
 
@@ -272,9 +280,9 @@
             RefusalReason::Quarantined => return self.quarantine.remaining(fingerprint, now),
             RefusalReason::NoTarget => Duration::from_secs(1),
             RefusalReason::RetryBudget => {
-                self.turn() * (1.0 / self.rules.retry_share.max(0.01)) as u32
+                self.slot_interval() * (1.0 / self.config.retry_ratio.max(0.01)) as u32
             }
-            RefusalReason::DuplicateTicket => self.turn(),
+            RefusalReason::DuplicateTicket => self.slot_interval(),
             // Half of what waits has then been served.
             RefusalReason::DeadlineExceeded
             | RefusalReason::QueueFull
@@ -287,10 +295,10 @@
                 self.wait(Class::Long, rank.unwrap_or(0), now).mean / 2
             }
         };
-        bounded(time)
+        clamp_retry_after(time)
     }
 }
 
-pub(super) fn bounded(time: Duration) -> Duration {
-    time.clamp(RETRY_MIN, RETRY_MAX)
+pub(super) fn clamp_retry_after(time: Duration) -> Duration {
+    time.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
--- a/crates/admit/src/pool/config.rs
+++ b/crates/admit/src/pool/config.rs
@@ -12,9 +12,9 @@
     pub max_wait: Duration,
     /// The same once waits have been long for `burst`: the overload lasts, and a longer wait would
     /// add to each answer without adding one answer.
-    pub standing: Duration,
+    pub overload_wait: Duration,
     /// Longest time that a burst and the queue it leaves may take.
-    pub burst: Duration,
+    pub burst_time: Duration,
     /// Work expected to take up to this long is short; the rest is long.
     pub short_max: Duration,
     /// Share of the slots, 0 to 1, that short work is sure of while it competes with long work.
@@ -22,17 +22,17 @@
     /// Slots kept free of long work for each slot that short work has lately needed.
     pub reserve: f64,
     /// Guess of the service time of a kind of request that has not been seen yet.
-    pub guess: Duration,
+    pub initial_estimate: Duration,
     /// Time in which a cold target's slots grow from one to all.
-    pub ramp: Duration,
+    pub ramp_time: Duration,
     /// A target this many times slower than expected is ejected.
-    pub slow: f64,
+    pub eject_ratio: f64,
     /// Time a slow target stays ejected before it is probed; doubles at each failed probe.
-    pub eject: Duration,
+    pub eject_time: Duration,
     /// Reruns and hedges allowed for each first run, 0 to 1.
-    pub retry_share: f64,
+    pub retry_ratio: f64,
     /// Time for which a report may hold back what a target is given.
-    pub report_life: Duration,
+    pub report_ttl: Duration,
     /// Seed of the hashing that spreads callers and keys.
     pub seed: u64,
 }
@@ -42,17 +42,17 @@
         Self {
             max_queued: 512,
             max_wait: Duration::from_millis(250),
-            standing: Duration::from_millis(50),
-            burst: Duration::from_millis(500),
+            overload_wait: Duration::from_millis(50),
+            burst_time: Duration::from_millis(500),
             short_max: Duration::from_millis(100),
             short_share: 0.5,
             reserve: 1.0,
-            guess: Duration::from_millis(20),
-            ramp: Duration::from_secs(2),
-            slow: 3.0,
-            eject: Duration::from_secs(5),
-            retry_share: 0.1,
-            report_life: Duration::from_secs(1),
+            initial_estimate: Duration::from_millis(20),
+            ramp_time: Duration::from_secs(2),
+            eject_ratio: 3.0,
+            eject_time: Duration::from_secs(5),
+            retry_ratio: 0.1,
+            report_ttl: Duration::from_secs(1),
             seed: 1,
         }
     }
--- a/crates/admit/src/pool/finish.rs
+++ b/crates/admit/src/pool/finish.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
-    Action, Completion, Outcome, Pool, QuarantineStatus, Victim,
+    Action, Completion, CrashedRun, Outcome, Pool, QuarantineStatus,
     pool::request::{Place, Run},
     target::Finished,
 };
@@ -20,10 +20,10 @@
         let Some(run) = self.end_run(ticket, target, outcome, now) else {
             return Completion::Stale;
         };
-        if outcome == Outcome::Died && !run.dead {
-            self.died(run, ticket, now);
+        if outcome == Outcome::Died && !run.crash_counted {
+            self.record_crash(run, ticket, now);
         }
-        self.targets.refresh(&self.rules, now);
+        self.targets.refresh(&self.config, now);
         self.conclude(ticket, run, outcome, now)
     }
 
@@ -51,22 +51,22 @@
             outcome,
             ratio,
         };
-        let usual = self.targets.finish(&end, &self.rules, now);
+        let is_representative = self.targets.finish(&end, &self.config, now);
         if outcome == Outcome::Ok {
-            self.quarantine.ran(request.fingerprint);
-            if usual {
-                self.kinds.sample(request.kind, time, now);
+            self.quarantine.clear(request.fingerprint);
+            if is_representative {
+                self.kinds.record(request.kind, time, now);
             }
         }
-        self.trials.ended(ticket, &mut self.targets);
+        self.isolation.ended(ticket, &mut self.targets);
         Some(run)
     }
 
     /// A target died: everything that ran on it is suspect.
-    fn died(&mut self, run: Run, ticket: u64, now: Duration) {
-        let mut victims = Vec::new();
+    fn record_crash(&mut self, run: Run, ticket: u64, now: Duration) {
+        let mut crashed_runs = Vec::new();
         if let Some(r) = self.tickets.get(&ticket) {
-            victims.push(Victim {
+            crashed_runs.push(CrashedRun {
                 fingerprint: r.fingerprint,
                 since: run.since,
             });
@@ -75,21 +75,21 @@
             let Some(r) = self.tickets.get_mut(other) else {
                 continue;
             };
-            for lost in r
+            for affected in r
                 .runs
                 .iter_mut()
-                .filter(|x| x.target == run.target && !x.dead)
+                .filter(|x| x.target == run.target && !x.crash_counted)
             {
                 // Its connection will be reported as dead too: that is the same death.
-                lost.dead = true;
-                victims.push(Victim {
+                affected.crash_counted = true;
+                crashed_runs.push(CrashedRun {
                     fingerprint: r.fingerprint,
-                    since: lost.since,
+                    since: affected.since,
                 });
             }
         }
-        self.targets.died(run.target, now);
-        self.quarantine.death(&victims, now);
+        self.targets.record_crash(run.target, now);
+        self.quarantine.record_crash(&crashed_runs, now);
     }
 
     /// Decides what the end of a run means for the request.
@@ -97,9 +97,9 @@
         let Some(request) = self.tickets.get_mut(&ticket) else {
             return Completion::Stale;
         };
-        let more = !request.runs.is_empty();
+        let has_other_runs = !request.runs.is_empty();
         if request.settled {
-            if !more {
+            if !has_other_runs {
                 self.tickets.remove(&ticket);
             }
             return Completion::Stale;
@@ -108,18 +108,18 @@
         request.ran |= effect;
         let name = Arc::clone(&self.targets.get(run.target).name);
         request.tried.push(name);
-        if more && !matches!(outcome, Outcome::Ok | Outcome::Cancelled) {
+        if has_other_runs && !matches!(outcome, Outcome::Ok | Outcome::Cancelled) {
             return Completion::Pending;
         }
-        if self.reruns(ticket, outcome, now) {
-            self.rerun(ticket, now);
+        if self.may_retry(ticket, outcome, now) {
+            self.queue_retry(ticket, now);
             return Completion::Retry;
         }
         self.settle(ticket)
     }
 
     /// The request may and should run again, and the budget has paid for it.
-    fn reruns(&mut self, ticket: u64, outcome: Outcome, now: Duration) -> bool {
+    fn may_retry(&mut self, ticket: u64, outcome: Outcome, now: Duration) -> bool {
         let Some(request) = self.tickets.get(&ticket) else {
             return false;
         };
@@ -132,28 +132,28 @@
             && now + request.estimate.mean <= request.deadline
             && self.quarantine.status(request.fingerprint, now) != Some(QuarantineStatus::Convict)
             && self.targets.has_other(&request.tried, now)
-            && self.budget.spend()
+            && self.budget.try_spend()
     }
 
     /// Puts a request back at the head of its queue, or among the suspects.
-    fn rerun(&mut self, ticket: u64, now: Duration) {
-        self.counts.repeats += 1;
+    fn queue_retry(&mut self, ticket: u64, now: Duration) {
+        self.counts.retries += 1;
         let Some(request) = self.tickets.get_mut(&ticket) else {
             return;
         };
         self.checks.remove(&(request.check, ticket));
-        request.wait(self.rules.max_wait, now);
+        request.wait(self.config.max_wait, now);
         // It was let in; what its first run has cost it must not be the reason to refuse it.
-        request.latest = request.latest.max(now);
-        self.due.insert((request.latest, ticket));
+        request.start_by = request.start_by.max(now);
+        self.start_deadlines.insert((request.start_by, ticket));
         if self.quarantine.status(request.fingerprint, now) == Some(QuarantineStatus::Suspect) {
-            request.place = Place::Trial;
-            self.trials.push(ticket);
+            request.place = Place::Isolated;
+            self.isolation.push(ticket);
             return;
         }
         let work = request.estimate.mean.as_micros() as u64;
-        let slot = self.queues[request.class as usize].push_front(ticket, work);
-        request.place = Place::Queued(slot);
+        let queue_key = self.queues[request.class as usize].push_front(ticket, work);
+        request.place = Place::Queued(queue_key);
     }
 
     /// The request has its final outcome: other runs of it are aborted.
--- a/crates/admit/src/pool/mod.rs
+++ b/crates/admit/src/pool/mod.rs
@@ -26,14 +26,14 @@
     Quarantine, QuarantineStatus, QuarantineUpdate,
     fair_queue::FairQueue,
     pool::{
-        isolation::Trials,
-        overload::Strain,
+        isolation::IsolationQueue,
+        overload::Overload,
         request::{Place, Request},
     },
-    retry_budget::Budget,
+    retry_budget::RetryTokens,
     service_time::{Class, Kinds},
-    slot_shares::{Meter, Room},
-    target::Targets,
+    slot_shares::{DemandMeter, SlotShares},
+    target::TargetSet,
 };
 
 /// The targets of one service in one failure domain, with the requests that wait and run.
@@ -45,16 +45,16 @@
 /// not settled; no target runs more than its slots.
 #[derive(Debug)]
 pub struct Pool {
-    rules: PoolConfig,
-    targets: Targets,
+    config: PoolConfig,
+    targets: TargetSet,
     tickets: BTreeMap<u64, Request>,
     /// Short work, then long work.
     queues: [FairQueue; 2],
     /// The present time of strain of each class.
-    strains: [Strain; 2],
-    trials: Trials,
+    overloads: [Overload; 2],
+    isolation: IsolationQueue,
     /// Waiting requests by their last moment to start.
-    due: BTreeSet<(Duration, u64)>,
+    start_deadlines: BTreeSet<(Duration, u64)>,
     /// Running requests by the time at which they are looked at again.
     checks: BTreeSet<(Duration, u64)>,
     /// Runs of short work, then of long work.
@@ -62,8 +62,8 @@
     /// Sums of the expected times of what runs, short and long, in microseconds.
     load: [u64; 2],
     kinds: Kinds,
-    short_need: Meter,
-    budget: Budget,
+    short_need: DemandMeter,
+    budget: RetryTokens,
     quarantine: Quarantine,
     actions: Vec<Action>,
     counts: Counts,
@@ -71,40 +71,40 @@
 
 impl Pool {
     /// Opens a pool. Its targets are warm unless their spec says that they are cold.
-    pub fn open(rules: PoolConfig, targets: &[TargetSpec], now: Duration) -> Self {
+    pub fn open(config: PoolConfig, targets: &[TargetSpec], now: Duration) -> Self {
         let mut pool = Self {
-            targets: Targets::open(targets, now),
+            targets: TargetSet::open(targets, now),
             tickets: BTreeMap::new(),
             queues: [
-                FairQueue::open(rules.seed),
-                FairQueue::open(rules.seed.wrapping_add(1)),
+                FairQueue::open(config.seed),
+                FairQueue::open(config.seed.wrapping_add(1)),
             ],
-            strains: [Strain::default(); 2],
-            trials: Trials::default(),
-            due: BTreeSet::new(),
+            overloads: [Overload::default(); 2],
+            isolation: IsolationQueue::default(),
+            start_deadlines: BTreeSet::new(),
             checks: BTreeSet::new(),
             busy: [0; 2],
             load: [0; 2],
-            kinds: Kinds::open(rules.guess),
-            short_need: Meter::default(),
-            budget: Budget::open(rules.retry_share),
+            kinds: Kinds::open(config.initial_estimate),
+            short_need: DemandMeter::default(),
+            budget: RetryTokens::open(config.retry_ratio),
             quarantine: Quarantine::open(),
             actions: Vec::new(),
             counts: Counts::default(),
-            rules,
+            config,
         };
-        pool.targets.refresh(&pool.rules, now);
+        pool.targets.refresh(&pool.config, now);
         pool
     }
 
     /// Takes new rules and targets. Requests that run or wait stay; a target that is no longer
     /// listed finishes its runs and gets nothing new; a target that is new starts cold. A new
     /// `guess` or `seed` has no effect on an open pool.
-    pub fn reconfigure(&mut self, rules: PoolConfig, targets: &[TargetSpec], now: Duration) {
-        self.budget.set_share(rules.retry_share);
-        self.rules = rules;
+    pub fn reconfigure(&mut self, config: PoolConfig, targets: &[TargetSpec], now: Duration) {
+        self.budget.set_ratio(config.retry_ratio);
+        self.config = config;
         self.targets.reconfigure(targets, now);
-        self.targets.refresh(&self.rules, now);
+        self.targets.refresh(&self.config, now);
     }
 
     /// The caller is gone or has given up.
@@ -117,7 +117,7 @@
         }
         if request.place != Place::Running {
             let ran = request.ran;
-            self.unqueue(ticket);
+            self.remove_from_queue(ticket);
             self.tickets.remove(&ticket);
             return Cancelled::Queued { ran };
         }
@@ -133,7 +133,7 @@
 
     /// Takes a target's report about itself.
     pub fn report(&mut self, target: &str, report: LoadReport, now: Duration) {
-        self.targets.report(target, report, &self.rules, now);
+        self.targets.report(target, report, &self.config, now);
     }
 
     /// Takes a peer's word about a request that kills its targets.
@@ -148,7 +148,7 @@
 
     /// All words that hold, for a peer that is new.
     pub fn all_updates(&self, now: Duration) -> Vec<QuarantineUpdate> {
-        self.quarantine.all(now)
+        self.quarantine.all_updates(now)
     }
 
     /// Summary for the hosts that hand requests over.
@@ -156,7 +156,7 @@
         let work: u64 = self.queues.iter().map(FairQueue::work).sum();
         let slots = self.targets.slots();
         let busy = self.busy[0] + self.busy[1];
-        let slot_interval = self.turn();
+        let slot_interval = self.slot_interval();
         let full = if busy >= slots {
             slot_interval
         } else {
@@ -165,7 +165,7 @@
         Load {
             queued: self.waiting() as u32,
             busy,
-            slots: if self.targets.hopeful(now) { slots } else { 0 },
+            slots: if self.targets.usable(now) { slots } else { 0 },
             queue_delay: full + Duration::from_micros(work / u64::from(slots.max(1))),
             slot_interval,
         }
@@ -177,7 +177,7 @@
             load: self.load(now),
             short_busy: self.busy[0],
             long_busy: self.busy[1],
-            reserve: self.room(now).reserve,
+            reserve: self.slot_shares(now).reserve,
             budget: self.budget.tokens(),
             suspects: self.quarantine.count(QuarantineStatus::Suspect, now) as u32,
             quarantined: self.quarantine.count(QuarantineStatus::Convict, now) as u32,
@@ -193,51 +193,51 @@
 
     /// Requests that wait.
     fn waiting(&self) -> usize {
-        self.due.len()
+        self.start_deadlines.len()
     }
 
     /// Expected time between two free slots while all slots are in use.
-    fn turn(&self) -> Duration {
+    fn slot_interval(&self) -> Duration {
         let busy = u64::from(self.busy[0] + self.busy[1]).max(1);
         let mean = match self.load[0] + self.load[1] {
-            0 => self.rules.guess,
+            0 => self.config.initial_estimate,
             work => Duration::from_micros(work / busy),
         };
         mean / self.targets.slots().max(1)
     }
 
     /// How the slots are divided at this moment.
-    fn room(&self, now: Duration) -> Room {
+    fn slot_shares(&self, now: Duration) -> SlotShares {
         let need = self.short_need.read(now);
-        Room::divide(self.targets.slots(), &self.rules, need, self.busy)
+        SlotShares::divide(self.targets.slots(), &self.config, need, self.busy)
     }
 
     /// Takes a waiting request out of its queue.
-    fn unqueue(&mut self, ticket: u64) {
+    fn remove_from_queue(&mut self, ticket: u64) {
         let Some(request) = self.tickets.get(&ticket) else {
             return;
         };
         match request.place {
-            Place::Queued(slot) => self.queues[request.class as usize].remove(slot),
-            Place::Trial => self.trials.remove(ticket),
+            Place::Queued(queue_key) => self.queues[request.class as usize].remove(queue_key),
+            Place::Isolated => self.isolation.remove(ticket),
             Place::Running => return,
         }
-        self.due.remove(&(request.latest, ticket));
+        self.start_deadlines.remove(&(request.start_by, ticket));
     }
 
     /// Longest time that a request of a class with this service time may wait, from `now` on.
-    fn patience(&self, class: Class, mean: Duration, now: Duration) -> Duration {
-        let lasts = self.strains[class as usize].lasts(self.rules.burst, now);
-        let most = if lasts {
-            self.rules.standing
+    fn max_wait(&self, class: Class, mean: Duration, now: Duration) -> Duration {
+        let is_sustained = self.overloads[class as usize].is_sustained(self.config.burst_time, now);
+        let most = if is_sustained {
+            self.config.overload_wait
         } else {
-            self.rules.max_wait
+            self.config.max_wait
         };
         most.max(mean)
     }
 
     fn class(&self, mean: Duration) -> Class {
-        if mean <= self.rules.short_max {
+        if mean <= self.config.short_max {
             Class::Short
         } else {
             Class::Long
--- a/crates/admit/src/pool/overload.rs
+++ b/crates/admit/src/pool/overload.rs
@@ -8,26 +8,26 @@
 
 /// Without long waits for this time, the strain is over. At twice the capacity a short queue of a
 /// small pool runs empty by chance several times a second; that must not count as its end.
-const CALM: Duration = Duration::from_millis(500);
+const OVERLOAD_END: Duration = Duration::from_millis(500);
 
 /// A time during which requests met long waits.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Strain {
+pub(super) struct Overload {
     since: Duration,
     last: Duration,
 }
 
-impl Strain {
+impl Overload {
     /// A request meets a long wait, whether it is queued or refused.
-    pub(super) fn note(&mut self, now: Duration) {
-        if now.saturating_sub(self.last) > CALM {
+    pub(super) fn record(&mut self, now: Duration) {
+        if now.saturating_sub(self.last) > OVERLOAD_END {
             self.since = now;
         }
         self.last = now;
     }
 
     /// Strain has lasted for longer than `burst` and is not over.
-    pub(super) fn lasts(&self, burst: Duration, now: Duration) -> bool {
-        now.saturating_sub(self.last) <= CALM && now.saturating_sub(self.since) > burst
+    pub(super) fn is_sustained(&self, burst: Duration, now: Duration) -> bool {
+        now.saturating_sub(self.last) <= OVERLOAD_END && now.saturating_sub(self.since) > burst
     }
 }
--- a/crates/admit/src/pool/request.rs
+++ b/crates/admit/src/pool/request.rs
@@ -4,18 +4,18 @@
 
 use crate::{
     Offer, RefusalReason,
-    fair_queue::Slot,
+    fair_queue::QueueKey,
     service_time::{Class, Estimate},
-    target::Ask,
+    target::PlacementRequest,
 };
 
 /// Where a request stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Place {
     /// In the queue of its class.
-    Queued(Slot),
+    Queued(QueueKey),
     /// A suspect that waits for a target of its own.
-    Trial,
+    Isolated,
     /// At its targets.
     Running,
 }
@@ -29,7 +29,7 @@
     /// A second copy, sent because the first was late.
     pub(super) hedge: bool,
     /// The target's death has been counted for this run.
-    pub(super) dead: bool,
+    pub(super) crash_counted: bool,
 }
 
 /// A request that waits or runs.
@@ -50,7 +50,7 @@
     pub(super) estimate: Estimate,
     pub(super) place: Place,
     /// Last moment at which it may start.
-    pub(super) latest: Duration,
+    pub(super) start_by: Duration,
     /// Why it is refused if it has not started by then.
     pub(super) reason: RefusalReason,
     pub(super) runs: Vec<Run>,
@@ -78,7 +78,7 @@
             class,
             estimate,
             place: Place::Running,
-            latest: offer.deadline,
+            start_by: offer.deadline,
             reason: RefusalReason::DeadlineExceeded,
             runs: Vec::new(),
             check: Duration::MAX,
@@ -92,15 +92,15 @@
     ///
     /// It has to leave time for the work: a start that ends after the deadline takes a slot from a
     /// request that could still be answered.
-    pub(super) fn wait(&mut self, patience: Duration, now: Duration) {
+    pub(super) fn wait(&mut self, max_wait: Duration, now: Duration) {
         let deadline = self.deadline.saturating_sub(self.estimate.tail);
-        let patience = now.saturating_add(patience);
-        self.reason = if deadline <= patience {
+        let max_wait = now.saturating_add(max_wait);
+        self.reason = if deadline <= max_wait {
             RefusalReason::DeadlineExceeded
         } else {
             RefusalReason::QueueTimeout
         };
-        self.latest = deadline.min(patience);
+        self.start_by = deadline.min(max_wait);
     }
 
     /// A time as a ratio to what is expected, or 1 if too little is known of the kind.
@@ -112,16 +112,20 @@
     }
 
     /// What it asks of its target.
-    pub(super) fn ask(&self, strain: f64, now: Duration) -> Ask<'_> {
-        Ask {
+    pub(super) fn placement_request(
+        &self,
+        depth_per_slot: f64,
+        now: Duration,
+    ) -> PlacementRequest<'_> {
+        PlacementRequest {
             tried: &self.tried,
-            spares: self.spares(now),
-            strain,
+            tolerates_slow: self.tolerates_slow(now),
+            depth_per_slot,
         }
     }
 
     /// It can spare the time that a slow target may take.
-    pub(super) fn spares(&self, now: Duration) -> bool {
+    pub(super) fn tolerates_slow(&self, now: Duration) -> bool {
         now + self.estimate.mean * 10 <= self.deadline
     }
 }
--- a/crates/admit/src/pool/start.rs
+++ b/crates/admit/src/pool/start.rs
@@ -4,18 +4,18 @@
 
 use crate::{
     Action, Pool, RefusalReason,
-    fair_queue::Slot,
+    fair_queue::QueueKey,
     pool::request::{Place, Run},
     service_time::Class,
 };
 
 /// Requests at the head of a queue that are looked at when the first cannot be placed, because the
 /// only free targets are those that it has tried.
-const SCAN: usize = 4;
+const MAX_SCAN: usize = 4;
 
 impl Pool {
     /// Starts requests as long as there are free slots.
-    pub(super) fn pump(&mut self, now: Duration) {
+    pub(super) fn start_queued_requests(&mut self, now: Duration) {
         while let Some(class) = self.next_class(now) {
             if !self.start_next(class, now) {
                 return;
@@ -28,32 +28,35 @@
         if !short && !long {
             return None;
         }
-        self.room(now).next(short, long)
+        self.slot_shares(now).next(short, long)
     }
 
     /// Starts the best request of a class that can be placed; false if there is none.
     fn start_next(&mut self, class: Class, now: Duration) -> bool {
-        for i in 0..SCAN {
+        for i in 0..MAX_SCAN {
             let Some(ticket) = self.queues[class as usize].peek(i) else {
                 return false;
             };
             let Some(request) = self.tickets.get(&ticket) else {
                 return false;
             };
-            if request.latest < now {
+            if request.start_by < now {
                 let reason = request.reason;
                 self.refuse(ticket, reason, now);
                 return true;
             }
-            let Place::Queued(slot) = request.place else {
+            let Place::Queued(queue_key) = request.place else {
                 return false;
             };
-            if let Some(grade) = self.quarantine.status(request.fingerprint, now) {
-                self.divert(ticket, grade, now);
+            if let Some(status) = self.quarantine.status(request.fingerprint, now) {
+                self.divert(ticket, status, now);
                 return true;
             }
-            if let Some(at) = self.targets.place(&request.ask(self.strain(), now), now) {
-                self.start_queued(ticket, class, slot, at, now);
+            if let Some(at) = self
+                .targets
+                .place(&request.placement_request(self.depth_per_slot(), now), now)
+            {
+                self.start_queued(ticket, class, queue_key, at, now);
                 return true;
             }
         }
@@ -61,12 +64,19 @@
     }
 
     /// Mean service times until a slot is expected to be free for what waits.
-    pub(super) fn strain(&self) -> f64 {
+    pub(super) fn depth_per_slot(&self) -> f64 {
         (self.waiting() + 1) as f64 / f64::from(self.targets.slots().max(1))
     }
 
-    fn start_queued(&mut self, ticket: u64, class: Class, slot: Slot, at: usize, now: Duration) {
-        self.queues[class as usize].start(slot, now);
+    fn start_queued(
+        &mut self,
+        ticket: u64,
+        class: Class,
+        queue_key: QueueKey,
+        at: usize,
+        now: Duration,
+    ) {
+        self.queues[class as usize].start(queue_key, now);
         self.start_waiting(ticket, at, now);
     }
 
@@ -76,18 +86,18 @@
             return;
         };
         let first = request.tried.is_empty() && !request.ran;
-        self.due.remove(&(request.latest, ticket));
+        self.start_deadlines.remove(&(request.start_by, ticket));
         let target = self.run(ticket, at, now);
         self.actions.push(Action::Start { ticket, target });
         if first {
             self.counts.started += 1;
-            self.budget.earn();
+            self.budget.record_request();
         }
     }
 
     /// Notes a run of a request that is in `tickets` and in no queue.
     pub(super) fn run(&mut self, ticket: u64, at: usize, now: Duration) -> Arc<str> {
-        self.targets.start(at, ticket, &self.rules, now);
+        self.targets.start(at, ticket, &self.config, now);
         if let Some(request) = self.tickets.get_mut(&ticket) {
             let hedge = !request.runs.is_empty();
             request.place = Place::Running;
@@ -95,7 +105,7 @@
                 target: at,
                 since: now,
                 hedge,
-                dead: false,
+                crash_counted: false,
             });
             self.busy[request.class as usize] += 1;
             self.load[request.class as usize] += request.estimate.mean.as_micros() as u64;
@@ -109,7 +119,7 @@
 
     /// Refuses a request that waits.
     pub(super) fn refuse(&mut self, ticket: u64, reason: RefusalReason, now: Duration) {
-        self.unqueue(ticket);
+        self.remove_from_queue(ticket);
         let Some(request) = self.tickets.remove(&ticket) else {
             return;
         };
--- a/crates/admit/src/pool/state.rs
+++ b/crates/admit/src/pool/state.rs
@@ -52,7 +52,7 @@
     /// Requests turned away.
     pub refused: u64,
     /// Reruns and hedges.
-    pub repeats: u64,
+    pub retries: u64,
 }
 
 /// One target in a dump.
@@ -86,10 +86,10 @@
             slots: target.slots,
             limit: target.limit,
             latency_ratio: target.health.ratio,
-            leaving: !target.hopeful(now),
+            leaving: !target.usable(now),
             ejected: target.health.ejected(),
-            down: target.health.down(now),
-            isolated: target.held,
+            down: target.health.down_until(now),
+            isolated: target.isolated,
         }
     }
 }
--- a/crates/admit/src/pool/timers.rs
+++ b/crates/admit/src/pool/timers.rs
@@ -2,37 +2,37 @@
 
 use std::{sync::Arc, time::Duration};
 
-use crate::{Action, Pool, RefusalReason, target::Ask};
+use crate::{Action, Pool, RefusalReason, target::PlacementRequest};
 
 impl Pool {
     /// All that is due: starts, refusals, hedges, aborts.
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
-        self.targets.refresh(&self.rules, now);
+        self.targets.refresh(&self.config, now);
         self.check_late(now);
-        self.targets.refresh(&self.rules, now);
-        self.pump(now);
-        self.try_suspects(now);
-        self.pump(now);
+        self.targets.refresh(&self.config, now);
+        self.start_queued_requests(now);
+        self.advance_isolation(now);
+        self.start_queued_requests(now);
         self.expire(now);
         std::mem::take(&mut self.actions)
     }
 
     /// When `poll` has to be called next if nothing else happens before.
     pub fn next_wake(&self) -> Option<Duration> {
-        let due = self.due.first().map(|(t, _)| *t);
+        let start_deadlines = self.start_deadlines.first().map(|(t, _)| *t);
         let check = self.checks.first().map(|(t, _)| *t);
-        let limits = if self.due.is_empty() {
+        let limits = if self.start_deadlines.is_empty() {
             None
         } else {
-            self.targets.until()
+            self.targets.next_change()
         };
-        [due, check, limits].into_iter().flatten().min()
+        [start_deadlines, check, limits].into_iter().flatten().min()
     }
 
     /// Refuses what can no longer be started in time. It has just been tried, so that a request
     /// which is due at this very moment has had its chance.
     fn expire(&mut self, now: Duration) {
-        while let Some((at, ticket)) = self.due.first().copied() {
+        while let Some((at, ticket)) = self.start_deadlines.first().copied() {
             let Some(request) = self.tickets.get(&ticket) else {
                 return;
             };
@@ -42,8 +42,8 @@
             let reason = request.reason;
             self.refuse(ticket, reason, now);
         }
-        if !self.due.is_empty() && !self.targets.hopeful(now) {
-            let all: Vec<u64> = self.due.iter().map(|(_, t)| *t).collect();
+        if !self.start_deadlines.is_empty() && !self.targets.usable(now) {
+            let all: Vec<u64> = self.start_deadlines.iter().map(|(_, t)| *t).collect();
             all.into_iter()
                 .for_each(|t| self.refuse(t, RefusalReason::NoTarget, now));
         }
@@ -67,7 +67,7 @@
             let ratio = request.ratio(age);
             request.check = now + age.max(request.estimate.p95);
             self.checks.insert((request.check, ticket));
-            self.targets.late(run.target, ratio);
+            self.targets.record_late_run(run.target, ratio);
             self.hedge(ticket, now);
         }
     }
@@ -81,7 +81,7 @@
         let fits = request.repeatable
             && !request.hedged
             && now + request.estimate.mean <= request.deadline
-            && self.due.is_empty()
+            && self.start_deadlines.is_empty()
             && self.quarantine.status(request.fingerprint, now).is_none();
         if !fits {
             return;
@@ -94,20 +94,20 @@
                 .map(|r| Arc::clone(&self.targets.get(r.target).name)),
         );
         let Some(at) = self.targets.place(
-            &Ask {
+            &PlacementRequest {
                 tried: &tried,
-                spares: false,
-                strain: 0.0,
+                tolerates_slow: false,
+                depth_per_slot: 0.0,
             },
             now,
         ) else {
             return;
         };
-        if !self.budget.spend() {
+        if !self.budget.try_spend() {
             return;
         }
         request.hedged = true;
-        self.counts.repeats += 1;
+        self.counts.retries += 1;
         let target = self.run(ticket, at, now);
         self.actions.push(Action::Hedge { ticket, target });
     }
--- a/crates/admit/src/pool_choice/mod.rs
+++ b/crates/admit/src/pool_choice/mod.rs
@@ -28,13 +28,13 @@
 
 impl PoolCandidate {
     /// Time until the answer could be back, less the work itself.
-    fn cost(&self, usual: Duration) -> Duration {
-        let way = 2 * self.delay;
+    fn cost(&self, mean_delay: Duration) -> Duration {
+        let round_trip = 2 * self.delay;
         if self.age > STALE {
-            return way + usual;
+            return round_trip + mean_delay;
         }
-        let full = (self.load.busy + self.sent).saturating_sub(self.load.slots);
-        way + self.load.queue_delay + self.load.slot_interval * full
+        let excess = (self.load.busy + self.sent).saturating_sub(self.load.slots);
+        round_trip + self.load.queue_delay + self.load.slot_interval * excess
     }
 }
 
@@ -56,14 +56,17 @@
     }
     let fresh: Vec<&PoolCandidate> = candidates.iter().filter(|c| c.age <= STALE).collect();
     let total: Duration = fresh.iter().map(|c| c.load.queue_delay).sum();
-    let usual = total / fresh.len().max(1) as u32;
+    let mean_delay = total / fresh.len().max(1) as u32;
     let a = pick(candidates, (draw >> 32) % slots, None)?;
     let rest = slots - u64::from(candidates[a].load.slots);
     if rest == 0 {
         return Some(a);
     }
     let b = pick(candidates, (draw & 0xffff_ffff) % rest, Some(a))?;
-    let (x, y) = (candidates[a].cost(usual), candidates[b].cost(usual));
+    let (x, y) = (
+        candidates[a].cost(mean_delay),
+        candidates[b].cost(mean_delay),
+    );
     Some(if y < x { b } else { a })
 }
 
--- a/crates/admit/src/quarantine/mod.rs
+++ b/crates/admit/src/quarantine/mod.rs
@@ -18,13 +18,13 @@
 
 /// Records held; above that the weakest and oldest goes. A death leaves as many suspects as a
 /// target has slots, 3 to 8: this is enough for 30 deaths within its time.
-pub(crate) const RECORDS: usize = 256;
+pub(crate) const MAX_RECORDS: usize = 256;
 
 /// How long a suspect is remembered: longer than callers wait before they send again.
-pub(crate) const SUSPECT_LIFE: Duration = Duration::from_secs(300);
+pub(crate) const SUSPECT_TTL: Duration = Duration::from_secs(300);
 
 /// How long a convicted request is refused: long enough for the on-call to act.
-pub(crate) const CONVICT_LIFE: Duration = Duration::from_secs(1800);
+pub(crate) const CONFIRMED_TTL: Duration = Duration::from_secs(1800);
 
 /// How sure the evidence is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -48,7 +48,7 @@
 
 /// A run that was on a target when it died.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Victim {
+pub struct CrashedRun {
     /// Hash of the request.
     pub fingerprint: u64,
     /// When the run began.
@@ -60,7 +60,7 @@
     grade: QuarantineStatus,
     /// When the death that made it a suspect became known here.
     since: Duration,
-    expiry: Duration,
+    expires_at: Duration,
 }
 
 /// Records of requests that ran on targets which died.
@@ -84,7 +84,7 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: BTreeMap<u64, Record>,
-    words: Vec<QuarantineUpdate>,
+    updates: Vec<QuarantineUpdate>,
 }
 
 impl Quarantine {
@@ -96,40 +96,40 @@
     /// What is held against a request.
     pub fn status(&self, fingerprint: u64, now: Duration) -> Option<QuarantineStatus> {
         let r = self.records.get(&fingerprint)?;
-        (now < r.expiry).then_some(r.grade)
+        (now < r.expires_at).then_some(r.grade)
     }
 
     /// Time until a convicted request is let in again.
     pub fn remaining(&self, fingerprint: u64, now: Duration) -> Duration {
-        let expiry = self.records.get(&fingerprint).map_or(now, |r| r.expiry);
-        expiry.saturating_sub(now)
+        let expires_at = self.records.get(&fingerprint).map_or(now, |r| r.expires_at);
+        expires_at.saturating_sub(now)
     }
 
     /// A target died while these ran on it.
-    pub fn death(&mut self, victims: &[Victim], now: Duration) {
-        let alone = victims.len() == 1;
-        for v in victims {
-            let again = self.records.get(&v.fingerprint).is_some_and(|r| {
-                now < r.expiry
+    pub fn record_crash(&mut self, crashed_runs: &[CrashedRun], now: Duration) {
+        let alone = crashed_runs.len() == 1;
+        for v in crashed_runs {
+            let is_confirmed = self.records.get(&v.fingerprint).is_some_and(|r| {
+                now < r.expires_at
                     && (r.grade == QuarantineStatus::Convict || (alone && v.since >= r.since))
             });
-            let (status, ttl) = match again {
-                true => (QuarantineStatus::Convict, CONVICT_LIFE),
-                false => (QuarantineStatus::Suspect, SUSPECT_LIFE),
+            let (status, ttl) = match is_confirmed {
+                true => (QuarantineStatus::Convict, CONFIRMED_TTL),
+                false => (QuarantineStatus::Suspect, SUSPECT_TTL),
             };
-            let word = QuarantineUpdate {
+            let update = QuarantineUpdate {
                 fingerprint: v.fingerprint,
                 status,
                 ttl,
             };
-            if self.note(word, now) && self.words.len() < RECORDS {
-                self.words.push(word);
+            if self.upsert(update, now) && self.updates.len() < MAX_RECORDS {
+                self.updates.push(update);
             }
         }
     }
 
     /// A run ended with an answer: the request does not kill its targets.
-    pub fn ran(&mut self, fingerprint: u64) {
+    pub fn clear(&mut self, fingerprint: u64) {
         if self
             .records
             .get(&fingerprint)
@@ -140,22 +140,22 @@
     }
 
     /// Takes a peer's word.
-    pub fn apply_update(&mut self, word: QuarantineUpdate, now: Duration) {
-        self.note(word, now);
+    pub fn apply_update(&mut self, update: QuarantineUpdate, now: Duration) {
+        self.upsert(update, now);
     }
 
     /// Words for the peers since the last call.
     pub fn take_updates(&mut self) -> Vec<QuarantineUpdate> {
-        std::mem::take(&mut self.words)
+        std::mem::take(&mut self.updates)
     }
 
     /// All that holds, for a peer that is new.
-    pub fn all(&self, now: Duration) -> Vec<QuarantineUpdate> {
-        let list = self.records.iter().filter(|(_, r)| now < r.expiry);
+    pub fn all_updates(&self, now: Duration) -> Vec<QuarantineUpdate> {
+        let list = self.records.iter().filter(|(_, r)| now < r.expires_at);
         list.map(|(f, r)| QuarantineUpdate {
             fingerprint: *f,
             status: r.grade,
-            ttl: r.expiry - now,
+            ttl: r.expires_at - now,
         })
         .collect()
     }
@@ -164,40 +164,43 @@
     pub fn count(&self, grade: QuarantineStatus, now: Duration) -> usize {
         self.records
             .values()
-            .filter(|r| r.grade == grade && now < r.expiry)
+            .filter(|r| r.grade == grade && now < r.expires_at)
             .count()
     }
 
     /// True if this says more than was known.
-    fn note(&mut self, word: QuarantineUpdate, now: Duration) -> bool {
-        let life = word.ttl.min(match word.status {
-            QuarantineStatus::Suspect => SUSPECT_LIFE,
-            QuarantineStatus::Convict => CONVICT_LIFE,
+    fn upsert(&mut self, update: QuarantineUpdate, now: Duration) -> bool {
+        let life = update.ttl.min(match update.status {
+            QuarantineStatus::Suspect => SUSPECT_TTL,
+            QuarantineStatus::Convict => CONFIRMED_TTL,
         });
         let known = self
             .records
-            .get(&word.fingerprint)
-            .filter(|r| now < r.expiry);
-        if known.is_some_and(|r| r.grade >= word.status) {
+            .get(&update.fingerprint)
+            .filter(|r| now < r.expires_at);
+        if known.is_some_and(|r| r.grade >= update.status) {
             return false;
         }
         let record = Record {
-            grade: word.status,
+            grade: update.status,
             since: now,
-            expiry: now + life,
+            expires_at: now + life,
         };
-        self.records.insert(word.fingerprint, record);
-        self.trim(now);
+        self.records.insert(update.fingerprint, record);
+        self.evict_excess(now);
         true
     }
 
-    fn trim(&mut self, now: Duration) {
-        if self.records.len() <= RECORDS {
+    fn evict_excess(&mut self, now: Duration) {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
-        self.records.retain(|_, r| now < r.expiry);
-        while self.records.len() > RECORDS {
-            let weakest = self.records.iter().min_by_key(|(_, r)| (r.grade, r.expiry));
+        self.records.retain(|_, r| now < r.expires_at);
+        while self.records.len() > MAX_RECORDS {
+            let weakest = self
+                .records
+                .iter()
+                .min_by_key(|(_, r)| (r.grade, r.expires_at));
             let Some(f) = weakest.map(|(f, _)| *f) else {
                 return;
             };
--- a/crates/admit/src/retry_budget/mod.rs
+++ b/crates/admit/src/retry_budget/mod.rs
@@ -5,36 +5,36 @@
 //! With it, reruns and hedges together add at most their share of the first runs.
 
 /// Tokens the budget holds at most, so that a quiet service may still repeat a few at once.
-const BURST: f64 = 10.0;
+const MAX_TOKENS: f64 = 10.0;
 
 /// Token bucket that is filled by first runs.
 ///
 /// Invariant: `tokens` is between 0 and [`BURST`].
 #[derive(Debug)]
-pub(crate) struct Budget {
-    share: f64,
+pub(crate) struct RetryTokens {
+    ratio: f64,
     tokens: f64,
 }
 
-impl Budget {
-    pub(crate) fn open(share: f64) -> Self {
+impl RetryTokens {
+    pub(crate) fn open(ratio: f64) -> Self {
         Self {
-            share,
-            tokens: if share > 0.0 { BURST } else { 0.0 },
+            ratio,
+            tokens: if ratio > 0.0 { MAX_TOKENS } else { 0.0 },
         }
     }
 
-    pub(crate) fn set_share(&mut self, share: f64) {
-        self.share = share;
+    pub(crate) fn set_ratio(&mut self, ratio: f64) {
+        self.ratio = ratio;
     }
 
     /// Notes a first run.
-    pub(crate) fn earn(&mut self) {
-        self.tokens = (self.tokens + self.share).min(BURST);
+    pub(crate) fn record_request(&mut self) {
+        self.tokens = (self.tokens + self.ratio).min(MAX_TOKENS);
     }
 
     /// Takes the price of a second run, if there is enough.
-    pub(crate) fn spend(&mut self) -> bool {
+    pub(crate) fn try_spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
--- a/crates/admit/src/service_time/mod.rs
+++ b/crates/admit/src/service_time/mod.rs
@@ -11,24 +11,24 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// Kinds that are told apart. A service has tens of paths; 256 leaves room, in 16 KB.
-pub(crate) const KINDS: usize = 256;
+pub(crate) const MAX_KINDS: usize = 256;
 
 /// A kind that was not used for this long may be forgotten.
-pub(crate) const IDLE: Duration = Duration::from_secs(600);
+pub(crate) const IDLE_TIME: Duration = Duration::from_secs(600);
 
 /// Weight of a new sample in the mean and the deviation, as for round-trip times in TCP.
-const GAIN: f64 = 0.125;
+const EWMA_WEIGHT: f64 = 0.125;
 
 /// Step of the running 95th percentile, as a share of its value. It rises by 0.95 of a step or
 /// falls by 0.05 of it, which balances where one sample in twenty is above.
-const STEP: f64 = 0.05;
+const P95_STEP: f64 = 0.05;
 
 /// Deviations above the mean that count as the longest time to expect. For exponential times that
 /// is the 98th percentile, for narrower ones beyond the 99th.
-const TAIL: f64 = 4.0;
+const TAIL_DEVIATIONS: f64 = 4.0;
 
 /// Samples after which a kind's estimate may speak against a target.
-const KNOWN: u32 = 16;
+const MIN_SAMPLES: u32 = 16;
 
 /// Whether work competes for the share of slots that is kept for short work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -56,52 +56,52 @@
 struct Kind {
     mean: f64,
     /// Mean absolute deviation.
-    dev: f64,
+    deviation: f64,
     p95: f64,
-    seen: u32,
-    used: Duration,
+    samples: u32,
+    last_used: Duration,
 }
 
 impl Kind {
-    fn guess(mean: Duration, now: Duration) -> Self {
+    fn initial_estimate(mean: Duration, now: Duration) -> Self {
         let mean = mean.as_secs_f64();
         Self {
             mean,
-            dev: mean / 2.0,
+            deviation: mean / 2.0,
             p95: 3.0 * mean,
-            seen: 0,
-            used: now,
+            samples: 0,
+            last_used: now,
         }
     }
 
-    fn sample(&mut self, time: f64) {
-        if self.seen == 0 {
+    fn record(&mut self, time: f64) {
+        if self.samples == 0 {
             *self = Self {
                 mean: time,
-                dev: time / 2.0,
+                deviation: time / 2.0,
                 p95: 3.0 * time,
-                seen: 1,
+                samples: 1,
                 ..*self
             };
             return;
         }
-        self.seen = self.seen.saturating_add(1);
-        let off = time - self.mean;
-        self.mean += GAIN * off;
-        self.dev += GAIN * (off.abs() - self.dev);
+        self.samples = self.samples.saturating_add(1);
+        let difference = time - self.mean;
+        self.mean += EWMA_WEIGHT * difference;
+        self.deviation += EWMA_WEIGHT * (difference.abs() - self.deviation);
         self.p95 *= if time > self.p95 {
-            1.0 + STEP * 0.95
+            1.0 + P95_STEP * 0.95
         } else {
-            1.0 - STEP * 0.05
+            1.0 - P95_STEP * 0.05
         };
     }
 
     fn estimate(&self) -> Estimate {
         Estimate {
             mean: Duration::from_secs_f64(self.mean),
-            tail: Duration::from_secs_f64(self.mean + TAIL * self.dev),
+            tail: Duration::from_secs_f64(self.mean + TAIL_DEVIATIONS * self.deviation),
             p95: Duration::from_secs_f64(self.p95.max(self.mean)),
-            known: self.seen >= KNOWN,
+            known: self.samples >= MIN_SAMPLES,
         }
     }
 }
@@ -111,42 +111,43 @@
 /// Invariant: at most [`KINDS`] kinds.
 #[derive(Debug)]
 pub(crate) struct Kinds {
-    guess: Duration,
+    initial_estimate: Duration,
     kinds: BTreeMap<u64, Kind>,
     /// Shared by the kinds that found no room.
-    rest: Kind,
+    shared: Kind,
 }
 
 impl Kinds {
-    pub(crate) fn open(guess: Duration) -> Self {
+    pub(crate) fn open(initial_estimate: Duration) -> Self {
         Self {
-            guess,
+            initial_estimate,
             kinds: BTreeMap::new(),
-            rest: Kind::guess(guess, Duration::ZERO),
+            shared: Kind::initial_estimate(initial_estimate, Duration::ZERO),
         }
     }
 
     pub(crate) fn estimate(&self, kind: u64) -> Estimate {
-        self.kinds.get(&kind).unwrap_or(&self.rest).estimate()
+        self.kinds.get(&kind).unwrap_or(&self.shared).estimate()
     }
 
     /// Takes the service time of a run that ended well.
-    pub(crate) fn sample(&mut self, kind: u64, time: Duration, now: Duration) {
+    pub(crate) fn record(&mut self, kind: u64, time: Duration, now: Duration) {
         let time = time.as_secs_f64().max(1e-6);
         if let Some(k) = self.kinds.get_mut(&kind) {
-            k.used = now;
-            k.sample(time);
+            k.last_used = now;
+            k.record(time);
             return;
         }
-        if self.kinds.len() >= KINDS {
-            self.kinds.retain(|_, k| now.saturating_sub(k.used) < IDLE);
+        if self.kinds.len() >= MAX_KINDS {
+            self.kinds
+                .retain(|_, k| now.saturating_sub(k.last_used) < IDLE_TIME);
         }
-        if self.kinds.len() >= KINDS {
-            self.rest.sample(time);
+        if self.kinds.len() >= MAX_KINDS {
+            self.shared.record(time);
             return;
         }
-        let mut k = Kind::guess(self.guess, now);
-        k.sample(time);
+        let mut k = Kind::initial_estimate(self.initial_estimate, now);
+        k.record(time);
         self.kinds.insert(kind, k);
     }
 
--- a/crates/admit/src/simulation/mod.rs
+++ b/crates/admit/src/simulation/mod.rs
@@ -13,8 +13,8 @@
 mod target;
 
 pub use self::{
-    results::{Figures, Group},
-    scenario::{Fault, LOADS, SITES, Scenario, Site, Work, load},
+    results::{Group, Results},
+    scenario::{DEPLOYMENTS, Deployment, Fault, LOADS, Scenario, Work, load},
 };
 
 use crate::PoolConfig;
@@ -37,10 +37,12 @@
 }
 
 /// Plays a scenario under a policy.
-pub fn play(scenario: &Scenario, policy: &Policy) -> Figures {
+pub fn simulate(scenario: &Scenario, policy: &Policy) -> Results {
     match policy {
-        Policy::Pools(rules) => pools::play(scenario, rules),
-        Policy::Random => baselines::play(scenario, None),
-        Policy::TwoChoices { hosts, tries } => baselines::play(scenario, Some((*hosts, *tries))),
+        Policy::Pools(config) => pools::simulate(scenario, config),
+        Policy::Random => baselines::simulate(scenario, None),
+        Policy::TwoChoices { hosts, tries } => {
+            baselines::simulate(scenario, Some((*hosts, *tries)))
+        }
     }
 }
--- a/crates/admit/src/simulation/pools/metrics.rs
+++ b/crates/admit/src/simulation/pools/metrics.rs
@@ -5,36 +5,36 @@
 use crate::{
     LoadReport,
     simulation::{
-        pools::{Event, Play},
-        scenario::{EVERY, LAG},
+        pools::{Event, Simulation},
+        scenario::{REPORT_INTERVAL, REPORT_LAG},
     },
 };
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// Reports and summaries set out.
     pub(super) fn measure(&mut self, now: Duration) {
         if now >= self.scenario.length {
             return;
         }
-        self.events.push(now + EVERY, Event::Measure);
+        self.events.push(now + REPORT_INTERVAL, Event::Measure);
         for target in 0..self.targets.len() {
             if let Some(report) = self.targets[target].report(target, self.scenario, now) {
                 self.events
-                    .push(now + LAG, Event::Report { target, report });
+                    .push(now + REPORT_LAG, Event::Report { target, report });
             }
         }
         let loads = self.pools.iter().map(|p| p.load(now)).collect();
-        self.events.push(now + LAG, Event::Summary { loads });
+        self.events.push(now + REPORT_LAG, Event::Summary { loads });
         for p in &self.pools {
             let state = p.state(now);
             let out = state.targets.iter().filter(|t| t.ejected).count();
             let share = out as f64 / state.targets.len() as f64;
-            self.figures.ejected = self.figures.ejected.max(share);
+            self.results.ejected = self.results.ejected.max(share);
         }
     }
 
     pub(super) fn report(&mut self, target: usize, report: LoadReport, now: Duration) {
-        let pool = self.scenario.site.domain(target);
+        let pool = self.scenario.deployment.domain(target);
         let name = Arc::clone(&self.names[target]);
         self.pools[pool].report(&name, report, now);
         if report.leaving {
@@ -47,9 +47,9 @@
     pub(super) fn drained(&mut self, target: usize, now: Duration) {
         if let Some(since) = self.leaving.get(&target).copied()
             && self.targets[target].running.is_empty()
-            && self.figures.drain.is_none()
+            && self.results.drain.is_none()
         {
-            self.figures.drain = Some(now - since);
+            self.results.drain = Some(now - since);
         }
     }
 }
--- a/crates/admit/src/simulation/results.rs
+++ b/crates/admit/src/simulation/results.rs
@@ -35,24 +35,24 @@
 
 /// What callers got during a play, not counting its start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct Results {
     parts: BTreeMap<Group, Part>,
     /// Work of the answers in time, in seconds of slots.
     pub good_work: f64,
     /// Seconds of slots that there were.
     pub capacity: f64,
     /// Requests that were queued and refused after all.
-    pub refused_late: u64,
+    pub refused_after_wait: u64,
     /// The times that they waited, in ascending order.
     pub refused_waits: Vec<Duration>,
     /// Times a target turned work away, over the whole play.
     pub shed: u64,
     /// Second runs.
-    pub repeats: u64,
+    pub retries: u64,
     /// Targets killed.
-    pub deaths: u64,
+    pub crashes: u64,
     /// Requests refused in quarantine that kill nothing.
-    pub innocent: u64,
+    pub false_positives: u64,
     /// Most targets ejected at once, as a share of those in the pool.
     pub ejected: f64,
     /// Starts on a target after the pool knew that it leaves.
@@ -65,11 +65,11 @@
     pub late_starts: u64,
 }
 
-impl Figures {
+impl Results {
     pub(super) fn open(scenario: &Scenario) -> Self {
         let time = (scenario.length - scenario.warm).as_secs_f64();
         Self {
-            capacity: scenario.site.capacity() * time,
+            capacity: scenario.deployment.capacity() * time,
             ..Self::default()
         }
     }
--- a/crates/admit/src/simulation/target.rs
+++ b/crates/admit/src/simulation/target.rs
@@ -62,7 +62,7 @@
         let busy = self.running.len() as u32;
         let mut report = LoadReport {
             busy,
-            slots: scenario.site.slots,
+            slots: scenario.deployment.slots,
             leaving: false,
             cold: false,
         };
--- a/crates/admit/src/slot_shares/mod.rs
+++ b/crates/admit/src/slot_shares/mod.rs
@@ -13,36 +13,36 @@
 use crate::{PoolConfig, service_time::Class};
 
 /// Time over which short work is averaged.
-const WINDOW: f64 = 5.0;
+const AVERAGING_TIME: f64 = 5.0;
 
 /// Below this many slots of short work on average nothing is reserved: one slot of nine is too
 /// dear for a request every few seconds.
-const LEAST: f64 = 0.02;
+const MIN_DEMAND: f64 = 0.02;
 
 /// Average number of slots that a stream of work needs.
 #[derive(Debug, Default)]
-pub(crate) struct Meter {
+pub(crate) struct DemandMeter {
     slots: f64,
     at: Duration,
 }
 
-impl Meter {
+impl DemandMeter {
     /// Notes a request that will take `work`.
     pub(crate) fn add(&mut self, work: Duration, now: Duration) {
-        self.slots = self.read(now) + work.as_secs_f64() / WINDOW;
+        self.slots = self.read(now) + work.as_secs_f64() / AVERAGING_TIME;
         self.at = now;
     }
 
     /// Slots needed on average over the last seconds.
     pub(crate) fn read(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
-        self.slots * (-age / WINDOW).exp()
+        self.slots * (-age / AVERAGING_TIME).exp()
     }
 }
 
 /// Slots as they are divided between short and long work at one moment.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Room {
+pub(crate) struct SlotShares {
     /// Slots that may be used.
     pub(crate) slots: u32,
     /// Slots that short work is sure of while both classes wait.
@@ -53,15 +53,15 @@
     pub(crate) long_busy: u32,
 }
 
-impl Room {
+impl SlotShares {
     /// Divides `slots`, given the average need of short work.
-    pub(crate) fn divide(slots: u32, rules: &PoolConfig, need: f64, busy: [u32; 2]) -> Self {
-        let most = slots.saturating_sub(1);
-        let share = ((f64::from(slots) * rules.short_share).ceil() as u32).min(most);
-        let reserve = if need < LEAST {
+    pub(crate) fn divide(slots: u32, config: &PoolConfig, demand: f64, busy: [u32; 2]) -> Self {
+        let max_share = slots.saturating_sub(1);
+        let share = ((f64::from(slots) * config.short_share).ceil() as u32).min(max_share);
+        let reserve = if demand < MIN_DEMAND {
             0
         } else {
-            ((need * rules.reserve).ceil() as u32).min(share)
+            ((demand * config.reserve).ceil() as u32).min(share)
         };
         Self {
             slots,
@@ -73,13 +73,13 @@
     }
 
     /// Long work may take another slot.
-    pub(crate) fn long_fits(&self) -> bool {
+    pub(crate) fn long_may_start(&self) -> bool {
         self.long_busy < self.slots - self.reserve
     }
 
     /// The class that the next free slot goes to.
     pub(crate) fn next(&self, short_waits: bool, long_waits: bool) -> Option<Class> {
-        let long = long_waits && self.long_fits();
+        let long = long_waits && self.long_may_start();
         match (short_waits, long) {
             (true, true) if self.short_busy < self.share => Some(Class::Short),
             (_, true) => Some(Class::Long),
--- a/crates/admit/src/target/mod.rs
+++ b/crates/admit/src/target/mod.rs
@@ -8,7 +8,7 @@
 mod slot_limit;
 mod target_set;
 
-pub(crate) use self::target_set::{Ask, Finished, Targets};
+pub(crate) use self::target_set::{Finished, PlacementRequest, TargetSet};
 
 use std::{sync::Arc, time::Duration};
 
@@ -27,9 +27,9 @@
     /// It is in the configuration.
     pub(crate) listed: bool,
     /// The configuration says that it leaves.
-    pub(crate) drains: bool,
+    pub(crate) draining: bool,
     /// Nothing new starts on it, so that a suspect can run alone.
-    pub(crate) held: bool,
+    pub(crate) isolated: bool,
     /// Slots that may be used now; brought up to date by [`Targets::refresh`].
     pub(crate) limit: u32,
     pub(crate) health: Health,
@@ -43,8 +43,8 @@
             slots: spec.slots,
             running: Vec::new(),
             listed: true,
-            drains: spec.leaving,
-            held: false,
+            draining: spec.leaving,
+            isolated: false,
             limit: 0,
             health: Health::default(),
             limits: Limits::default(),
@@ -62,7 +62,7 @@
         self.listed = spec.is_some();
         let Some(spec) = spec else { return };
         self.slots = spec.slots;
-        self.drains = spec.leaving;
+        self.draining = spec.leaving;
         if back {
             self.limits.ramp(now);
         }
@@ -73,32 +73,32 @@
     }
 
     /// It may be given something now or later.
-    pub(crate) fn hopeful(&self, now: Duration) -> bool {
-        self.listed && !self.leaves(now)
+    pub(crate) fn usable(&self, now: Duration) -> bool {
+        self.listed && !self.is_leaving(now)
     }
 
-    pub(crate) fn leaves(&self, now: Duration) -> bool {
-        self.drains || self.limits.leaving(now)
+    pub(crate) fn is_leaving(&self, now: Duration) -> bool {
+        self.draining || self.limits.leaving(now)
     }
 
-    fn takes(&self) -> bool {
-        !self.held && self.busy() < self.limit
+    fn has_free_slot(&self) -> bool {
+        !self.isolated && self.busy() < self.limit
     }
 
     /// Slots that may be used at `now`.
-    fn allowed(&self, rules: &PoolConfig, now: Duration) -> u32 {
-        if !self.hopeful(now) {
+    fn allowed(&self, config: &PoolConfig, now: Duration) -> u32 {
+        if !self.usable(now) {
             return 0;
         }
-        let n = self.limits.allowed(self.slots, rules, now);
+        let n = self.limits.allowed(self.slots, config, now);
         n.min(self.health.allowed(self.slots, now))
     }
 
     /// The next time at which `allowed` may change by itself.
-    fn changes(&self, rules: &PoolConfig, now: Duration) -> Option<Duration> {
+    fn next_change(&self, config: &PoolConfig, now: Duration) -> Option<Duration> {
         [
-            self.limits.changes(self.slots, rules, now),
-            self.health.changes(now),
+            self.limits.next_change(self.slots, config, now),
+            self.health.next_change(now),
         ]
         .into_iter()
         .flatten()
@@ -106,15 +106,19 @@
     }
 
     /// It is slow or fails. A target that warms up is given twice the time.
-    fn bad(&self, rules: &PoolConfig, norm: f64, now: Duration) -> bool {
-        let warms = self.limits.ramping(rules.ramp, now);
-        let slow = if warms { 2.0 * rules.slow } else { rules.slow };
-        self.health.bad(slow, norm)
+    fn is_bad(&self, config: &PoolConfig, median_ratio: f64, now: Duration) -> bool {
+        let warms = self.limits.ramping(config.ramp_time, now);
+        let slow = if warms {
+            2.0 * config.eject_ratio
+        } else {
+            config.eject_ratio
+        };
+        self.health.is_bad(slow, median_ratio)
     }
 
-    fn take_report(&mut self, report: LoadReport, rules: &PoolConfig, now: Duration) {
+    fn take_report(&mut self, report: LoadReport, config: &PoolConfig, now: Duration) {
         let busy = self.busy();
-        if self.limits.report(report, self.slots, busy, rules, now) {
+        if self.limits.report(report, self.slots, busy, config, now) {
             // That it was slow has been explained: it warms only if it is given work.
             self.health.restore();
         }
@@ -123,9 +127,9 @@
     /// Rank for the next start, least first: the share of its slots in use, scaled by how slow it
     /// has lately been. A probe of an ejected target comes first, as it has to come at all.
     fn cost(&self) -> f64 {
-        if self.health.probes() {
+        if self.health.is_probe() {
             return 0.0;
         }
-        f64::from(self.busy() + 1) / f64::from(self.limit) * self.health.weight()
+        f64::from(self.busy() + 1) / f64::from(self.limit) * self.health.cost_factor()
     }
 }
--- a/crates/admit/src/target/target_set.rs
+++ b/crates/admit/src/target/target_set.rs
@@ -6,7 +6,7 @@
 
 /// Ejections are limited to one target in this many. Above that the fault is likely to be shared,
 /// and the rest of the pool could not carry the load.
-const EJECT_PART: usize = 3;
+const MAX_EJECTED_DIVISOR: usize = 3;
 
 /// The end of a run, as the targets need to know it.
 pub(crate) struct Finished {
@@ -18,13 +18,13 @@
 }
 
 /// What a request asks of its target.
-pub(crate) struct Ask<'a> {
+pub(crate) struct PlacementRequest<'a> {
     /// Targets that it must not go to.
     pub(crate) tried: &'a [Arc<str>],
     /// Its deadline leaves time for a slow run.
-    pub(crate) spares: bool,
+    pub(crate) tolerates_slow: bool,
     /// Mean service times until another slot is expected to be free for it.
-    pub(crate) strain: f64,
+    pub(crate) depth_per_slot: f64,
 }
 
 /// The targets, at positions that do not change while something runs on them.
@@ -32,25 +32,25 @@
 /// Invariants: the limits are those of the time of the last `refresh`; at most a third of the
 /// usable targets is ejected at the end of each call.
 #[derive(Debug)]
-pub(crate) struct Targets {
+pub(crate) struct TargetSet {
     list: Vec<Target>,
     /// Sum of the limits of those that are neither held nor a last resort.
     slots: u32,
     /// Usual ratio of measured to expected time: the lower median.
-    norm: f64,
+    median_ratio: f64,
     /// The limits hold until then.
-    until: Option<Duration>,
+    next_change: Option<Duration>,
     stale: bool,
 }
 
-impl Targets {
+impl TargetSet {
     pub(crate) fn open(specs: &[TargetSpec], now: Duration) -> Self {
         let list = specs.iter().map(|s| Target::open(s, now)).collect();
         Self {
             list,
             slots: 0,
-            norm: 1.0,
-            until: None,
+            median_ratio: 1.0,
+            next_change: None,
             stale: true,
         }
     }
@@ -80,7 +80,7 @@
     /// stays bounded.
     fn add(&mut self, spec: &TargetSpec, now: Duration) {
         let fresh = Target::open(spec, now);
-        let free = |t: &&mut Target| !t.listed && t.running.is_empty() && !t.held;
+        let free = |t: &&mut Target| !t.listed && t.running.is_empty() && !t.isolated;
         match self.list.iter_mut().find(free) {
             Some(t) => *t = fresh,
             None => self.list.push(fresh),
@@ -101,28 +101,28 @@
     }
 
     /// When the limits change by themselves.
-    pub(crate) fn until(&self) -> Option<Duration> {
-        self.until
+    pub(crate) fn next_change(&self) -> Option<Duration> {
+        self.next_change
     }
 
-    pub(crate) fn hopeful(&self, now: Duration) -> bool {
-        self.list.iter().any(|t| t.hopeful(now))
+    pub(crate) fn usable(&self, now: Duration) -> bool {
+        self.list.iter().any(|t| t.usable(now))
     }
 
     /// Brings the limits up to date.
-    pub(crate) fn refresh(&mut self, rules: &PoolConfig, now: Duration) {
-        if !self.stale && self.until.is_none_or(|t| now < t) {
+    pub(crate) fn refresh(&mut self, config: &PoolConfig, now: Duration) {
+        if !self.stale && self.next_change.is_none_or(|t| now < t) {
             return;
         }
-        self.judge(rules, now);
+        self.update_ejections(config, now);
         self.stale = false;
         self.slots = 0;
-        self.until = None;
+        self.next_change = None;
         for t in &mut self.list {
-            t.limit = t.allowed(rules, now);
-            let counts = !t.held && !t.health.spared();
+            t.limit = t.allowed(config, now);
+            let counts = !t.isolated && !t.health.spared();
             self.slots += if counts { t.limit } else { 0 };
-            self.until = [self.until, t.changes(rules, now)]
+            self.next_change = [self.next_change, t.next_change(config, now)]
                 .into_iter()
                 .flatten()
                 .min();
@@ -130,13 +130,13 @@
     }
 
     /// Ejects slow targets, or keeps them as a last resort.
-    fn judge(&mut self, rules: &PoolConfig, now: Duration) {
-        self.norm = self.median(now);
-        let usable = self.list.iter().filter(|t| t.hopeful(now)).count();
-        let most = usable / EJECT_PART;
+    fn update_ejections(&mut self, config: &PoolConfig, now: Duration) {
+        self.median_ratio = self.median(now);
+        let usable = self.list.iter().filter(|t| t.usable(now)).count();
+        let most = usable / MAX_EJECTED_DIVISOR;
         let mut out = 0;
         for t in self.list.iter_mut().filter(|t| t.health.ejected()) {
-            if !t.hopeful(now) || out == most {
+            if !t.usable(now) || out == most {
                 t.health.restore();
             } else {
                 out += 1;
@@ -145,21 +145,21 @@
         for t in self
             .list
             .iter_mut()
-            .filter(|t| t.hopeful(now) && !t.health.ejected())
+            .filter(|t| t.usable(now) && !t.health.ejected())
         {
-            if !t.bad(rules, self.norm, now) {
-                t.health.unspare();
+            if !t.is_bad(config, self.median_ratio, now) {
+                t.health.clear_last_resort();
             } else if out < most {
-                t.health.eject(rules.eject, now);
+                t.health.eject(config.eject_time, now);
                 out += 1;
             } else {
-                t.health.spare(rules.eject, now);
+                t.health.mark_last_resort(config.eject_time, now);
             }
         }
     }
 
     fn median(&self, now: Duration) -> f64 {
-        let list = self.list.iter().filter(|t| t.hopeful(now));
+        let list = self.list.iter().filter(|t| t.usable(now));
         let mut ratios: Vec<f64> = list.map(|t| t.health.ratio).collect();
         if ratios.is_empty() {
             return 1.0;
@@ -171,12 +171,16 @@
     }
 
     /// The target that the next start goes to, if any has a free slot.
-    pub(crate) fn place(&self, ask: &Ask<'_>, now: Duration) -> Option<usize> {
+    pub(crate) fn place(&self, request: &PlacementRequest<'_>, now: Duration) -> Option<usize> {
         let mut best = None;
         for (i, t) in self.list.iter().enumerate() {
             // A probe may take ten times as long: only what can spare that time is used for it.
-            let skip = t.health.probes() && !ask.spares || ask.tried.contains(&t.name);
-            if !t.takes() || skip || !t.health.worth(ask.strain, now) {
+            let skip =
+                t.health.is_probe() && !request.tolerates_slow || request.tried.contains(&t.name);
+            if !t.has_free_slot()
+                || skip
+                || !t.health.is_worth_starting(request.depth_per_slot, now)
+            {
                 continue;
             }
             let cost = t.cost();
@@ -191,49 +195,49 @@
     pub(crate) fn has_other(&self, tried: &[Arc<str>], now: Duration) -> bool {
         self.list
             .iter()
-            .any(|t| t.hopeful(now) && !tried.contains(&t.name))
+            .any(|t| t.usable(now) && !tried.contains(&t.name))
     }
 
-    pub(crate) fn start(&mut self, at: usize, ticket: u64, rules: &PoolConfig, now: Duration) {
+    pub(crate) fn start(&mut self, at: usize, ticket: u64, config: &PoolConfig, now: Duration) {
         let t = &mut self.list[at];
-        t.health.started(rules.eject, now);
+        t.health.started(config.eject_time, now);
         t.running.push(ticket);
         let busy = t.busy();
-        t.limits.note(busy, now);
+        t.limits.record_busy(busy, now);
     }
 
     pub(crate) fn report(
         &mut self,
         name: &str,
         report: LoadReport,
-        rules: &PoolConfig,
+        config: &PoolConfig,
         now: Duration,
     ) {
         if let Some(t) = self.list.iter_mut().find(|t| &*t.name == name) {
-            t.take_report(report, rules, now);
+            t.take_report(report, config, now);
             self.stale = true;
         }
     }
 
     /// A run has lasted this many times what was expected and goes on.
-    pub(crate) fn late(&mut self, at: usize, ratio: f64) {
-        self.list[at].health.sample(ratio, false);
+    pub(crate) fn record_late_run(&mut self, at: usize, ratio: f64) {
+        self.list[at].health.record(ratio, false);
         self.stale = true;
     }
 
     /// Frees the slot of a run. True if its time is usual for the pool, so that it may count in
     /// the estimate of its kind: a slow target's times must not.
-    pub(crate) fn finish(&mut self, end: &Finished, rules: &PoolConfig, now: Duration) -> bool {
-        let norm = self.norm;
+    pub(crate) fn finish(&mut self, end: &Finished, config: &PoolConfig, now: Duration) -> bool {
+        let median_ratio = self.median_ratio;
         let t = &mut self.list[end.target];
         t.running.retain(|x| *x != end.ticket);
         let busy = t.busy();
-        let usual = !t.bad(rules, norm, now) && !t.health.ejected();
+        let usual = !t.is_bad(config, median_ratio, now) && !t.health.ejected();
         let good = match end.outcome {
             Outcome::Ok => {
                 t.health.good();
-                t.health.sample(end.ratio, true);
-                end.ratio <= rules.slow * norm.max(1.0)
+                t.health.record(end.ratio, true);
+                end.ratio <= config.eject_ratio * median_ratio.max(1.0)
             }
             Outcome::Failed | Outcome::TimedOut => {
                 t.health.failed();
@@ -242,44 +246,44 @@
             Outcome::Refused => {
                 t.limits.shed(busy, now);
                 if busy == 0 {
-                    t.health.rest(now);
+                    t.health.back_off(now);
                 }
                 false
             }
             Outcome::Died => false,
             Outcome::Cancelled => return false,
         };
-        if t.health.probes() {
-            if t.health.probed(good, rules.eject, now) {
+        if t.health.is_probe() {
+            if t.health.record_probe(good, config.eject_time, now) {
                 t.limits.ramp(now);
             }
             self.stale = true;
-        } else if !good || t.health.ratio > rules.slow {
+        } else if !good || t.health.ratio > config.eject_ratio {
             self.stale = true;
         }
         usual
     }
 
     /// The process died: it rests, and comes back cold.
-    pub(crate) fn died(&mut self, at: usize, now: Duration) {
+    pub(crate) fn record_crash(&mut self, at: usize, now: Duration) {
         let t = &mut self.list[at];
-        let back = t.health.rest(now);
+        let back = t.health.back_off(now);
         t.limits.ramp(back);
         self.stale = true;
     }
 
     /// Chooses the target on which a suspect will run alone, and starts nothing else on it.
-    pub(crate) fn hold(&mut self, tried: &[Arc<str>]) -> Option<usize> {
-        let fits = |t: &Target| t.limit > 0 && !t.health.probes() && !tried.contains(&t.name);
+    pub(crate) fn isolate(&mut self, tried: &[Arc<str>]) -> Option<usize> {
+        let fits = |t: &Target| t.limit > 0 && !t.health.is_probe() && !tried.contains(&t.name);
         let list = self.list.iter().enumerate().filter(|(_, t)| fits(t));
         let at = list.min_by_key(|(_, t)| t.busy())?.0;
-        self.list[at].held = true;
+        self.list[at].isolated = true;
         self.stale = true;
         Some(at)
     }
 
     pub(crate) fn release(&mut self, at: usize) {
-        self.list[at].held = false;
+        self.list[at].isolated = false;
         self.stale = true;
     }
 }
