--- a/crates/admit/examples/loads.rs
+++ b/crates/admit/examples/loads.rs
@@ -61,10 +61,10 @@
         ms(0.5),
         ms(0.99),
         f.goodput(),
-        f.good_share(group),
-        f.refused_share(group),
-        f.failed_share(group),
-        f.missed_share(group),
+        f.good_fraction(group),
+        f.refused_fraction(group),
+        f.failed_fraction(group),
+        f.missed_fraction(group),
         f.shed as f64 / f.offered_count(Group::All) as f64,
     );
 }
--- a/crates/admit/examples/sweep.rs
+++ b/crates/admit/examples/sweep.rs
@@ -109,7 +109,7 @@
         ms(Group::All, 0.99),
         ms(Group::Kind(0), 0.99),
         f.goodput(),
-        f.refused_share(Group::All),
+        f.refused_fraction(Group::All),
         f.retries,
     );
 }
--- a/crates/admit/src/pool/state.rs
+++ b/crates/admit/src/pool/state.rs
@@ -88,7 +88,7 @@
             latency_ratio: target.health.ratio,
             leaving: !target.usable(now),
             ejected: target.health.ejected(),
-            down: target.health.down_until(now),
+            down: target.health.is_down(now),
             isolated: target.isolated,
         }
     }
--- a/crates/admit/src/quarantine/mod.rs
+++ b/crates/admit/src/quarantine/mod.rs
@@ -69,16 +69,16 @@
 ///
 /// ```
 /// use {
-///     dunlinrock_admit::{QuarantineStatus, Quarantine, Victim},
+///     dunlinrock_admit::{QuarantineStatus, Quarantine, CrashedRun},
 ///     std::time::Duration,
 /// };
 ///
 /// let at = Duration::from_secs;
 /// let mut q = Quarantine::open();
-/// q.death(&[Victim { fingerprint: 7, since: at(0) }, Victim { fingerprint: 8, since: at(0) }], at(1));
-/// q.ran(8);
+/// q.record_crash(&[CrashedRun { fingerprint: 7, since: at(0) }, CrashedRun { fingerprint: 8, since: at(0) }], at(1));
+/// q.clear(8);
 /// assert_eq!(q.status(8, at(2)), None);
-/// q.death(&[Victim { fingerprint: 7, since: at(2) }], at(3));
+/// q.record_crash(&[CrashedRun { fingerprint: 7, since: at(2) }], at(3));
 /// assert_eq!(q.status(7, at(3)), Some(QuarantineStatus::Convict));
 /// ```
 #[derive(Debug, Default)]
--- a/crates/admit/src/simulation/scenario.rs
+++ b/crates/admit/src/simulation/scenario.rs
@@ -119,7 +119,7 @@
     FalseReports,
     /// Requests, one every five seconds, that kill each target which runs them; their callers send
     /// them up to ten times.
-    Killers,
+    CrashingRequests,
 }
 
 /// A load on a service.
@@ -134,7 +134,7 @@
     /// How long requests arrive.
     pub length: Duration,
     /// Time at the start that does not count.
-    pub warm: Duration,
+    pub warm_up: Duration,
     /// Offered work as a share of the capacity.
     pub rate: f64,
     /// Bursts: the time between their starts, their length, and the share of the capacity offered
@@ -209,7 +209,7 @@
         deployment,
         seed,
         length: secs(20),
-        warm: secs(4),
+        warm_up: secs(4),
         rate: 0.6,
         burst: None,
         works: vec![Work { share: 0.9, ..PAGE }, BOOKING],
@@ -274,7 +274,7 @@
                 rate: 1.1,
                 works,
                 length: secs(40),
-                warm: secs(10),
+                warm_up: secs(10),
                 ..calm
             }
         }
@@ -285,7 +285,7 @@
             ..calm
         },
         "killer requests" => Scenario {
-            faults: vec![Fault::Killers],
+            faults: vec![Fault::CrashingRequests],
             ..calm
         },
         _ => calm,
@@ -305,7 +305,7 @@
     /// the regions are decided elsewhere.
     pub(super) home: usize,
     /// It kills its targets; the number of times that it was sent.
-    pub(super) kills: Option<u32>,
+    pub(super) crashing_sends: Option<u32>,
 }
 
 impl Scenario {
@@ -320,7 +320,7 @@
     }
 
     /// Time until the next arrival.
-    pub(super) fn gap(&self, now: Duration, rng: &mut StdRng) -> Duration {
+    pub(super) fn next_gap(&self, now: Duration, rng: &mut StdRng) -> Duration {
         let rate = match self.burst {
             Some((every, length, rate))
                 if now.as_micros() % every.as_micros() < length.as_micros() =>
@@ -362,7 +362,7 @@
             home: self
                 .deployment
                 .domain(rng.random_range(0..self.deployment.targets)),
-            kills: None,
+            crashing_sends: None,
         }
     }
 
--- a/crates/admit/src/target/health.rs
+++ b/crates/admit/src/target/health.rs
@@ -39,9 +39,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Ejected {
-    next_change: Duration,
+    probe_at: Duration,
     /// Probes that succeeded in a row.
-    good: u32,
+    successes: u32,
 }
 
 /// What a target's runs say about it.
@@ -58,7 +58,7 @@
     down_until: Duration,
     crashes: u32,
     /// It is slow, but no more may be ejected: when it is probed next.
-    spared: Option<Duration>,
+    last_resort_probe: Option<Duration>,
 }
 
 impl Default for Health {
@@ -72,7 +72,7 @@
             last_ejection: Duration::ZERO,
             down_until: Duration::ZERO,
             crashes: 0,
-            spared: None,
+            last_resort_probe: None,
         }
     }
 }
@@ -82,7 +82,7 @@
         self.ejected.is_some()
     }
 
-    pub(crate) fn down_until(&self, now: Duration) -> bool {
+    pub(crate) fn is_down(&self, now: Duration) -> bool {
         now < self.down_until
     }
 
@@ -102,12 +102,12 @@
         self.samples += u32::from(ended);
     }
 
-    pub(crate) fn good(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         self.failures = 0;
         self.crashes = 0;
     }
 
-    pub(crate) fn failed(&mut self) {
+    pub(crate) fn record_failure(&mut self) {
         self.failures += 1;
     }
 
@@ -132,10 +132,10 @@
         self.last_ejection = now;
         let time = (time * 2_u32.pow(self.ejections.min(8))).min(MAX_EJECT_TIME.max(time));
         self.ejections += 1;
-        self.spared = None;
+        self.last_resort_probe = None;
         self.ejected = Some(Ejected {
-            next_change: now + time,
-            good: 0,
+            probe_at: now + time,
+            successes: 0,
         });
     }
 
@@ -148,8 +148,8 @@
             self.eject(time, now);
             return false;
         }
-        e.good += 1;
-        if e.good < PROBES_TO_RESTORE {
+        e.successes += 1;
+        if e.successes < PROBES_TO_RESTORE {
             return false;
         }
         self.restore();
@@ -159,7 +159,7 @@
     /// Takes the target back, with a clean record.
     pub(crate) fn restore(&mut self) {
         self.ejected = None;
-        self.spared = None;
+        self.last_resort_probe = None;
         self.ratio = 1.0;
         self.samples = 0;
         self.failures = 0;
@@ -167,18 +167,18 @@
 
     /// Keeps a slow target that may not be ejected as a last resort, probed like an ejected one.
     pub(crate) fn mark_last_resort(&mut self, time: Duration, now: Duration) {
-        if self.spared.is_none() {
-            self.spared = Some(now + time);
+        if self.last_resort_probe.is_none() {
+            self.last_resort_probe = Some(now + time);
         }
     }
 
     /// It is a last resort.
-    pub(crate) fn spared(&self) -> bool {
-        self.spared.is_some()
+    pub(crate) fn is_last_resort(&self) -> bool {
+        self.last_resort_probe.is_some()
     }
 
     pub(crate) fn clear_last_resort(&mut self) {
-        self.spared = None;
+        self.last_resort_probe = None;
     }
 
     /// Whether a slow target that may not be ejected is worth a start, when the others would have
@@ -188,13 +188,13 @@
     /// queue is as long as that. Without a start now and then nobody would see that it has
     /// recovered.
     pub(crate) fn is_worth_starting(&self, depth_per_slot: f64, now: Duration) -> bool {
-        self.spared
+        self.last_resort_probe
             .is_none_or(|probe| depth_per_slot + 1.0 >= self.ratio || now >= probe)
     }
 
     /// A start was made: the next probe comes later.
     pub(crate) fn started(&mut self, time: Duration, now: Duration) {
-        if let Some(probe) = self.spared.as_mut().filter(|t| now >= **t) {
+        if let Some(probe) = self.last_resort_probe.as_mut().filter(|t| now >= **t) {
             *probe = now + time;
         }
     }
@@ -209,19 +209,19 @@
     }
 
     pub(crate) fn allowed(&self, slots: u32, now: Duration) -> u32 {
-        if self.down_until(now) {
+        if self.is_down(now) {
             return 0;
         }
         match self.ejected {
-            Some(e) if now < e.next_change => 0,
+            Some(e) if now < e.probe_at => 0,
             Some(_) => 1,
             None => slots,
         }
     }
 
     pub(crate) fn next_change(&self, now: Duration) -> Option<Duration> {
-        let back = self.ejected.map(|e| e.next_change);
-        [Some(self.down_until), back, self.spared]
+        let back = self.ejected.map(|e| e.probe_at);
+        [Some(self.down_until), back, self.last_resort_probe]
             .into_iter()
             .flatten()
             .filter(|t| *t > now)
--- a/crates/admit/src/target/slot_limit.rs
+++ b/crates/admit/src/target/slot_limit.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Cap {
     slots: u32,
-    next_change: Duration,
+    expires_at: Duration,
 }
 
 /// Caps on one target's slots.
@@ -90,7 +90,7 @@
         self.distrust_until = now;
         self.shed = Cap {
             slots: busy.max(1),
-            next_change: now + SHED_TTL,
+            expires_at: now + SHED_TTL,
         };
     }
 
@@ -129,7 +129,7 @@
             self.distrust_until = now + config.report_ttl + DISTRUST_TIME;
             self.reported = Cap {
                 slots: free.max(slots.div_ceil(2)),
-                next_change: now + config.report_ttl,
+                expires_at: now + config.report_ttl,
             };
         }
         cold
@@ -140,7 +140,7 @@
     pub(crate) fn allowed(&self, slots: u32, config: &PoolConfig, now: Duration) -> u32 {
         let mut n = slots;
         for cap in [self.reported, self.shed] {
-            if now < cap.next_change {
+            if now < cap.expires_at {
                 n = n.min(cap.slots);
             }
         }
@@ -160,7 +160,7 @@
         config: &PoolConfig,
         now: Duration,
     ) -> Option<Duration> {
-        let ends = [self.reported.next_change, self.shed.next_change].into_iter();
+        let ends = [self.reported.expires_at, self.shed.expires_at].into_iter();
         let left = self.leaving.map(|at| at + LEAVING_TTL);
         let step = self.ramp.map(|at| {
             let n = ramped_slots(slots, now.saturating_sub(at), config.ramp_time);
--- a/crates/admit/src/target/target_set.rs
+++ b/crates/admit/src/target/target_set.rs
@@ -120,7 +120,7 @@
         self.next_change = None;
         for t in &mut self.list {
             t.limit = t.allowed(config, now);
-            let counts = !t.isolated && !t.health.spared();
+            let counts = !t.isolated && !t.health.is_last_resort();
             self.slots += if counts { t.limit } else { 0 };
             self.next_change = [self.next_change, t.next_change(config, now)]
                 .into_iter()
@@ -235,12 +235,12 @@
         let usual = !t.is_bad(config, median_ratio, now) && !t.health.ejected();
         let good = match end.outcome {
             Outcome::Ok => {
-                t.health.good();
+                t.health.record_success();
                 t.health.record(end.ratio, true);
                 end.ratio <= config.eject_ratio * median_ratio.max(1.0)
             }
             Outcome::Failed | Outcome::TimedOut => {
-                t.health.failed();
+                t.health.record_failure();
                 false
             }
             Outcome::Refused => {
