--- a/crates/admit/src/fair_queue/clock_sketch.rs
+++ b/crates/admit/src/fair_queue/clock_sketch.rs
@@ -1,4 +1,4 @@
-//! Clocks of callers or keys in a table of fixed size.
+//! Virtual clocks of callers or keys in a table of fixed size.
 
 /// Rows of the table. A light caller is mistaken for a heavy one only if it collides in all rows:
 /// with ten heavy callers among 256 cells that is (10/256)^4, about one in 430,000.
@@ -7,10 +7,10 @@
 /// Cells in a row; a power of two. Both sketches of a queue take 16 KB.
 const CELLS: usize = 256;
 
-/// Clocks by hash, each read as the least of its cells.
+/// Clocks by hash; a read returns the minimum of the id's cells.
 ///
-/// Invariant: a read is never below the clock that was last raised for the same id, but where a
-/// raise of an id that shares all its cells was taken back.
+/// Invariant: a read is never below the clock that was last raised for the same id, except after a
+/// raise of an id that shares all its cells was undone.
 #[derive(Clone, Debug)]
 pub(crate) struct Sketch {
     seed: u64,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The clock of an id, or a later one if others share its cells.
+    /// Returns the clock of an id, or a later one if other ids share its cells.
     pub(crate) fn read(&self, id: u64) -> u64 {
         self.cells_of(id)
             .map(|i| self.cells[i])
@@ -34,14 +34,14 @@
             .unwrap_or(0)
     }
 
-    /// Moves the clock of an id forward to `to`.
+    /// Advances the clock of an id to `to`.
     pub(crate) fn raise(&mut self, id: u64, to: u64) {
         for i in self.cells_of(id) {
             self.cells[i] = self.cells[i].max(to);
         }
     }
 
-    /// Takes back the last raise of an id, unless it or others have raised its cells since.
+    /// Undoes the last raise of an id, unless its cells have been raised since.
     pub(crate) fn lower(&mut self, id: u64, from: u64, to: u64) {
         for i in self.cells_of(id) {
             if self.cells[i] == from {
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Another hashing, so that a pair that collides does not do so for good. Only right while no
-    /// clock is ahead of the pool's, that is while nothing is queued.
+    /// Changes the hash seed, so that two ids that collide do not collide permanently. Only valid
+    /// while no clock is ahead of the pool's, that is, while nothing is queued.
     pub(crate) fn reseed(&mut self) {
         self.seed = self.seed.wrapping_add(1);
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// The finalizer of splitmix64: each bit of the input changes half of the output's.
+/// The finalizer of SplitMix64: each bit of the input changes half of the output bits.
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/admit/src/fair_queue/mod.rs
+++ b/crates/admit/src/fair_queue/mod.rs
@@ -1,13 +1,13 @@
-//! Fair shares among callers and among keys, in memory that does not grow with their number.
+//! Fair queueing among callers and among keys, in memory that does not grow with their number.
 //!
-//! Load: one college's importer sends ten times its share, or a popular camp opens and one key
-//! takes most of the load. In a first-in-first-out queue everybody then waits behind that backlog.
+//! One college's importer may send ten times its share, or a popular camp opens and one key takes
+//! most of the load. In a first-in-first-out queue every request then waits behind that backlog.
 //!
-//! Each caller and each key has a virtual clock: the amount of work queued for it so far, on the
-//! scale of the work that the pool starts (start-time fair queueing). A request's rank is the
-//! latest of the pool's clock, its caller's and its key's. A caller with a backlog ranks behind its
-//! own backlog and nobody else's; a caller that comes now and then ranks at the pool's clock, at
-//! the head. The clocks are kept in a [`Sketch`] of fixed size.
+//! Each caller and each key has a virtual clock: the service time queued for it so far, on the
+//! scale of the service time that the pool starts (start-time fair queueing). A request's rank is
+//! the latest of the pool's clock, its caller's and its key's. A caller with a backlog ranks behind
+//! its own backlog only; a caller that sends now and then ranks at the pool's clock, at the head.
+//! The clocks are kept in a [`Sketch`] of fixed size.
 
 mod clock_sketch;
 mod queue;
--- a/crates/admit/src/fair_queue/queue.rs
+++ b/crates/admit/src/fair_queue/queue.rs
@@ -1,21 +1,21 @@
-//! A queue in the order of fair ranks.
+//! Queue ordered by virtual start time.
 
 use std::{collections::VecDeque, time::Duration};
 
 use super::clock_sketch::Sketch;
 
-/// A key may have this many times the share of a caller before it ranks behind: callers are who
-/// pays, keys are only what is popular. With 1 a heavy caller who asks for the same key as everybody
-/// pushes the others back, with 16 it hardly does, and a hot key is held back as well.
+/// Ratio of a key's share to a caller's share before the key ranks behind. Callers are what
+/// fairness is for; keys are only popular. With 1, a heavy caller that asks for the same key as all
+/// others delays them; with 16 it hardly does, and a hot key is still held back.
 const KEY_WEIGHT: u64 = 16;
 
-/// Seconds of queueing over which the speed of the clock is averaged.
+/// Seconds of queueing over which the rate of the clock is averaged.
 const RATE_WINDOW: f64 = 0.2;
 
-/// A place in the queue.
+/// Position of a request in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
-    /// Virtual start time, in microseconds of work.
+    /// Virtual start time, in microseconds of service time.
     pub(crate) rank: u64,
     /// Order of arrival among equal ranks.
     pub(crate) seq: u64,
@@ -29,7 +29,7 @@
     charge: Option<Charge>,
 }
 
-/// What a request was charged: the clocks of its caller and its key, before and after.
+/// Charge of a request: the clocks of its caller and its key, before and after.
 #[derive(Clone, Copy, Debug)]
 struct Charge {
     caller: u64,
@@ -38,17 +38,17 @@
     keys: (u64, u64),
 }
 
-/// How fast the clock of a queue moves while requests wait.
+/// Rate of a queue's clock while requests wait.
 ///
-/// The jump of the clock when the queue runs empty counts too: without it only the queues that
-/// last would be measured, and callers would be refused for waits that never come.
+/// The jump of the clock when the queue runs empty counts too. Without it only long-lived queues
+/// would be measured, and callers would be refused because of waits that do not occur.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClockRate {
-    /// Clock and time when it was last looked at.
+    /// Clock and time of the last record.
     mark: Option<(u64, Duration)>,
-    /// Way of the clock, in microseconds of work, of late.
+    /// Recent distance of the clock, in microseconds of service time.
     distance: f64,
-    /// Time that it took, in seconds.
+    /// Time of that distance, in seconds.
     time: f64,
 }
 
@@ -65,21 +65,21 @@
         }
     }
 
-    /// Units of the clock per second.
+    /// Returns the rate in units of the clock per second.
     fn per_second(&self) -> Option<f64> {
         (self.time > RATE_WINDOW / 10.0).then(|| (self.distance / self.time).max(1.0))
     }
 }
 
-/// Requests that wait, best rank first.
+/// Waiting requests, lowest rank first.
 ///
-/// Invariants: `list` is sorted by slot; `total` is the sum of the work in `list`.
+/// Invariants: `list` is sorted by queue key; `total` is the sum of the service times in `list`.
 #[derive(Debug)]
 pub(crate) struct FairQueue {
     list: VecDeque<Entry>,
     /// Rank of the request that was started last.
     clock: u64,
-    /// Latest rank ever given, to which the clock jumps when the queue has run empty.
+    /// Highest rank assigned so far, to which the clock jumps when the queue has run empty.
     max_rank: u64,
     seq: u64,
     total: u64,
@@ -110,19 +110,20 @@
         self.list.is_empty()
     }
 
-    /// Work that waits, in microseconds.
+    /// Returns the service time that waits, in microseconds.
     pub(crate) fn work(&self) -> u64 {
         self.total
     }
 
-    /// Rank that a request of this caller about this key would have.
+    /// Returns the rank that a request of this caller for this key would have.
     pub(crate) fn rank(&self, caller: u64, key: u64) -> u64 {
         self.clock
             .max(self.callers.read(caller))
             .max(self.keys.read(key))
     }
 
-    /// Number of requests and work, in microseconds, that are served before this rank.
+    /// Returns the number of requests and their service time, in microseconds, that are served
+    /// before this rank.
     pub(crate) fn ahead(&self, rank: u64) -> (usize, u64) {
         let n = self.list.partition_point(|e| e.queue_key.rank <= rank);
         let work = self.total * n as u64 / self.list.len().max(1) as u64;
@@ -135,9 +136,8 @@
         let work = work.max(1);
         let caller_start = self.clock.max(self.callers.read(caller));
         self.callers.raise(caller, caller_start + work);
-        // A request that waits behind its caller's own backlog takes up its key's turn only later
-        // and less often. Charged in full, a heavy caller would push back everybody else who asks
-        // for the same key.
+        // A request behind its caller's own backlog uses its key's turn later and less often. If it
+        // were charged in full, a heavy caller would delay all others that ask for the same key.
         let lead = (caller_start - self.clock) / work;
         let charge = work / KEY_WEIGHT / (1 + lead);
         let key_start = self.clock.max(self.keys.read(key));
@@ -155,7 +155,7 @@
         self.insert(ticket, rank, work, Some(charge))
     }
 
-    /// Adds a request at the head, without a charge: it had its turn and has to be run again.
+    /// Adds a request at the head, without a charge: it had its turn and is retried.
     pub(crate) fn push_front(&mut self, ticket: u64, work: u64) -> QueueKey {
         self.insert(ticket, self.clock, work.max(1), None)
     }
@@ -180,20 +180,21 @@
         queue_key
     }
 
-    /// The ticket at a place from the head.
+    /// Returns the ticket at a position from the head.
     pub(crate) fn peek(&self, at: usize) -> Option<u64> {
         self.list.get(at).map(|e| e.ticket)
     }
 
-    /// Rank and ticket of the request that would be served last.
+    /// Returns the rank and the ticket of the request that would be served last.
     pub(crate) fn last(&self) -> Option<(u64, u64)> {
         self.list.back().map(|e| (e.queue_key.rank, e.ticket))
     }
 
-    /// Time until the clock reaches a rank at its present speed.
+    /// Returns the time until the clock reaches a rank at its present rate.
     ///
-    /// Those who wait now are not all who are served before: callers with earlier clocks will
-    /// still come. Where every caller offers more than its share, half of what is served comes so.
+    /// The requests that wait now are not all that are served before this rank: callers with
+    /// earlier clocks will still send. Where every caller offers more than its share, these make up
+    /// half of what is served.
     pub(crate) fn time_to_reach(&self, rank: u64) -> Duration {
         let lead = rank.saturating_sub(self.clock) as f64;
         match self.clock_rate.per_second() {
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Removes a request that starts now: the pool's clock moves to its rank.
+    /// Removes a request that starts now: the pool's clock advances to its rank.
     pub(crate) fn start(&mut self, queue_key: QueueKey, now: Duration) {
         self.clock = self.clock.max(queue_key.rank);
         self.clock_rate.record(self.clock, now);
@@ -213,8 +214,8 @@
         }
     }
 
-    /// Removes a request that leaves without having been started, and takes back its charge:
-    /// otherwise a caller would pay for work that it did not get.
+    /// Removes a request that was not started, and undoes its charge: otherwise a caller would pay
+    /// for service that it did not get.
     pub(crate) fn remove(&mut self, queue_key: QueueKey) {
         if let Some(c) = self.take(queue_key).and_then(|e| e.charge) {
             self.callers.lower(c.caller, c.callers.1, c.callers.0);
--- a/crates/admit/src/pool/admit.rs
+++ b/crates/admit/src/pool/admit.rs
@@ -1,11 +1,11 @@
-//! Admission: start, queue or refuse, at once.
+//! Admission: decides at once whether a request starts, is queued or is refused.
 //!
-//! Load: more work than slots, for a while or for long. A queue without a bound lets every request
-//! wait until its caller has gone; the slots are then busy with answers that nobody reads, and
-//! goodput falls towards zero although all slots are in use. Here a request is let in only if it is
-//! expected to be answered before its deadline, counting the work ahead of its fair rank, the
-//! slots that serve its class and [`SPREAD`] deviations. Everything else is refused in the same
-//! call: it has not run, and its caller can go elsewhere while there is time.
+//! When there are more requests than slots, a queue without a limit lets every request wait until
+//! its caller has disconnected. The slots are then busy with responses that are not read, and
+//! goodput falls towards zero although all slots are in use. So a request is admitted only if it is
+//! expected to be answered before its deadline, given the service time queued ahead of its fair
+//! rank, the slots that serve its class and [`WAIT_DEVIATIONS`] deviations. All others are refused
+//! in the same call: they have not run, and their callers can go elsewhere while there is time.
 
 use std::time::Duration;
 
@@ -19,34 +19,35 @@
 /// admitted request in six would wait longer than estimated; at 2, one in forty.
 const WAIT_DEVIATIONS: f64 = 2.0;
 
-/// How much better a claim has to be to push another out, in requests of its own kind.
+/// How much lower a rank must be to evict another request, in requests of its own kind.
 const MIN_ADVANTAGE: u64 = 1;
 
-/// Most that requests which are still to come may add to the wait behind those that are here, as a
-/// multiple of it. The speed of the queue's clock is measured while there is a queue; a queue of a
-/// few requests is gone before the clock gets to a rank at that speed.
+/// Maximum wait that future requests may add, as a multiple of the wait behind the requests that
+/// are queued now. The rate of the queue's clock is measured only while there is a queue; a queue
+/// of a few requests is empty before the clock reaches a rank at that rate.
 const MAX_OVERTAKING: f64 = 3.0;
 
-/// Least time after which a refused caller is asked to come back. Less would let refused callers
-/// make more load than the work itself.
+/// Minimum `retry_after` of a refusal. With less, refused callers could cause more load than the
+/// requests that are served.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Longest time after which a refused caller is asked to come back.
+/// Maximum `retry_after` of a refusal.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// What a request that came now would meet.
+/// Estimated wait of a request that arrives now.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Wait {
-    /// Time until what waits and ranks before it has been started.
+    /// Time until all queued requests that rank before it have started.
     pub(super) current: Duration,
-    /// Expected wait, with those who are still to come.
+    /// Expected wait, including requests that are yet to arrive.
     pub(super) mean: Duration,
     /// Wait that is rarely exceeded.
     pub(super) upper: Duration,
 }
 
 impl Pool {
-    /// Decides at once what becomes of a request. Follow it with [`Pool::poll`].
+    /// Decides at once whether a request starts, is queued or is refused. Call [`Pool::poll`] after
+    /// it.
     ///
     /// A refusal is final: the request has not run and will not.
     pub fn offer(&mut self, offer: Offer, now: Duration) -> Decision {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Reasons to refuse that do not depend on the wait.
+    /// Checks the reasons to refuse that do not depend on the wait.
     fn check(&mut self, offer: &Offer, now: Duration) -> Result<(), RefusalReason> {
         if self.tickets.contains_key(&offer.ticket) {
             return Err(RefusalReason::DuplicateTicket);
@@ -90,10 +91,10 @@
         Ok(())
     }
 
-    /// A free slot, if nobody who waits has a better claim to it.
+    /// Returns a target with a free slot, unless a queued request goes first.
     ///
     /// With a free slot the request is started even if its deadline leaves less than the tail of
-    /// its service time: nobody else needs the slot.
+    /// its service time: no other request needs the slot.
     fn place_now(&self, request: &Request, now: Duration) -> Option<usize> {
         if !self.queues[request.class as usize].is_empty() {
             return None;
@@ -125,7 +126,7 @@
         }
         let max_wait = self.max_wait(request.class, request.estimate.mean, now);
         request.wait(max_wait, now);
-        // The deadline is the caller's and has to hold; patience only bounds the queue.
+        // The deadline is the caller's and must hold; the maximum wait only limits the queue.
         let late = now + wait.upper + request.estimate.tail > request.deadline;
         if late || now + wait.mean > request.start_by {
             let over = (now + wait.upper).saturating_sub(request.start_by);
@@ -149,11 +150,11 @@
         Decision::Queued
     }
 
-    /// The queue as a whole holds as much as can be served in the time that this request may wait,
-    /// and its claim is not clearly better than that of the last.
+    /// Returns whether the whole queue already takes as long as this request may wait, while its
+    /// rank is not clearly better than that of the last request, which is evicted otherwise.
     ///
-    /// If only its own rank counted, equal callers would be let in ahead of each other all the
-    /// time, and half of those let in would be refused after waiting in vain.
+    /// If only the request's own rank counted, equal callers would constantly be admitted ahead of
+    /// each other, and half of the admitted requests would be refused after a wait.
     fn is_queue_full_for(&mut self, request: &Request, rank: u64, now: Duration) -> bool {
         let class = request.class;
         let Some((last, ticket)) = self.queues[class as usize].last() else {
@@ -175,8 +176,8 @@
         false
     }
 
-    /// Refuses those at the end of a queue whom the requests let in ahead of them have cost their
-    /// chance: they hear now, not when their time is up.
+    /// Refuses requests at the end of a queue that can no longer start in time because others were
+    /// admitted ahead of them: they are refused now and not when their time is up.
     fn trim(&mut self, class: Class, now: Duration) {
         while let Some((rank, ticket)) = self.queues[class as usize].last() {
             let Some(request) = self.tickets.get(&ticket) else {
@@ -190,8 +191,8 @@
         }
     }
 
-    /// Makes room in a full queue for a request of this rank: the request that would be served
-    /// last leaves. Without this a heavy caller who came first would keep everybody else out.
+    /// Evicts the request that would be served last from a full queue, in favour of one of this
+    /// rank. Without this, a heavy caller that came first would keep all others out.
     fn evict_worst(&mut self, class: Class, rank: u64, now: Duration) -> bool {
         let other = match class {
             Class::Short => Class::Long,
@@ -210,7 +211,7 @@
         true
     }
 
-    /// The wait of a request with this rank.
+    /// Returns the estimated wait of a request with this rank.
     pub(super) fn wait(&self, class: Class, rank: u64, now: Duration) -> Wait {
         let other = &self.queues[1 - class as usize];
         let slots = f64::from(self.slot_shares(now).serving(class, !other.is_empty()));
@@ -228,7 +229,7 @@
             ahead / n as f64 / slots
         };
         let spread = WAIT_DEVIATIONS * first.max(each * (n as f64).sqrt());
-        // With no slot at all, nothing moves until the limits change.
+        // Without any slot, nothing starts until the limits change.
         let still = match self.targets.slots() {
             0 => self
                 .targets
@@ -244,10 +245,10 @@
         }
     }
 
-    /// Expected time, in seconds, until one of the slots that a class may use is free.
+    /// Returns the expected time, in seconds, until one of the slots that a class may use is free.
     ///
-    /// A class waits for its own runs and for those of the other, whichever end sooner: pages that
-    /// turn over a few slots in milliseconds do not wait for the summaries in the rest.
+    /// A class waits for its own runs or for those of the other class, whichever end sooner: pages
+    /// that turn over a few slots in milliseconds do not wait for the summaries in the rest.
     fn first_free(&self, class: Class) -> f64 {
         let slot_interval =
             |i: usize| self.load[i] as f64 / 1e6 / f64::from(self.busy[i].max(1)).powi(2);
@@ -260,7 +261,7 @@
         }
     }
 
-    /// Counts a refusal and puts it into words.
+    /// Counts a refusal and returns it as a decision.
     pub(super) fn refused(&mut self, reason: RefusalReason, retry_after: Duration) -> Decision {
         self.counts.refused += 1;
         Decision::Refused {
@@ -269,7 +270,7 @@
         }
     }
 
-    /// Estimate of the time after which a request refused for `reason` would be let in.
+    /// Estimates the time after which a request refused for `reason` would be admitted.
     pub(super) fn retry_after(
         &self,
         reason: RefusalReason,
@@ -283,7 +284,7 @@
                 self.slot_interval() * (1.0 / self.config.retry_ratio.max(0.01)) as u32
             }
             RefusalReason::DuplicateTicket => self.slot_interval(),
-            // Half of what waits has then been served.
+            // By then, half of the queue has been served.
             RefusalReason::DeadlineExceeded
             | RefusalReason::QueueFull
             | RefusalReason::QueueTimeout => {
--- a/crates/admit/src/pool/config.rs
+++ b/crates/admit/src/pool/config.rs
@@ -1,39 +1,42 @@
-//! What a pool is told: its rules and its targets.
+//! Configuration of a pool and of its targets.
 
 use std::{sync::Arc, time::Duration};
 
-/// Settings of a pool. Each default is the one that the sweep named in its module's doc chose.
+/// Settings of a pool. Each default was chosen by the sweep named in its module's documentation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolConfig {
-    /// Most requests that wait at once. When it is full, the request with the worst rank leaves.
+    /// Maximum number of queued requests. When the queue is full, the request with the worst rank
+    /// is evicted.
     pub max_queued: usize,
-    /// Longest time that a request waits, whatever its deadline, in a queue that a burst has
-    /// made; work that takes longer may wait for as long as it takes.
+    /// Maximum time in a queue that a burst has caused, whatever the deadline; a request with a
+    /// longer service time may wait for as long as that.
     pub max_wait: Duration,
-    /// The same once waits have been long for `burst`: the overload lasts, and a longer wait would
-    /// add to each answer without adding one answer.
+    /// The same once waits have been long for `burst_time`: the overload is sustained, and a longer
+    /// wait would add to each response time without adding one response.
     pub overload_wait: Duration,
-    /// Longest time that a burst and the queue it leaves may take.
+    /// Maximum time that a burst and the queue it leaves may take.
     pub burst_time: Duration,
-    /// Work expected to take up to this long is short; the rest is long.
+    /// Maximum expected service time of a short request; all others are long.
     pub short_max: Duration,
-    /// Share of the slots, 0 to 1, that short work is sure of while it competes with long work.
+    /// Fraction of the slots, 0 to 1, that is guaranteed to short requests while they compete with
+    /// long ones.
     pub short_share: f64,
-    /// Slots kept free of long work for each slot that short work has lately needed.
+    /// Slots kept free of long requests for each slot that short requests have recently needed.
     pub reserve: f64,
-    /// Guess of the service time of a kind of request that has not been seen yet.
+    /// Initial estimate of the service time of a kind of request that has not been seen yet.
     pub initial_estimate: Duration,
     /// Time in which a cold target's slots grow from one to all.
     pub ramp_time: Duration,
-    /// A target this many times slower than expected is ejected.
+    /// Ratio of measured to expected service time above which a target is ejected.
     pub eject_ratio: f64,
-    /// Time a slow target stays ejected before it is probed; doubles at each failed probe.
+    /// Time for which a slow target stays ejected before it is probed; doubles with each failed
+    /// probe.
     pub eject_time: Duration,
-    /// Reruns and hedges allowed for each first run, 0 to 1.
+    /// Retries and hedges allowed for each first attempt, 0 to 1.
     pub retry_ratio: f64,
-    /// Time for which a report may hold back what a target is given.
+    /// Time for which a load report may lower the number of slots that are used.
     pub report_ttl: Duration,
-    /// Seed of the hashing that spreads callers and keys.
+    /// Seed of the hashes of callers and keys.
     pub seed: u64,
 }
 
@@ -58,15 +61,15 @@
     }
 }
 
-/// A target as the configuration names it.
+/// A target as configured.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetSpec {
     /// Name, unique in the pool.
     pub name: Arc<str>,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs at once.
     pub slots: u32,
-    /// It is to be given nothing new.
+    /// Whether it is draining: it gets no new requests.
     pub leaving: bool,
-    /// It starts with cold caches: it is given its slots bit by bit.
+    /// Whether it starts with cold caches: its slots become usable step by step.
     pub cold: bool,
 }
--- a/crates/admit/src/pool/finish.rs
+++ b/crates/admit/src/pool/finish.rs
@@ -1,4 +1,4 @@
-//! The end of a run, and whether there is another.
+//! The end of a run, and the decision whether the request is retried.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,7 +9,8 @@
 };
 
 impl Pool {
-    /// A run at a target has ended, which frees its slot. Follow it with [`Pool::poll`].
+    /// Records that a run at a target has ended, which frees its slot. Call [`Pool::poll`] after
+    /// it.
     pub fn finish(
         &mut self,
         ticket: u64,
@@ -27,7 +28,7 @@
         self.conclude(ticket, run, outcome, now)
     }
 
-    /// Takes a run out of the books and learns from it.
+    /// Removes a run and updates the estimates, the target's health and the quarantine.
     fn end_run(
         &mut self,
         ticket: u64,
@@ -62,7 +63,7 @@
         Some(run)
     }
 
-    /// A target died: everything that ran on it is suspect.
+    /// Records a crash of a target: every request that ran on it becomes a suspect.
     fn record_crash(&mut self, run: Run, ticket: u64, now: Duration) {
         let mut crashed_runs = Vec::new();
         if let Some(r) = self.tickets.get(&ticket) {
@@ -80,7 +81,7 @@
                 .iter_mut()
                 .filter(|x| x.target == run.target && !x.crash_counted)
             {
-                // Its connection will be reported as dead too: that is the same death.
+                // Its connection will be reported as broken too: that is the same crash.
                 affected.crash_counted = true;
                 crashed_runs.push(CrashedRun {
                     fingerprint: r.fingerprint,
@@ -118,7 +119,7 @@
         self.settle(ticket)
     }
 
-    /// The request may and should run again, and the budget has paid for it.
+    /// Returns whether the request may be retried; if so, takes a token from the retry budget.
     fn may_retry(&mut self, ticket: u64, outcome: Outcome, now: Duration) -> bool {
         let Some(request) = self.tickets.get(&ticket) else {
             return false;
@@ -143,7 +144,8 @@
         };
         self.checks.remove(&(request.check, ticket));
         request.wait(self.config.max_wait, now);
-        // It was let in; what its first run has cost it must not be the reason to refuse it.
+        // It was admitted before; the time of its first attempt must not be the reason to refuse
+        // it.
         request.start_by = request.start_by.max(now);
         self.start_deadlines.insert((request.start_by, ticket));
         if self.quarantine.status(request.fingerprint, now) == Some(QuarantineStatus::Suspect) {
@@ -156,7 +158,7 @@
         request.place = Place::Queued(queue_key);
     }
 
-    /// The request has its final outcome: other runs of it are aborted.
+    /// Settles the request with its final outcome and aborts its other runs.
     fn settle(&mut self, ticket: u64) -> Completion {
         let Some(request) = self.tickets.get_mut(&ticket) else {
             return Completion::Stale;
--- a/crates/admit/src/pool/isolation.rs
+++ b/crates/admit/src/pool/isolation.rs
@@ -1,8 +1,7 @@
-//! Runs of suspects, each alone on its target.
+//! Isolated runs of suspects, each alone on its target; see [`Quarantine`](crate::Quarantine).
 //!
-//! Load: see [`quarantine`](crate::Quarantine). One suspect at a time, because each takes a whole
-//! target for a moment: new work stays off the target until it is idle, the suspect runs, and the
-//! target is released.
+//! Suspects run one at a time, because each takes a whole target for a moment: no new request
+//! starts on the target until it is idle, the suspect runs, and the target is released.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -12,14 +11,14 @@
     target::TargetSet,
 };
 
-/// Suspects that wait for a target of their own. Each waits for the runs of those before it, so
-/// that a longer line would not be served within usual deadlines.
+/// Maximum number of suspects that wait for an isolated run. Each waits for the runs of those
+/// before it, so a longer queue would not be served within usual deadlines.
 const MAX_SUSPECTS: usize = 32;
 
 /// The suspects that wait, and the one that has a target.
 ///
-/// Invariant: `target` is held in `Targets` exactly while it is set here; `ticket` is set only
-/// together with `target`.
+/// Invariant: `target` is isolated in `TargetSet` exactly while it is set here; `ticket` is set
+/// only together with `target`.
 #[derive(Debug, Default)]
 pub(super) struct IsolationQueue {
     queue: VecDeque<u64>,
@@ -36,7 +35,7 @@
         self.queue.retain(|t| *t != ticket);
     }
 
-    /// A run has ended; if it was the suspect's, its target is free for others.
+    /// Releases the target if the run that has ended was the suspect's.
     pub(super) fn ended(&mut self, ticket: u64, targets: &mut TargetSet) {
         if self.ticket == Some(ticket) {
             self.ticket = None;
@@ -52,7 +51,7 @@
 }
 
 impl Pool {
-    /// Takes a suspect's offer into the line, if its turn is expected before its deadline.
+    /// Queues a suspect for an isolated run, if that is expected to start before its deadline.
     pub(super) fn offer_suspect(&mut self, mut request: Request, now: Duration) -> Decision {
         request.wait(self.config.max_wait, now);
         let before = self.isolation.queue.len() as u32 + u32::from(self.isolation.target.is_some());
@@ -73,7 +72,7 @@
         Decision::Queued
     }
 
-    /// Moves the line of suspects on.
+    /// Starts the next isolated run if its target is idle, and isolates or releases targets.
     pub(super) fn advance_isolation(&mut self, now: Duration) {
         self.update_isolation(now);
         let Some(ticket) = self.isolation.queue.front().copied() else {
@@ -111,7 +110,7 @@
         self.start_waiting(ticket, at, now);
     }
 
-    /// Takes a request out of its usual queue, because a death has happened since it was queued.
+    /// Moves a request out of its usual queue, because a crash has happened since it was queued.
     pub(super) fn divert(&mut self, ticket: u64, status: QuarantineStatus, now: Duration) {
         if status == QuarantineStatus::Convict {
             return self.refuse(ticket, RefusalReason::Quarantined, now);
@@ -128,7 +127,8 @@
         self.isolation.push(ticket);
     }
 
-    /// Refuses those in line that were convicted, and queues those that were cleared.
+    /// Refuses queued suspects that were confirmed, and moves those that were cleared to the usual
+    /// queue.
     fn update_isolation(&mut self, now: Duration) {
         for ticket in self.isolation.queue.iter().copied().collect::<Vec<_>>() {
             let Some(request) = self.tickets.get_mut(&ticket) else {
--- a/crates/admit/src/pool/mod.rs
+++ b/crates/admit/src/pool/mod.rs
@@ -38,28 +38,29 @@
 
 /// The targets of one service in one failure domain, with the requests that wait and run.
 ///
-/// After each call other than the read-only ones, call [`Pool::poll`] and perform what it returns.
+/// After each call other than the read-only ones, call [`Pool::poll`] and perform the actions it
+/// returns.
 ///
 /// Invariants: a request is in `tickets` from its offer until its last run has ended; `queues`,
-/// `trials` and `due` hold exactly the tickets that wait, `checks` exactly those that run and are
-/// not settled; no target runs more than its slots.
+/// `isolation` and `start_deadlines` hold exactly the tickets that wait, `checks` exactly those
+/// that run and are not settled; no target runs more requests than it has slots.
 #[derive(Debug)]
 pub struct Pool {
     config: PoolConfig,
     targets: TargetSet,
     tickets: BTreeMap<u64, Request>,
-    /// Short work, then long work.
+    /// Short requests, then long requests.
     queues: [FairQueue; 2],
-    /// The present time of strain of each class.
+    /// The overload state of each class.
     overloads: [Overload; 2],
     isolation: IsolationQueue,
-    /// Waiting requests by their last moment to start.
+    /// Waiting requests by the time by which they must start.
     start_deadlines: BTreeSet<(Duration, u64)>,
-    /// Running requests by the time at which they are looked at again.
+    /// Running requests by the time of their next check for a late run.
     checks: BTreeSet<(Duration, u64)>,
-    /// Runs of short work, then of long work.
+    /// Runs of short requests, then of long requests.
     busy: [u32; 2],
-    /// Sums of the expected times of what runs, short and long, in microseconds.
+    /// Sums of the expected service times of the runs, short and long, in microseconds.
     load: [u64; 2],
     kinds: Kinds,
     short_need: DemandMeter,
@@ -97,9 +98,9 @@
         pool
     }
 
-    /// Takes new rules and targets. Requests that run or wait stay; a target that is no longer
-    /// listed finishes its runs and gets nothing new; a target that is new starts cold. A new
-    /// `guess` or `seed` has no effect on an open pool.
+    /// Applies new settings and targets. Requests that run or wait stay; a target that is no longer
+    /// listed finishes its runs and gets no new ones; a new target starts cold. A new
+    /// `initial_estimate` or `seed` has no effect on an open pool.
     pub fn reconfigure(&mut self, config: PoolConfig, targets: &[TargetSpec], now: Duration) {
         self.budget.set_ratio(config.retry_ratio);
         self.config = config;
@@ -107,7 +108,7 @@
         self.targets.refresh(&self.config, now);
     }
 
-    /// The caller is gone or has given up.
+    /// Cancels a request whose caller has disconnected or given up.
     pub fn cancel(&mut self, ticket: u64, _now: Duration) -> Cancelled {
         let Some(request) = self.tickets.get_mut(&ticket) else {
             return Cancelled::Unknown;
@@ -131,27 +132,27 @@
         Cancelled::Running(names)
     }
 
-    /// Takes a target's report about itself.
+    /// Applies a target's report of its own load.
     pub fn report(&mut self, target: &str, report: LoadReport, now: Duration) {
         self.targets.report(target, report, &self.config, now);
     }
 
-    /// Takes a peer's word about a request that kills its targets.
+    /// Merges a quarantine update from a peer.
     pub fn apply_update(&mut self, word: QuarantineUpdate, now: Duration) {
         self.quarantine.apply_update(word, now);
     }
 
-    /// Words for the peers since the last call.
+    /// Returns the quarantine updates for the peers since the last call.
     pub fn take_updates(&mut self) -> Vec<QuarantineUpdate> {
         self.quarantine.take_updates()
     }
 
-    /// All words that hold, for a peer that is new.
+    /// Returns all live quarantine records, for a new peer.
     pub fn all_updates(&self, now: Duration) -> Vec<QuarantineUpdate> {
         self.quarantine.all_updates(now)
     }
 
-    /// Summary for the hosts that hand requests over.
+    /// Returns a summary for the hosts that hand requests over.
     pub fn load(&self, now: Duration) -> Load {
         let work: u64 = self.queues.iter().map(FairQueue::work).sum();
         let slots = self.targets.slots();
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Snapshot for a dump.
+    /// Returns a snapshot for a dump.
     pub fn state(&self, now: Duration) -> PoolState {
         PoolState {
             load: self.load(now),
@@ -191,12 +192,12 @@
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     fn waiting(&self) -> usize {
         self.start_deadlines.len()
     }
 
-    /// Expected time between two free slots while all slots are in use.
+    /// Returns the expected time between two slots becoming free while all slots are in use.
     fn slot_interval(&self) -> Duration {
         let busy = u64::from(self.busy[0] + self.busy[1]).max(1);
         let mean = match self.load[0] + self.load[1] {
@@ -206,13 +207,13 @@
         mean / self.targets.slots().max(1)
     }
 
-    /// How the slots are divided at this moment.
+    /// Returns the present division of the slots.
     fn slot_shares(&self, now: Duration) -> SlotShares {
         let need = self.short_need.read(now);
         SlotShares::divide(self.targets.slots(), &self.config, need, self.busy)
     }
 
-    /// Takes a waiting request out of its queue.
+    /// Removes a waiting request from its queue.
     fn remove_from_queue(&mut self, ticket: u64) {
         let Some(request) = self.tickets.get(&ticket) else {
             return;
@@ -225,7 +226,8 @@
         self.start_deadlines.remove(&(request.start_by, ticket));
     }
 
-    /// Longest time that a request of a class with this service time may wait, from `now` on.
+    /// Returns the maximum time that a request of a class with this mean service time may wait,
+    /// from `now` on.
     fn max_wait(&self, class: Class, mean: Duration, now: Duration) -> Duration {
         let is_sustained = self.overloads[class as usize].is_sustained(self.config.burst_time, now);
         let most = if is_sustained {
--- a/crates/admit/src/pool/request.rs
+++ b/crates/admit/src/pool/request.rs
@@ -9,26 +9,26 @@
     target::PlacementRequest,
 };
 
-/// Where a request stands.
+/// State of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Place {
     /// In the queue of its class.
     Queued(QueueKey),
-    /// A suspect that waits for a target of its own.
+    /// A suspect that waits for an isolated run.
     Isolated,
-    /// At its targets.
+    /// Running on its targets.
     Running,
 }
 
 /// One run at a target.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Run {
-    /// Position of the target.
+    /// Index of the target.
     pub(super) target: usize,
     pub(super) since: Duration,
-    /// A second copy, sent because the first was late.
+    /// Whether it is a hedge, sent because the first attempt was late.
     pub(super) hedge: bool,
-    /// The target's death has been counted for this run.
+    /// Whether the target's crash has been counted for this run.
     pub(super) crash_counted: bool,
 }
 
@@ -49,18 +49,18 @@
     pub(super) class: Class,
     pub(super) estimate: Estimate,
     pub(super) place: Place,
-    /// Last moment at which it may start.
+    /// Time by which it must start.
     pub(super) start_by: Duration,
     /// Why it is refused if it has not started by then.
     pub(super) reason: RefusalReason,
     pub(super) runs: Vec<Run>,
-    /// When its run is looked at again.
+    /// Time of the next check whether its run is late.
     pub(super) check: Duration,
-    /// It has had its second copy.
+    /// Whether a hedge was sent.
     pub(super) hedged: bool,
-    /// An earlier run may have had an effect.
+    /// Whether an earlier run may have had an effect.
     pub(super) ran: bool,
-    /// The caller has its answer or is gone.
+    /// Whether the caller has its response or has disconnected.
     pub(super) settled: bool,
 }
 
@@ -88,10 +88,10 @@
         }
     }
 
-    /// Sets the last moment to start, for a request that begins to wait at `now`.
+    /// Sets the time by which a request that begins to wait at `now` must start.
     ///
-    /// It has to leave time for the work: a start that ends after the deadline takes a slot from a
-    /// request that could still be answered.
+    /// It must leave time for the service: a start that ends after the deadline takes a slot from a
+    /// request that could still be answered in time.
     pub(super) fn wait(&mut self, max_wait: Duration, now: Duration) {
         let deadline = self.deadline.saturating_sub(self.estimate.tail);
         let max_wait = now.saturating_add(max_wait);
@@ -103,7 +103,7 @@
         self.start_by = deadline.min(max_wait);
     }
 
-    /// A time as a ratio to what is expected, or 1 if too little is known of the kind.
+    /// Returns a time as a ratio to the expected one, or 1 if too little is known of the kind.
     pub(super) fn ratio(&self, time: Duration) -> f64 {
         if !self.estimate.known {
             return 1.0;
@@ -111,7 +111,7 @@
         time.as_secs_f64() / self.estimate.mean.as_secs_f64().max(1e-6)
     }
 
-    /// What it asks of its target.
+    /// Returns the requirements for its target.
     pub(super) fn placement_request(
         &self,
         depth_per_slot: f64,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// It can spare the time that a slow target may take.
+    /// Returns whether its deadline leaves time for a run on a slow target.
     pub(super) fn tolerates_slow(&self, now: Duration) -> bool {
         now + self.estimate.mean * 10 <= self.deadline
     }
--- a/crates/admit/src/pool/start.rs
+++ b/crates/admit/src/pool/start.rs
@@ -1,4 +1,4 @@
-//! Starting what waits.
+//! Starts of waiting requests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,8 +9,8 @@
     service_time::Class,
 };
 
-/// Requests at the head of a queue that are looked at when the first cannot be placed, because the
-/// only free targets are those that it has tried.
+/// Maximum number of requests at the head of a queue that are tried when the first cannot be
+/// placed, because the only free targets are those that it has tried.
 const MAX_SCAN: usize = 4;
 
 impl Pool {
@@ -31,7 +31,7 @@
         self.slot_shares(now).next(short, long)
     }
 
-    /// Starts the best request of a class that can be placed; false if there is none.
+    /// Starts the first request of a class that can be placed; returns false if there is none.
     fn start_next(&mut self, class: Class, now: Duration) -> bool {
         for i in 0..MAX_SCAN {
             let Some(ticket) = self.queues[class as usize].peek(i) else {
@@ -63,7 +63,8 @@
         false
     }
 
-    /// Mean service times until a slot is expected to be free for what waits.
+    /// Returns the queue depth per slot: the mean service times until a slot is expected to be free
+    /// for a waiting request.
     pub(super) fn depth_per_slot(&self) -> f64 {
         (self.waiting() + 1) as f64 / f64::from(self.targets.slots().max(1))
     }
@@ -80,7 +81,7 @@
         self.start_waiting(ticket, at, now);
     }
 
-    /// Starts a request that has left its queue.
+    /// Starts a request that was removed from its queue.
     pub(super) fn start_waiting(&mut self, ticket: u64, at: usize, now: Duration) {
         let Some(request) = self.tickets.get(&ticket) else {
             return;
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Notes a run of a request that is in `tickets` and in no queue.
+    /// Records a run of a request that is in `tickets` and in no queue.
     pub(super) fn run(&mut self, ticket: u64, at: usize, now: Duration) -> Arc<str> {
         self.targets.start(at, ticket, &self.config, now);
         if let Some(request) = self.tickets.get_mut(&ticket) {
@@ -117,7 +118,7 @@
         Arc::clone(&self.targets.get(at).name)
     }
 
-    /// Refuses a request that waits.
+    /// Refuses a waiting request.
     pub(super) fn refuse(&mut self, ticket: u64, reason: RefusalReason, now: Duration) {
         self.remove_from_queue(ticket);
         let Some(request) = self.tickets.remove(&ticket) else {
--- a/crates/admit/src/pool/state.rs
+++ b/crates/admit/src/pool/state.rs
@@ -4,7 +4,7 @@
 
 use crate::target::Target;
 
-/// Short summary of a pool's load, for the hosts that hand requests over.
+/// Summary of a pool's load, for the hosts that hand requests over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// Requests that wait.
@@ -13,49 +13,49 @@
     pub busy: u32,
     /// Slots that may be used now.
     pub slots: u32,
-    /// Estimate of the wait of a request that came now.
+    /// Estimated time in the queue of a request that arrives now.
     pub queue_delay: Duration,
-    /// Estimate of the time between two free slots while all are in use.
+    /// Estimated time between two slots becoming free while all are in use.
     pub slot_interval: Duration,
 }
 
-/// Everything worth a look in a dump.
+/// Snapshot of a pool for a dump.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolState {
     /// Summary.
     pub load: Load,
-    /// Runs of short work.
+    /// Running short requests.
     pub short_busy: u32,
-    /// Runs of long work.
+    /// Running long requests.
     pub long_busy: u32,
-    /// Slots held free for short work.
+    /// Slots kept free for short requests.
     pub reserve: u32,
-    /// Reruns and hedges that the budget allows now.
+    /// Retries and hedges that the budget allows now.
     pub budget: f64,
-    /// Requests suspected of killing targets.
+    /// Requests suspected of crashing targets.
     pub suspects: u32,
-    /// Requests that are refused because they killed targets.
+    /// Requests that are refused because they crashed targets.
     pub quarantined: u32,
-    /// Kinds of work whose service time is known.
+    /// Kinds of request whose service time is known.
     pub kinds: u32,
-    /// What the pool has done since it was opened.
+    /// Counts since the pool was opened.
     pub counts: Counts,
     /// The targets, by name.
     pub targets: Vec<TargetState>,
 }
 
-/// What a pool has done since it was opened.
+/// Counts since a pool was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests started, without reruns and hedges.
+    /// Requests started, without retries and hedges.
     pub started: u64,
-    /// Requests turned away.
+    /// Requests refused.
     pub refused: u64,
-    /// Reruns and hedges.
+    /// Retries and hedges.
     pub retries: u64,
 }
 
-/// One target in a dump.
+/// Snapshot of a target for a dump.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetState {
     /// Name.
@@ -66,15 +66,15 @@
     pub slots: u32,
     /// Slots that may be used now.
     pub limit: u32,
-    /// Its service time as a ratio to what is expected of the kind.
+    /// Ratio of its measured service time to the one expected of the kind.
     pub latency_ratio: f64,
-    /// It gets nothing new: it is leaving, or no longer configured.
+    /// Whether it gets no new requests: it is draining, or no longer configured.
     pub leaving: bool,
-    /// It was ejected for being slow.
+    /// Whether it is ejected because it was slow.
     pub ejected: bool,
-    /// It died or failed and is left alone for a while.
+    /// Whether it gets no requests for a while, after a crash or a failure.
     pub down: bool,
-    /// Nothing new starts on it, so that a suspect can run alone.
+    /// Whether no new requests start on it, so that a suspect can run alone.
     pub isolated: bool,
 }
 
--- a/crates/admit/src/pool/timers.rs
+++ b/crates/admit/src/pool/timers.rs
@@ -1,11 +1,11 @@
-//! What time brings: starts, refusals, late runs.
+//! Actions that are due: starts, refusals, hedges and aborts.
 
 use std::{sync::Arc, time::Duration};
 
 use crate::{Action, Pool, RefusalReason, target::PlacementRequest};
 
 impl Pool {
-    /// All that is due: starts, refusals, hedges, aborts.
+    /// Returns all actions that are due: starts, refusals, hedges and aborts.
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
         self.targets.refresh(&self.config, now);
         self.check_late(now);
@@ -17,7 +17,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When `poll` has to be called next if nothing else happens before.
+    /// Returns when `poll` must be called next if no other call is made before.
     pub fn next_wake(&self) -> Option<Duration> {
         let start_deadlines = self.start_deadlines.first().map(|(t, _)| *t);
         let check = self.checks.first().map(|(t, _)| *t);
@@ -29,8 +29,8 @@
         [start_deadlines, check, limits].into_iter().flatten().min()
     }
 
-    /// Refuses what can no longer be started in time. It has just been tried, so that a request
-    /// which is due at this very moment has had its chance.
+    /// Refuses requests that can no longer start in time. `poll` has just tried to start them, so a
+    /// request that is due at this very moment has had its chance.
     fn expire(&mut self, now: Duration) {
         while let Some((at, ticket)) = self.start_deadlines.first().copied() {
             let Some(request) = self.tickets.get(&ticket) else {
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Looks at the runs that take longer than all but one in twenty: the target may be slow, and
-    /// a second copy may answer first.
+    /// Checks the runs that take longer than all but one in twenty: the target may be slow, and a
+    /// hedge may be answered first.
     fn check_late(&mut self, now: Duration) {
         while let Some((at, ticket)) = self.checks.first().copied() {
             if at > now {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Sends a second copy of a late request to another target. Only into a slot that nobody
-    /// waits for: under overload a second copy would take the place of a first run.
+    /// Sends a hedge for a late request to another target, only into a slot that no request waits
+    /// for: under overload a hedge would take the place of a first attempt.
     fn hedge(&mut self, ticket: u64, now: Duration) {
         let Some(request) = self.tickets.get_mut(&ticket) else {
             return;
--- a/crates/admit/src/pool/types.rs
+++ b/crates/admit/src/pool/types.rs
@@ -1,4 +1,4 @@
-//! What goes into a pool and what comes out.
+//! Inputs and results of a pool.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,65 +13,65 @@
     pub caller: u64,
     /// Hash of the key that the request is about (a course, a camp, an account).
     pub key: u64,
-    /// Hash of the kind of work, such as the service's path without its parameters. The service
+    /// Hash of the kind of request, such as the service's path without its parameters. The service
     /// time is estimated for each kind.
     pub kind: u64,
     /// Hash of the whole request: a resend has the same fingerprint.
     pub fingerprint: u64,
-    /// Time by which the caller needs the answer, on the clock of `now`.
+    /// Time by which the caller needs the response, on the clock of `now`.
     pub deadline: Duration,
-    /// The request may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Targets that an earlier attempt was sent to; it is not sent there again.
+    /// Targets of earlier attempts; the request is not sent to them again.
     pub tried: Vec<Arc<str>>,
 }
 
-/// The answer to an offer.
+/// Admission decision about an offer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Send it to this target now.
+    /// Send the request to this target now.
     Start {
         /// Name of the target.
         target: Arc<str>,
     },
-    /// It waits: [`Pool::poll`](crate::Pool::poll) will start or refuse it.
+    /// The request waits: [`Pool::poll`](crate::Pool::poll) will start or refuse it.
     Queued,
-    /// It was not run and will not be.
+    /// The request was not run and will not be.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// Estimate of the time after which the same offer would be let in.
+        /// Estimated time after which the same offer would be admitted.
         retry_after: Duration,
     },
 }
 
-/// Why a request is turned away.
+/// Reason why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum RefusalReason {
-    /// The wait and the work would take longer than the deadline allows.
+    /// The wait and the service would take longer than the deadline allows.
     #[error("the answer would come after the deadline")]
     DeadlineExceeded,
-    /// The queue is full of requests with a better claim.
+    /// The queue is full of requests that rank before it.
     #[error("the queue is full")]
     QueueFull,
-    /// It waited as long as a request may.
+    /// The request waited for the maximum time.
     #[error("it waited as long as the pool lets a request wait")]
     QueueTimeout,
     /// No target of the pool may be used.
     #[error("no target takes new work")]
     NoTarget,
-    /// The request has killed the targets that ran it.
+    /// The request has crashed the targets that ran it.
     #[error("the request is quarantined: targets that ran it died")]
     Quarantined,
-    /// Another run would exceed the retry budget.
+    /// Another attempt would exceed the retry budget.
     #[error("the retry budget is spent")]
     RetryBudget,
-    /// A ticket with this id is in the pool already.
+    /// A ticket with this id is already in the pool.
     #[error("the ticket is in use")]
     DuplicateTicket,
 }
 
-/// What the embedder has to do.
+/// Action that the embedder must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to the target.
@@ -81,7 +81,7 @@
         /// Name of the target.
         target: Arc<str>,
     },
-    /// Send a second copy to the target; the first to answer counts.
+    /// Send a hedge to the target; the first response counts.
     Hedge {
         /// Id of the request.
         ticket: u64,
@@ -95,58 +95,58 @@
         /// Name of the target.
         target: Arc<str>,
     },
-    /// Tell the caller that it will not be answered.
+    /// Refuse the request to its caller.
     Refuse {
         /// Id of the request.
         ticket: u64,
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// Estimate of the time after which a new offer would be let in.
+        /// Estimated time after which a new offer would be admitted.
         retry_after: Duration,
-        /// An earlier run may have had an effect: the caller is not told `run: no`.
+        /// Whether an earlier run may have had an effect: the caller is not told `run: no`.
         ran: bool,
     },
 }
 
-/// How a run at a target ended.
+/// Result of a run at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// A whole answer.
+    /// A complete response.
     Ok,
-    /// An answer that says that the target failed, or no whole answer.
+    /// A response that says that the target failed, or no complete response.
     Failed,
-    /// The target turned it away: it was not run.
+    /// The target shed the request: it was not run.
     Refused,
-    /// The target's process died while it ran this.
+    /// The target's process crashed while it ran the request.
     Died,
-    /// No answer came in time.
+    /// No response came in time.
     TimedOut,
-    /// The embedder aborted it, after `cancel` or an [`Action::Abort`].
+    /// The embedder aborted the run, after `cancel` or an [`Action::Abort`].
     Cancelled,
 }
 
-/// What `finish` says of the request as a whole.
+/// What the end of a run means for the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Completion {
-    /// This outcome is the request's: answer the caller.
+    /// The outcome is final: respond to the caller.
     Final {
-        /// Some run of it may have had an effect. If false, `run: no` is true.
+        /// Whether some run of the request may have had an effect. If false, `run: no` is true.
         ran: bool,
     },
-    /// The pool tries again: `poll` will start or refuse it. Say nothing to the caller yet.
+    /// The pool retries: `poll` will start or refuse the request. Do not respond yet.
     Retry,
-    /// Another run of the request still goes on. Say nothing to the caller yet.
+    /// Another run of the request is still in flight. Do not respond yet.
     Pending,
-    /// The request has had its answer, or was cancelled: drop this outcome.
+    /// The request was answered or cancelled before: ignore this outcome.
     Stale,
 }
 
-/// What `cancel` found.
+/// State of a request when it was cancelled.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Cancelled {
-    /// It waited and has left the queue: it was not run, unless `ran`.
+    /// It waited and was removed from the queue: it was not run, unless `ran`.
     Queued {
-        /// An earlier run may have had an effect.
+        /// Whether an earlier run may have had an effect.
         ran: bool,
     },
     /// It runs at these targets: abort it there, then call `finish` for each of them.
@@ -155,15 +155,15 @@
     Unknown,
 }
 
-/// A target's own word about itself. It may lag or be false.
+/// A target's report of its own load. It may lag or be false.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that it says it runs.
+    /// Requests that the target reports as running.
     pub busy: u32,
-    /// Slots that it says it has.
+    /// Slots that the target reports.
     pub slots: u32,
-    /// It says that it is leaving.
+    /// Whether the target reports that it is leaving.
     pub leaving: bool,
-    /// It says that its caches are cold.
+    /// Whether the target reports that its caches are cold.
     pub cold: bool,
 }
--- a/crates/admit/src/pool_choice/mod.rs
+++ b/crates/admit/src/pool_choice/mod.rs
@@ -1,33 +1,33 @@
-//! Which pool of a region a request is handed to.
+//! Chooses the pool of a region that a request is handed to.
 //!
-//! Load: the pools of a region fill unevenly. A host knows its own pool exactly and the others by
+//! The pools of a region fill unevenly. A host knows its own pool exactly and the others by
 //! summaries that lag. If every host sent to the pool that looked best, all of them would send to
-//! the same one until the next summary (herding). Each compares two pools drawn at random instead,
-//! and adds what it has itself sent to them since their summaries.
+//! the same one until the next summary (herding). Instead, each host compares two pools drawn at
+//! random, and adds the requests that it has itself sent to them since their summaries.
 
 use std::time::Duration;
 
 use crate::Load;
 
-/// Above this age a summary counts as a pool of the usual load: its slots are known, its wait is
-/// not. Summaries come about once a second.
+/// Age above which a summary's queue delay is ignored: the pool's slots are still known, and the
+/// mean delay of the fresh summaries is assumed. Summaries arrive about once a second.
 const STALE: Duration = Duration::from_secs(5);
 
-/// A pool that could take the request.
+/// A pool that may take the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolCandidate {
-    /// Its load as last heard.
+    /// Load according to the latest summary.
     pub load: Load,
-    /// Age of that word; zero for a pool that this host owns.
+    /// Age of the summary; zero for a pool that this host owns.
     pub age: Duration,
     /// One-way network delay to the owner.
     pub delay: Duration,
-    /// Requests that this host has handed to it since that word.
+    /// Requests that this host has handed to the pool since the summary.
     pub sent: u32,
 }
 
 impl PoolCandidate {
-    /// Time until the answer could be back, less the work itself.
+    /// Returns the expected time until the response is back, without the service time.
     fn cost(&self, mean_delay: Duration) -> Duration {
         let round_trip = 2 * self.delay;
         if self.age > STALE {
@@ -38,8 +38,10 @@
     }
 }
 
-/// Index of the pool to hand a request to: of two drawn by `draw`, in proportion to their slots,
-/// the one whose answer is expected first. None if no candidate has a slot.
+/// Returns the index of the pool to hand a request to, or `None` if no candidate has a slot.
+///
+/// Draws two candidates by `draw`, in proportion to their slots, and returns the one whose response
+/// is expected first.
 ///
 /// ```
 /// use dunlinrock_admit::{PoolCandidate, Load, choose_pool};
@@ -70,7 +72,7 @@
     Some(if y < x { b } else { a })
 }
 
-/// The candidate that holds the slot of this number, not counting those of `skip`.
+/// Returns the candidate that has the slot with this number, not counting the slots of `skip`.
 fn pick(candidates: &[PoolCandidate], mut number: u64, skip: Option<usize>) -> Option<usize> {
     for (i, c) in candidates.iter().enumerate() {
         if Some(i) == skip {
--- a/crates/admit/src/quarantine/mod.rs
+++ b/crates/admit/src/quarantine/mod.rs
@@ -1,52 +1,55 @@
-//! Quarantine of requests that kill the targets which run them.
+//! Quarantine of requests that crash the targets that run them.
 //!
-//! Load: one request crashes the process that runs it, and its caller (or a retry) sends it again.
-//! Without quarantine it takes the targets down one after the other.
+//! A request that crashes the process that runs it is often sent again, by its caller or by a
+//! retry. Without quarantine it takes down one target after the other.
 //!
-//! After a death all requests that ran on the target are suspects, because any of them may have
-//! done it. A suspect runs alone on its target until a run of it has succeeded, which clears it. So
-//! the second death under the same request leaves no doubt, and convicts it; a request that only
-//! shared the first death ends its lone run well. A death counts as the second one only if that run
-//! began after the first was known: when a whole failure domain dies at once, all its targets die
-//! under popular requests, and none of that is evidence.
+//! After a crash, all requests that ran on the target are suspects, because any of them may have
+//! caused it. A suspect runs alone on its target until one run succeeds, which clears it. A second
+//! crash during such an isolated run therefore confirms the request as the cause, while a request
+//! that only shared the first crash succeeds in its isolated run. A crash counts as the second one
+//! only if the run began after the first crash was known: when a whole failure domain goes down at
+//! once, many targets crash under popular requests, and none of that is evidence against the
+//! requests.
 //!
-//! Hosts pass [`QuarantineUpdate`]s on, so that a resend through another host meets the same record. A word is
-//! idempotent, and each ends by itself: a request that was convicted wrongly, or whose cause has
-//! been mended, is let in again after half an hour.
+//! Hosts exchange [`QuarantineUpdate`]s, so that a resend through another host meets the same
+//! record. An update is idempotent, and every record expires: a request that was confirmed wrongly,
+//! or whose cause has been fixed, is admitted again after half an hour.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// Records held; above that the weakest and oldest goes. A death leaves as many suspects as a
-/// target has slots, 3 to 8: this is enough for 30 deaths within its time.
+/// Maximum number of records; beyond it the weakest and oldest is evicted. A crash leaves as many
+/// suspects as a target has slots, 3 to 8, so this is enough for 30 crashes within the time to live
+/// of a suspect.
 pub(crate) const MAX_RECORDS: usize = 256;
 
-/// How long a suspect is remembered: longer than callers wait before they send again.
+/// Time to live of a suspect's record: longer than callers wait before they send again.
 pub(crate) const SUSPECT_TTL: Duration = Duration::from_secs(300);
 
-/// How long a convicted request is refused: long enough for the on-call to act.
+/// Time for which a confirmed request is refused: long enough for the on-call engineer to act.
 pub(crate) const CONFIRMED_TTL: Duration = Duration::from_secs(1800);
 
-/// How sure the evidence is.
+/// Status of a quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QuarantineStatus {
-    /// It ran on a target that died. It runs alone until it has succeeded once.
+    /// Ran on a target that crashed. It runs alone until it has succeeded once.
     Suspect,
-    /// Two targets died under it, the second while it ran alone. It is refused.
+    /// Confirmed as the cause of a crash: two targets crashed under it, the second while it ran
+    /// alone. It is refused.
     Convict,
 }
 
-/// What hosts tell each other.
+/// Quarantine record that one host sends to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QuarantineUpdate {
     /// Hash of the request.
     pub fingerprint: u64,
-    /// How sure the evidence is.
+    /// Status of the request.
     pub status: QuarantineStatus,
-    /// Time for which the word holds, from its receipt.
+    /// Time to live of the record, counted from its receipt.
     pub ttl: Duration,
 }
 
-/// A run that was on a target when it died.
+/// A run that was on a target when the target crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashedRun {
     /// Hash of the request.
@@ -58,12 +61,12 @@
 #[derive(Clone, Copy, Debug)]
 struct Record {
     grade: QuarantineStatus,
-    /// When the death that made it a suspect became known here.
+    /// When the crash that made the request a suspect became known to this host.
     since: Duration,
     expires_at: Duration,
 }
 
-/// Records of requests that ran on targets which died.
+/// Records of requests that ran on targets that crashed.
 ///
 /// Invariant: at most 256 records.
 ///
@@ -93,19 +96,19 @@
         Self::default()
     }
 
-    /// What is held against a request.
+    /// Returns the status of a request, or `None` if it is not quarantined.
     pub fn status(&self, fingerprint: u64, now: Duration) -> Option<QuarantineStatus> {
         let r = self.records.get(&fingerprint)?;
         (now < r.expires_at).then_some(r.grade)
     }
 
-    /// Time until a convicted request is let in again.
+    /// Returns the time until a confirmed request is admitted again.
     pub fn remaining(&self, fingerprint: u64, now: Duration) -> Duration {
         let expires_at = self.records.get(&fingerprint).map_or(now, |r| r.expires_at);
         expires_at.saturating_sub(now)
     }
 
-    /// A target died while these ran on it.
+    /// Records that a target crashed while these requests ran on it.
     pub fn record_crash(&mut self, crashed_runs: &[CrashedRun], now: Duration) {
         let alone = crashed_runs.len() == 1;
         for v in crashed_runs {
@@ -128,7 +131,8 @@
         }
     }
 
-    /// A run ended with an answer: the request does not kill its targets.
+    /// Clears a suspect after a run that ended with a response: the request does not crash its
+    /// targets.
     pub fn clear(&mut self, fingerprint: u64) {
         if self
             .records
@@ -139,17 +143,17 @@
         }
     }
 
-    /// Takes a peer's word.
+    /// Merges an update from a peer.
     pub fn apply_update(&mut self, update: QuarantineUpdate, now: Duration) {
         self.upsert(update, now);
     }
 
-    /// Words for the peers since the last call.
+    /// Returns the updates for the peers since the last call.
     pub fn take_updates(&mut self) -> Vec<QuarantineUpdate> {
         std::mem::take(&mut self.updates)
     }
 
-    /// All that holds, for a peer that is new.
+    /// Returns all live records, for a new peer.
     pub fn all_updates(&self, now: Duration) -> Vec<QuarantineUpdate> {
         let list = self.records.iter().filter(|(_, r)| now < r.expires_at);
         list.map(|(f, r)| QuarantineUpdate {
@@ -160,7 +164,7 @@
         .collect()
     }
 
-    /// Number of records of a grade.
+    /// Returns the number of live records with this status.
     pub fn count(&self, grade: QuarantineStatus, now: Duration) -> usize {
         self.records
             .values()
@@ -168,7 +172,7 @@
             .count()
     }
 
-    /// True if this says more than was known.
+    /// Merges a record; returns true if it is stronger than what was known.
     fn upsert(&mut self, update: QuarantineUpdate, now: Duration) -> bool {
         let life = update.ttl.min(match update.status {
             QuarantineStatus::Suspect => SUSPECT_TTL,
--- a/crates/admit/src/retry_budget/mod.rs
+++ b/crates/admit/src/retry_budget/mod.rs
@@ -1,15 +1,15 @@
-//! The retry budget: second runs as a share of first ones.
+//! The retry budget: limits retries and hedges to a ratio of the first attempts.
 //!
-//! Load: targets that fail or shed under overload. Without a budget every failure makes another
-//! run, which adds load where there is too much: three tries each turn 2 times capacity into 6.
-//! With it, reruns and hedges together add at most their share of the first runs.
+//! When targets fail or shed under overload, every failure causes another attempt, which adds load
+//! where there is already too much: three attempts each turn 2 times the capacity into 6. With the
+//! budget, retries and hedges together add at most `ratio` times the first attempts.
 
-/// Tokens the budget holds at most, so that a quiet service may still repeat a few at once.
+/// Maximum number of tokens, so that a quiet service may still make a few retries at once.
 const MAX_TOKENS: f64 = 10.0;
 
-/// Token bucket that is filled by first runs.
+/// Token bucket that first attempts fill.
 ///
-/// Invariant: `tokens` is between 0 and [`BURST`].
+/// Invariant: `tokens` is between 0 and [`MAX_TOKENS`].
 #[derive(Debug)]
 pub(crate) struct RetryTokens {
     ratio: f64,
@@ -28,12 +28,12 @@
         self.ratio = ratio;
     }
 
-    /// Notes a first run.
+    /// Records a first attempt.
     pub(crate) fn record_request(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(MAX_TOKENS);
     }
 
-    /// Takes the price of a second run, if there is enough.
+    /// Takes a token for another attempt; returns false if there is none.
     pub(crate) fn try_spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/crates/admit/src/service_time/mod.rs
+++ b/crates/admit/src/service_time/mod.rs
@@ -1,53 +1,53 @@
-//! Service times of kinds of work, in a table of bounded size.
+//! Service times by kind of request, in a table of bounded size.
 //!
-//! Load: a mix of kinds whose service times differ by orders of magnitude and change during the
-//! day. Without an estimate for each kind, admission would judge a calendar page by the time of a
-//! nightly summary, and turn away pages or let in summaries that cannot be answered in time.
+//! A service's kinds of request may differ in service time by orders of magnitude and change during
+//! the day. Without an estimate for each kind, admission would judge a calendar page by the time of
+//! a nightly summary, and refuse pages or admit summaries that cannot be answered in time.
 //!
-//! The table holds [`KINDS`] kinds. Further kinds share one estimate, so that a caller who makes
-//! up kinds can neither grow the table nor push the real ones out; a kind that is not used for
-//! [`IDLE`] makes room.
+//! The table holds [`MAX_KINDS`] kinds. Further kinds share one estimate, so that a caller that
+//! makes up kinds can neither grow the table nor evict the real ones; a kind that is not used for
+//! [`IDLE_TIME`] may be evicted.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// Kinds that are told apart. A service has tens of paths; 256 leaves room, in 16 KB.
+/// Maximum number of kinds. A service has tens of paths; 256 is ample, and takes 16 KB.
 pub(crate) const MAX_KINDS: usize = 256;
 
-/// A kind that was not used for this long may be forgotten.
+/// Time without use after which a kind may be evicted.
 pub(crate) const IDLE_TIME: Duration = Duration::from_secs(600);
 
 /// Weight of a new sample in the mean and the deviation, as for round-trip times in TCP.
 const EWMA_WEIGHT: f64 = 0.125;
 
-/// Step of the running 95th percentile, as a share of its value. It rises by 0.95 of a step or
+/// Step of the running 95th percentile, as a fraction of its value. It rises by 0.95 of a step or
 /// falls by 0.05 of it, which balances where one sample in twenty is above.
 const P95_STEP: f64 = 0.05;
 
 /// Deviations above the mean that count as the longest time to expect. For exponential times that
-/// is the 98th percentile, for narrower ones beyond the 99th.
+/// is the 98th percentile, for narrower distributions beyond the 99th.
 const TAIL_DEVIATIONS: f64 = 4.0;
 
-/// Samples after which a kind's estimate may speak against a target.
+/// Samples after which a kind's estimate may count against a target.
 const MIN_SAMPLES: u32 = 16;
 
-/// Whether work competes for the share of slots that is kept for short work.
+/// Class of a request: the slots are divided between the two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Class {
     Short,
     Long,
 }
 
-/// What is expected of one request.
+/// Expected service time of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Estimate {
     /// Mean service time.
     pub(crate) mean: Duration,
-    /// Service time that all but one or two in a hundred stay under.
+    /// Service time that only one or two in a hundred exceed.
     pub(crate) tail: Duration,
     /// 95th percentile of the service time.
     pub(crate) p95: Duration,
-    /// There are enough samples to judge a target by. Without this a pool that has just been
-    /// opened would take the first long requests for the work of slow targets, and eject them.
+    /// Whether there are enough samples to judge a target by. Without this, a pool that has just
+    /// been opened would attribute the first long requests to slow targets, and eject them.
     pub(crate) known: bool,
 }
 
@@ -108,12 +108,12 @@
 
 /// Service times of the kinds that a pool has run.
 ///
-/// Invariant: at most [`KINDS`] kinds.
+/// Invariant: at most [`MAX_KINDS`] kinds.
 #[derive(Debug)]
 pub(crate) struct Kinds {
     initial_estimate: Duration,
     kinds: BTreeMap<u64, Kind>,
-    /// Shared by the kinds that found no room.
+    /// Shared by the kinds that are not in the table.
     shared: Kind,
 }
 
@@ -130,7 +130,7 @@
         self.kinds.get(&kind).unwrap_or(&self.shared).estimate()
     }
 
-    /// Takes the service time of a run that ended well.
+    /// Records the service time of a successful run.
     pub(crate) fn record(&mut self, kind: u64, time: Duration, now: Duration) {
         let time = time.as_secs_f64().max(1e-6);
         if let Some(k) = self.kinds.get_mut(&kind) {
--- a/crates/admit/src/target/health.rs
+++ b/crates/admit/src/target/health.rs
@@ -1,63 +1,65 @@
-//! Ejection of slow targets, and rest for dead ones.
+//! Ejection of slow targets, and backoff after crashes.
 //!
-//! Load: one target is ten times slower than the others. It holds its slots ten times as long, and
-//! every request that it gets misses what the others would have made. Without ejection a share of
-//! the requests stays slow for good; without a limit on ejections, a fault that all targets share
-//! (a slow database) would empty the pool.
+//! A target that is ten times slower than the others holds its slots ten times as long, and the
+//! requests that it gets are answered late. Without ejection a fraction of the requests stays slow
+//! permanently; without a limit on ejections, a fault that all targets share (a slow database)
+//! would empty the pool.
 
 use std::time::Duration;
 
-/// Weight of a sample in the ratio of measured to expected time. With 0.25 a run of long requests
-/// had a healthy target ejected every few hundred thousand, which cost a third of a pool for
-/// seconds; with 0.1 a target 10 times slower is still found within its first runs, since each of
-/// them gives several samples while it lasts.
+/// Weight of a sample in the ratio of measured to expected time. With 0.25, a run of long requests
+/// ejected a healthy target once in every few hundred thousand requests, which cost a third of a
+/// pool for seconds; with 0.1 a target 10 times slower is still found within its first runs, since
+/// each of them gives several samples while it lasts.
 const EWMA_WEIGHT: f64 = 0.1;
 
-/// Samples before a target is judged.
+/// Minimum number of samples before a target is judged.
 const MIN_SAMPLES: u32 = 4;
 
-/// Runs that fail one after the other before a target counts as slow.
+/// Consecutive failures after which a target is ejected like a slow one.
 const MAX_FAILURES: u32 = 5;
 
-/// Probes that have to succeed, one at a time, before an ejected target returns.
+/// Probes that must succeed, one at a time, before an ejected target is restored.
 const PROBES_TO_RESTORE: u32 = 3;
 
-/// Longest time between probes.
+/// Maximum time between probes.
 const MAX_EJECT_TIME: Duration = Duration::from_secs(60);
 
-/// Ejections further apart than this do not count as in a row.
+/// Ejections further apart than this do not count as consecutive.
 const EJECTION_MEMORY: Duration = Duration::from_secs(300);
 
-/// Rest of a target that died, doubled with each death in a row: a process restarts in about that.
+/// Backoff after a crash, doubled with each consecutive crash: a process restarts in about this
+/// time.
 const CRASH_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest rest of a target that dies again and again.
+/// Maximum backoff of a target that crashes again and again.
 const MAX_CRASH_BACKOFF: Duration = Duration::from_secs(8);
 
-/// A ratio below this is scatter and does not count in placement.
+/// Ratios below this are noise and do not count in placement.
 const NOISE_RATIO: f64 = 2.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Ejected {
     probe_at: Duration,
-    /// Probes that succeeded in a row.
+    /// Consecutive successful probes.
     successes: u32,
 }
 
-/// What a target's runs say about it.
+/// Health of a target, measured by its runs.
 #[derive(Debug)]
 pub(crate) struct Health {
-    /// Measured by expected time, smoothed; 1 is as expected.
+    /// Ratio of measured to expected time, smoothed; 1 is as expected.
     pub(crate) ratio: f64,
     samples: u32,
     failures: u32,
     ejected: Option<Ejected>,
-    /// Ejections in a row, which double the time to the next probe.
+    /// Consecutive ejections, which double the time to the next probe.
     ejections: u32,
     last_ejection: Duration,
     down_until: Duration,
     crashes: u32,
-    /// It is slow, but no more may be ejected: when it is probed next.
+    /// Time of the next probe of a target that is slow but may not be ejected, because too many are
+    /// ejected already.
     last_resort_probe: Option<Duration>,
 }
 
@@ -86,18 +88,18 @@
         now < self.down_until
     }
 
-    /// It is ejected, and what it gets now is a probe.
+    /// Returns whether the target is ejected, so that its next request is a probe.
     pub(crate) fn is_probe(&self) -> bool {
         self.ejected.is_some()
     }
 
-    /// Takes a measured time as a ratio to the expected one. A run that goes on is a lower bound,
-    /// which can only speak against the target.
+    /// Records a measured time as a ratio to the expected one. A run that has not ended yields a
+    /// lower bound, which can only count against the target.
     pub(crate) fn record(&mut self, ratio: f64, ended: bool) {
         if !ended && ratio < self.ratio {
             return;
         }
-        // One wild sample must not outweigh many good ones.
+        // One outlier must not outweigh many good samples.
         self.ratio += EWMA_WEIGHT * (ratio.min(20.0) - self.ratio);
         self.samples += u32::from(ended);
     }
@@ -111,7 +113,8 @@
         self.failures += 1;
     }
 
-    /// The process died, or turned work away although it ran nothing.
+    /// Backs off after the process has crashed, or shed a request while it ran none; returns the
+    /// end of the backoff.
     pub(crate) fn back_off(&mut self, now: Duration) -> Duration {
         let back_off = (CRASH_BACKOFF * 2_u32.pow(self.crashes.min(8))).min(MAX_CRASH_BACKOFF);
         self.crashes += 1;
@@ -119,7 +122,8 @@
         self.down_until
     }
 
-    /// It is slow or fails, while `norm` is the usual ratio among the pool's targets.
+    /// Returns whether the target is slow or fails, where `median_ratio` is the usual ratio among the
+    /// pool's targets.
     pub(crate) fn is_bad(&self, slow: f64, median_ratio: f64) -> bool {
         let judged = self.samples >= MIN_SAMPLES || self.ratio > 2.0 * slow;
         self.failures >= MAX_FAILURES || (judged && self.ratio > slow * median_ratio.max(1.0))
@@ -139,7 +143,7 @@
         });
     }
 
-    /// The outcome of a probe; true if the target is to return.
+    /// Records the result of a probe; returns true if the target is restored.
     pub(crate) fn record_probe(&mut self, good: bool, time: Duration, now: Duration) -> bool {
         let Some(e) = self.ejected.as_mut() else {
             return false;
@@ -156,7 +160,7 @@
         true
     }
 
-    /// Takes the target back, with a clean record.
+    /// Restores the target with a clean record.
     pub(crate) fn restore(&mut self) {
         self.ejected = None;
         self.last_resort_probe = None;
@@ -172,7 +176,7 @@
         }
     }
 
-    /// It is a last resort.
+    /// Returns whether the target is a last resort.
     pub(crate) fn is_last_resort(&self) -> bool {
         self.last_resort_probe.is_some()
     }
@@ -181,25 +185,24 @@
         self.last_resort_probe = None;
     }
 
-    /// Whether a slow target that may not be ejected is worth a start, when the others would have
-    /// a free slot after `strain` mean service times.
+    /// Returns whether a slow target that may not be ejected should get a request, when the others
+    /// would have a free slot after `depth_per_slot` mean service times.
     ///
-    /// It takes `ratio` mean service times itself, so that waiting for another is better until the
-    /// queue is as long as that. Without a start now and then nobody would see that it has
-    /// recovered.
+    /// It takes `ratio` mean service times itself, so waiting for another target is better until
+    /// the queue is as long as that. Without an occasional start its recovery would not be noticed.
     pub(crate) fn is_worth_starting(&self, depth_per_slot: f64, now: Duration) -> bool {
         self.last_resort_probe
             .is_none_or(|probe| depth_per_slot + 1.0 >= self.ratio || now >= probe)
     }
 
-    /// A start was made: the next probe comes later.
+    /// Postpones the next probe after a start.
     pub(crate) fn started(&mut self, time: Duration, now: Duration) {
         if let Some(probe) = self.last_resort_probe.as_mut().filter(|t| now >= **t) {
             *probe = now + time;
         }
     }
 
-    /// Scale of its cost in placement.
+    /// Returns the factor of its cost in placement.
     pub(crate) fn cost_factor(&self) -> f64 {
         if self.ratio > NOISE_RATIO {
             self.ratio
--- a/crates/admit/src/target/mod.rs
+++ b/crates/admit/src/target/mod.rs
@@ -1,8 +1,8 @@
 //! Placement on the targets of a pool.
 //!
-//! Loads: a target that is slow, starts cold, leaves, dies, or reports what is not so. The pool
-//! counts its own runs exactly; a report can only lower what a target is given, down to half its
-//! slots and for a bounded time, so that a false report costs some capacity and never overruns.
+//! Targets may be slow, start cold, leave, crash or send wrong reports. The pool counts its own
+//! runs exactly; a report can only lower the number of slots that are used, down to half of them
+//! and for a limited time, so a wrong report costs some capacity and never overloads a target.
 
 mod health;
 mod slot_limit;
@@ -17,20 +17,20 @@
     target::{health::Health, slot_limit::Limits},
 };
 
-/// One target.
+/// A target of the pool.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub(crate) name: Arc<str>,
     pub(crate) slots: u32,
-    /// Tickets that run on it. Invariant: no longer than `slots` was when each of them started.
+    /// Tickets that run on it. Invariant: no more than `slots` was when each of them started.
     pub(crate) running: Vec<u64>,
-    /// It is in the configuration.
+    /// Whether it is in the configuration.
     pub(crate) listed: bool,
-    /// The configuration says that it leaves.
+    /// Whether it is draining by configuration.
     pub(crate) draining: bool,
-    /// Nothing new starts on it, so that a suspect can run alone.
+    /// Whether no new requests start on it, so that a suspect can run alone.
     pub(crate) isolated: bool,
-    /// Slots that may be used now; brought up to date by [`Targets::refresh`].
+    /// Slots that may be used now; updated by [`TargetSet::refresh`].
     pub(crate) limit: u32,
     pub(crate) health: Health,
     limits: Limits,
@@ -55,8 +55,8 @@
         t
     }
 
-    /// Takes its configuration, if it still has one. One that comes back to the list may be another
-    /// process, and starts cold.
+    /// Applies its configuration, if it still has one. A target that returns to the list may be
+    /// another process, so it starts cold.
     fn configure(&mut self, spec: Option<&TargetSpec>, now: Duration) {
         let back = !self.listed;
         self.listed = spec.is_some();
@@ -72,7 +72,7 @@
         self.running.len() as u32
     }
 
-    /// It may be given something now or later.
+    /// Returns whether it may get requests now or later.
     pub(crate) fn usable(&self, now: Duration) -> bool {
         self.listed && !self.is_leaving(now)
     }
@@ -85,7 +85,7 @@
         !self.isolated && self.busy() < self.limit
     }
 
-    /// Slots that may be used at `now`.
+    /// Returns the slots that may be used at `now`.
     fn allowed(&self, config: &PoolConfig, now: Duration) -> u32 {
         if !self.usable(now) {
             return 0;
@@ -94,7 +94,7 @@
         n.min(self.health.allowed(self.slots, now))
     }
 
-    /// The next time at which `allowed` may change by itself.
+    /// Returns the next time at which `allowed` may change without a call.
     fn next_change(&self, config: &PoolConfig, now: Duration) -> Option<Duration> {
         [
             self.limits.next_change(self.slots, config, now),
@@ -105,7 +105,7 @@
         .min()
     }
 
-    /// It is slow or fails. A target that warms up is given twice the time.
+    /// Returns whether it is slow or fails. The limit is doubled while the target is warming up.
     fn is_bad(&self, config: &PoolConfig, median_ratio: f64, now: Duration) -> bool {
         let warms = self.limits.ramping(config.ramp_time, now);
         let slow = if warms {
@@ -119,13 +119,14 @@
     fn take_report(&mut self, report: LoadReport, config: &PoolConfig, now: Duration) {
         let busy = self.busy();
         if self.limits.report(report, self.slots, busy, config, now) {
-            // That it was slow has been explained: it warms only if it is given work.
+            // The cold caches explain that it was slow, and it warms up only if it gets requests.
             self.health.restore();
         }
     }
 
-    /// Rank for the next start, least first: the share of its slots in use, scaled by how slow it
-    /// has lately been. A probe of an ejected target comes first, as it has to come at all.
+    /// Returns its cost for the next start; the lowest is chosen: the fraction of its slots in use,
+    /// scaled by how slow it has recently been. A probe of an ejected target comes first, because
+    /// it must be sent at all.
     fn cost(&self) -> f64 {
         if self.health.is_probe() {
             return 0.0;
--- a/crates/admit/src/target/slot_limit.rs
+++ b/crates/admit/src/target/slot_limit.rs
@@ -1,52 +1,52 @@
-//! What reports, cold caches and refusals hold back of a target's slots.
+//! Limits on a target's slots after load reports, cold starts and shed requests.
 
 use std::time::Duration;
 
 use crate::{LoadReport, PoolConfig};
 
-/// How long a target's word that it leaves holds, should its later reports be lost.
+/// Time for which a report that the target is leaving holds if its later reports are lost.
 const LEAVING_TTL: Duration = Duration::from_secs(60);
 
-/// A word that it does not leave counts only this long after the last word that it does: reports
-/// overtake each other by a lag of a second or two.
+/// Time after the last report that the target is leaving, before a report that it is not counts:
+/// reports overtake each other by a second or two.
 const LEAVING_MIN_AGE: Duration = Duration::from_secs(5);
 
-/// A report of cold caches starts a ramp at most this often, so that a target whose every report
-/// says cold is held back a part of the time only.
+/// Minimum interval between slow starts caused by reports of cold caches, so that a target whose
+/// every report says cold is limited only part of the time.
 const COLD_REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
-/// A report's `busy` is compared with the most that the pool itself had running in the last one to
-/// two of these: the report may describe a moment that long ago.
+/// A report's `busy` is compared with the peak of the pool's own runs in the last one to two of
+/// these windows: the report may describe a moment that long ago.
 const PEAK_WINDOW: Duration = Duration::from_secs(1);
 
-/// After a report has held slots back and nothing bore it out, the target's reports hold nothing
-/// back for this long. A target that always claims to be full costs half its slots for one part in
-/// eleven of the time, at a `report_life` of 1 s.
+/// Time for which a target's reports are ignored after one of them lowered the limit and was not
+/// confirmed. A target that always claims to be full costs half its slots for one eleventh of the
+/// time, at a `report_ttl` of 1 s.
 const DISTRUST_TIME: Duration = Duration::from_secs(10);
 
-/// How long a refusal by the target caps what it is given.
+/// Time for which a shed request limits the target's slots.
 const SHED_TTL: Duration = Duration::from_secs(1);
 
-/// A cap that ends by itself.
+/// A limit that expires.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cap {
     slots: u32,
     expires_at: Duration,
 }
 
-/// Caps on one target's slots.
+/// Limits on one target's slots.
 #[derive(Debug, Default)]
 pub(crate) struct Limits {
-    /// When its slots began to grow from one.
+    /// When its slow start began.
     ramp: Option<Duration>,
-    /// A report of cold caches is not believed before then.
+    /// Reports of cold caches are ignored before this time.
     cold_after: Duration,
     leaving: Option<Duration>,
     reported: Cap,
     shed: Cap,
-    /// Reports hold nothing back before then.
+    /// Load reports do not lower the limit before this time.
     distrust_until: Duration,
-    /// Most runs in the present and in the previous span of [`LAG`].
+    /// Peak number of runs in the present and in the previous [`PEAK_WINDOW`].
     peaks: [u32; 2],
     window_start: Duration,
 }
@@ -56,7 +56,7 @@
         self.ramp = Some(now);
     }
 
-    /// Its slots are still growing.
+    /// Returns whether its slow start is still in progress.
     pub(crate) fn ramping(&self, ramp: Duration, now: Duration) -> bool {
         self.ramp.is_some_and(|at| now < at + ramp)
     }
@@ -65,7 +65,7 @@
         self.leaving.is_some_and(|at| now < at + LEAVING_TTL)
     }
 
-    /// Notes how many runs there are after a start.
+    /// Records the number of runs after a start.
     pub(crate) fn record_busy(&mut self, busy: u32, now: Duration) {
         self.roll_window(busy, now);
         self.peaks[0] = self.peaks[0].max(busy);
@@ -84,9 +84,9 @@
         self.window_start = now;
     }
 
-    /// The target turned a request away while it ran `busy` others.
+    /// Records that the target shed a request while it ran `busy` others.
     pub(crate) fn shed(&mut self, busy: u32, now: Duration) {
-        // It is as full as its reports may have said.
+        // The target is as full as its reports may have said.
         self.distrust_until = now;
         self.shed = Cap {
             slots: busy.max(1),
@@ -94,7 +94,8 @@
         };
     }
 
-    /// Takes a report; true if it says for the first time in a while that the caches are cold.
+    /// Applies a report; returns true if it says that the caches are cold, for the first time in a
+    /// while.
     pub(crate) fn report(
         &mut self,
         report: LoadReport,
@@ -135,8 +136,8 @@
         cold
     }
 
-    /// Slots that may be used at `now`; at least one, as none of these caps means that the target
-    /// is out of use.
+    /// Returns the slots that may be used at `now`; at least one, because none of these limits
+    /// means that the target is out of use.
     pub(crate) fn allowed(&self, slots: u32, config: &PoolConfig, now: Duration) -> u32 {
         let mut n = slots;
         for cap in [self.reported, self.shed] {
@@ -170,7 +171,8 @@
     }
 }
 
-/// Slots after a part of the ramp: one at once, all at its end, in equal steps.
+/// Returns the slots after a fraction of the slow start: one at first, all at its end, in equal
+/// steps.
 fn ramped_slots(slots: u32, age: Duration, ramp: Duration) -> u32 {
     if age >= ramp {
         return slots;
--- a/crates/admit/src/target/target_set.rs
+++ b/crates/admit/src/target/target_set.rs
@@ -4,41 +4,41 @@
 
 use crate::{LoadReport, Outcome, PoolConfig, TargetSpec, target::Target};
 
-/// Ejections are limited to one target in this many. Above that the fault is likely to be shared,
-/// and the rest of the pool could not carry the load.
+/// At most one target in this many is ejected. Beyond that the fault is likely to be shared, and
+/// the rest of the pool could not carry the load.
 const MAX_EJECTED_DIVISOR: usize = 3;
 
-/// The end of a run, as the targets need to know it.
+/// The end of a run.
 pub(crate) struct Finished {
     pub(crate) target: usize,
     pub(crate) ticket: u64,
     pub(crate) outcome: Outcome,
-    /// Measured by expected time.
+    /// Ratio of measured to expected time.
     pub(crate) ratio: f64,
 }
 
-/// What a request asks of its target.
+/// Requirements of a request for its target.
 pub(crate) struct PlacementRequest<'a> {
-    /// Targets that it must not go to.
+    /// Targets that the request must not be sent to.
     pub(crate) tried: &'a [Arc<str>],
-    /// Its deadline leaves time for a slow run.
+    /// Whether its deadline leaves time for a run on a slow target.
     pub(crate) tolerates_slow: bool,
-    /// Mean service times until another slot is expected to be free for it.
+    /// Mean service times until another slot is expected to be free for the request.
     pub(crate) depth_per_slot: f64,
 }
 
-/// The targets, at positions that do not change while something runs on them.
+/// The targets, at indexes that do not change while something runs on them.
 ///
-/// Invariants: the limits are those of the time of the last `refresh`; at most a third of the
+/// Invariants: the limits are those at the time of the last `refresh`; at most a third of the
 /// usable targets is ejected at the end of each call.
 #[derive(Debug)]
 pub(crate) struct TargetSet {
     list: Vec<Target>,
-    /// Sum of the limits of those that are neither held nor a last resort.
+    /// Sum of the limits of the targets that are neither isolated nor a last resort.
     slots: u32,
     /// Usual ratio of measured to expected time: the lower median.
     median_ratio: f64,
-    /// The limits hold until then.
+    /// Time until which the limits hold.
     next_change: Option<Duration>,
     stale: bool,
 }
@@ -55,14 +55,16 @@
         }
     }
 
-    /// Takes another list. New targets start cold; those no longer listed finish what they run.
+    /// Applies another list. New targets start cold; targets that are no longer listed finish their
+    /// runs.
     pub(crate) fn reconfigure(&mut self, specs: &[TargetSpec], now: Duration) {
         self.stale = true;
         for t in &mut self.list {
             let spec = specs.iter().find(|s| s.name == t.name);
             t.configure(spec, now);
         }
-        // Only now: a position whose target is still listed must not be given to a new one.
+        // After the loop above, because the index of a target that is still listed must not be
+        // given to a new one.
         for spec in specs {
             if !self.list.iter().any(|t| t.name == spec.name) {
                 self.add(
@@ -76,8 +78,7 @@
         }
     }
 
-    /// Adds a target, at a position that nothing refers to any longer if there is one: the list
-    /// stays bounded.
+    /// Adds a target, at an unused index if there is one, so that the list stays bounded.
     fn add(&mut self, spec: &TargetSpec, now: Duration) {
         let fresh = Target::open(spec, now);
         let free = |t: &&mut Target| !t.listed && t.running.is_empty() && !t.isolated;
@@ -95,12 +96,12 @@
         &self.list[at]
     }
 
-    /// Slots that may be used, not counting last resorts.
+    /// Returns the slots that may be used, without last resorts.
     pub(crate) fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// When the limits change by themselves.
+    /// Returns the time at which the limits change without a call.
     pub(crate) fn next_change(&self) -> Option<Duration> {
         self.next_change
     }
@@ -109,7 +110,7 @@
         self.list.iter().any(|t| t.usable(now))
     }
 
-    /// Brings the limits up to date.
+    /// Updates the limits.
     pub(crate) fn refresh(&mut self, config: &PoolConfig, now: Duration) {
         if !self.stale && self.next_change.is_none_or(|t| now < t) {
             return;
@@ -170,11 +171,12 @@
             .1
     }
 
-    /// The target that the next start goes to, if any has a free slot.
+    /// Returns the target for the next start, or `None` if no suitable target has a free slot.
     pub(crate) fn place(&self, request: &PlacementRequest<'_>, now: Duration) -> Option<usize> {
         let mut best = None;
         for (i, t) in self.list.iter().enumerate() {
-            // A probe may take ten times as long: only what can spare that time is used for it.
+            // A probe may take ten times as long, so only requests whose deadlines leave that time
+            // are used.
             let skip =
                 t.health.is_probe() && !request.tolerates_slow || request.tried.contains(&t.name);
             if !t.has_free_slot()
@@ -191,7 +193,7 @@
         best.map(|(i, _)| i)
     }
 
-    /// A target other than those tried could be used, now or later.
+    /// Returns whether a target other than those tried is usable, now or later.
     pub(crate) fn has_other(&self, tried: &[Arc<str>], now: Duration) -> bool {
         self.list
             .iter()
@@ -219,14 +221,14 @@
         }
     }
 
-    /// A run has lasted this many times what was expected and goes on.
+    /// Records that a run has lasted `ratio` times as long as expected and has not ended.
     pub(crate) fn record_late_run(&mut self, at: usize, ratio: f64) {
         self.list[at].health.record(ratio, false);
         self.stale = true;
     }
 
-    /// Frees the slot of a run. True if its time is usual for the pool, so that it may count in
-    /// the estimate of its kind: a slow target's times must not.
+    /// Frees the slot of a run. Returns true if its target is neither slow nor ejected, so that its
+    /// time may count in the estimate of its kind: a slow target's times must not.
     pub(crate) fn finish(&mut self, end: &Finished, config: &PoolConfig, now: Duration) -> bool {
         let median_ratio = self.median_ratio;
         let t = &mut self.list[end.target];
@@ -264,7 +266,7 @@
         usual
     }
 
-    /// The process died: it rests, and comes back cold.
+    /// Records a crash of the process: the target backs off, and returns cold.
     pub(crate) fn record_crash(&mut self, at: usize, now: Duration) {
         let t = &mut self.list[at];
         let back = t.health.back_off(now);
@@ -272,7 +274,7 @@
         self.stale = true;
     }
 
-    /// Chooses the target on which a suspect will run alone, and starts nothing else on it.
+    /// Chooses the target on which a suspect will run alone, and isolates it.
     pub(crate) fn isolate(&mut self, tried: &[Arc<str>]) -> Option<usize> {
         let fits = |t: &Target| t.limit > 0 && !t.health.is_probe() && !tried.contains(&t.name);
         let list = self.list.iter().enumerate().filter(|(_, t)| fits(t));
