--- a/crates/admit/benches/decision.rs
+++ b/crates/admit/benches/decision.rs
@@ -1,4 +1,4 @@
-//! The cost of one admission with placement and the end of its run.
+//! Cost of an admission with its placement and the end of its run.
 
 use std::{sync::Arc, time::Duration};
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Fills a share of the slots with runs that go on.
+/// Fills some of the slots with runs that do not end.
 fn fill(p: &mut Pool, slots: u64) {
     for i in 0..slots {
         p.offer(offer(1_000_000_000 + i, Duration::ZERO), Duration::ZERO);
@@ -54,7 +54,7 @@
     }
 }
 
-/// A full pool with its queue: each offer is refused, or pushes out another.
+/// Measures a full pool with its queue: each offer is refused, or evicts another request.
 fn overload(c: &mut Criterion) {
     for targets in [3, 49] {
         let mut p = pool(targets);
--- a/crates/admit/examples/limits.rs
+++ b/crates/admit/examples/limits.rs
@@ -1,4 +1,5 @@
-//! Compares ways to keep a workspace's limit over many hosts: `cargo run --release --example limits`.
+//! Compares ways to enforce a workspace's limit over many hosts: `cargo run --release --example
+//! limits`.
 
 #[allow(unreachable_pub, reason = "the tests share it")]
 #[path = "../tests/limits/simulation.rs"]
--- a/crates/admit/examples/loads.rs
+++ b/crates/admit/examples/loads.rs
@@ -1,4 +1,4 @@
-//! Prints the table of all loads on all services: pools beside the naive baseline.
+//! Prints the results of all loads on all services: pools beside the baselines.
 
 use dunlinrock_admit::{
     PoolConfig,
--- a/crates/admit/examples/sweep.rs
+++ b/crates/admit/examples/sweep.rs
@@ -1,4 +1,5 @@
-//! Prints the sweeps that chose the thresholds: `sweep NAME`, or all of them without a name.
+//! Prints the sweeps by which the thresholds were chosen: `sweep NAME`, or all of them without a
+//! name.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
 
 const SEED: u64 = 11;
 
-/// A threshold, the loads that it matters for, and how to set it.
+/// A threshold, the loads that it affects, and the function that sets it.
 struct Sweep {
     name: &'static str,
     loads: &'static [&'static str],
--- a/crates/admit/src/direct/body_budget.rs
+++ b/crates/admit/src/direct/body_budget.rs
@@ -1,15 +1,16 @@
-//! How many bytes of bodies a host holds at once.
+//! Memory budget for buffered request and response bodies.
 //!
-//! Load: large uploads in a burst. Bodies and answers are held whole, since a request may be sent
-//! again and an answer is passed on only once it is complete. Without a bound a few hundred uploads at
-//! a time take all of the memory, and the process is ended with everything that it serves.
+//! Large uploads may arrive in a burst. Bodies and responses are buffered completely, since a
+//! request may be retried and a response is only passed on once it is complete. Without a limit, a
+//! few hundred uploads at a time take all of the memory, and the process is killed with everything
+//! that it serves.
 
-/// Part of the memory that bodies may take. The rest is for connections, some 10 KB each, for the
-/// libraries' buffers, which hold a body a second time while it is read or written, and for what the
-/// host believes.
+/// Fraction of the memory that bodies may take. The rest is for connections, some 10 KB each, for
+/// the libraries' buffers, which hold a second copy of a body while it is read or written, and for
+/// the host's replica of the store.
 const MEMORY_FRACTION: f64 = 0.3;
 
-/// Bytes of bodies held, and how many may be.
+/// Bytes of buffered bodies, with their limit.
 #[derive(Clone, Debug)]
 pub struct BodyBudget {
     max: u64,
@@ -17,7 +18,7 @@
 }
 
 impl BodyBudget {
-    /// Opens the budget of a process with `memory` bytes, none of them taken.
+    /// Opens an unused budget for a process with `memory` bytes.
     pub fn open(memory: u64) -> BodyBudget {
         BodyBudget {
             max: (memory as f64 * MEMORY_FRACTION) as u64,
@@ -25,7 +26,8 @@
         }
     }
 
-    /// Takes room for a body. A single body always has room: refused, it would be refused for ever.
+    /// Reserves bytes for a body; returns false if they exceed the limit. A single body always
+    /// fits: it would otherwise be refused each time it is sent.
     pub fn try_reserve(&mut self, bytes: u64) -> bool {
         if self.used > 0 && self.used + bytes > self.max {
             return false;
@@ -34,12 +36,12 @@
         true
     }
 
-    /// Gives room back that was taken.
+    /// Releases reserved bytes.
     pub fn release(&mut self, bytes: u64) {
         self.used = self.used.saturating_sub(bytes);
     }
 
-    /// Bytes held.
+    /// Returns the reserved bytes.
     pub fn used(&self) -> u64 {
         self.used
     }
--- a/crates/admit/src/direct/cold_start.rs
+++ b/crates/admit/src/direct/cold_start.rs
@@ -1,37 +1,38 @@
-//! How many requests a cold target gets from one host.
+//! Limits on the requests that a cold target gets from one host.
 //!
-//! Load: a failure domain that comes back, or targets that are added under load. A target that has
-//! just started bears few requests a second and crashes well above that; without a bound its old
-//! objects return at once, from all hosts together, and it goes down again.
+//! When a failure domain comes back, or targets are added under load, a target that has just
+//! started tolerates few requests per second and crashes well above that. Without a limit, all
+//! requests that prefer it return at once, from all hosts together, and it crashes again.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// Any span of this length is bounded; the tenth above a second is for requests that are held up on
-/// their way and arrive together with the next.
+/// Length of the window; the limit holds for any period of this length. The tenth above a second is
+/// for requests that are delayed on their way and arrive together with the next.
 const WINDOW: Duration = Duration::from_millis(1100);
 
-/// What a cold target bears from all hosts together.
+/// Requests that a cold target tolerates from all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStartLimits {
-    /// Requests a second that it tolerates.
+    /// Requests per second that it tolerates.
     pub rate: f64,
-    /// How far above that rate still counts as tolerated.
+    /// Factor above that rate that still counts as tolerated.
     pub factor: f64,
-    /// Requests in a second beyond that.
+    /// Requests per second beyond that.
     pub slack: f64,
 }
 
-/// Part of the bound that is spent: hosts that have just joined are known to others a little later,
-/// and until then the parts of all add up to more.
+/// Fraction of the limit that is used: other hosts learn of a new host a little later, and until
+/// then the shares of all add up to more.
 const UTILIZATION: f64 = 0.8;
 
 impl ColdStartLimits {
-    /// Requests a second that one host may send to a target.
+    /// Returns the requests per second that one host may send to a target.
     ///
-    /// Where the bound has a request or more for each host, each gets the same. Where it has fewer,
-    /// one each goes to as many hosts as it has requests, chosen by hash, so that all hosts name the
-    /// same ones. A longer time between two requests of every host would not do: the first ones of
-    /// all hosts could still come in the same second, which is when the target is coldest.
+    /// If the limit has a request or more for each host, each gets the same number. If it has
+    /// fewer, one request each goes to as many hosts as there are requests, chosen by hash, so that
+    /// all hosts choose the same ones. A longer interval between two requests of every host would
+    /// not be enough: the first requests of all hosts could still arrive in the same second, when
+    /// the target is coldest.
     pub fn host_rate(&self, me: u64, hosts: &[u64], target: u64) -> u32 {
         let limit = ((self.rate * self.factor + self.slack) * UTILIZATION).max(1.0) as usize;
         let per_host = limit / hosts.len().max(1);
@@ -47,7 +48,7 @@
     }
 }
 
-/// Spreads a pair of hashes over all 64 bits (the finisher of `SplitMix64`).
+/// Mixes a pair of hashes into 64 bits (the finalizer of `SplitMix64`).
 fn mix(a: u64, b: u64) -> u64 {
     let mut n = (a ^ b.rotate_left(32)).wrapping_add(0x9e37_79b9_7f4a_7c15);
     n = (n ^ (n >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -55,19 +56,20 @@
     n ^ (n >> 31)
 }
 
-/// Requests that one host sent to one cold target.
+/// Limiter of the requests that one host sends to one cold target.
 #[derive(Clone, Debug, Default)]
 pub struct ColdStartLimiter {
     sent: VecDeque<Duration>,
 }
 
 impl ColdStartLimiter {
-    /// Opens a rate with nothing sent.
+    /// Opens a limiter without requests.
     pub fn open() -> ColdStartLimiter {
         ColdStartLimiter::default()
     }
 
-    /// Takes one request if this host's part has room in the last second.
+    /// Admits a request if this host has sent fewer than `host_rate` in the window; returns false
+    /// if it is refused.
     pub fn try_admit(&mut self, host_rate: u32, now: Duration) -> bool {
         while self.sent.front().is_some_and(|at| *at + WINDOW <= now) {
             self.sent.pop_front();
--- a/crates/admit/src/direct/limit.rs
+++ b/crates/admit/src/direct/limit.rs
@@ -1,60 +1,63 @@
-//! Limits on the requests of a workspace that hold for all hosts together.
+//! Rate limits of workspaces that hold for all hosts together.
 //!
-//! Load: hundreds of hosts, of which each sees a request of most workspaces every few seconds, and one
-//! workspace that sends many times its limit. Equal parts of a limit are less than one request for each
-//! host and would refuse nearly everything. So a limit is divided into few *slices*, one for each region.
-//! One host of the region counts a slice; the others ask it for *tokens*, a request each, which end by
-//! themselves.
+//! With hundreds of hosts, each sees a request of most workspaces only every few seconds, while one
+//! workspace may send many times its limit. Equal shares of a limit are less than one request for
+//! each host and would refuse nearly everything. So a limit is divided into a few *shares*, one for
+//! each region. One host of the region counts a share; the others ask it for *tokens*, one for each
+//! request, which expire.
 //!
-//! What a slice gives out is bounded, and tokens live for a short time only, so that the bound on what
-//! runs holds whoever dies, wakes late or is cut off: nobody has to tell anybody anything.
+//! The tokens granted from a share are bounded, and tokens live for a short time only, so the limit
+//! holds without coordination when a host dies, resumes late or is partitioned.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// How long a token may be used after it was asked for: a round trip between regions, a busy processor, and
-/// the way to a target. What runs in a window was given out in it or within this time before it.
+/// Time for which a token may be used after it was requested: a round trip between regions, a busy
+/// processor, and the way to a target. The requests that run in a window had their tokens granted
+/// in it or within this time before it.
 const TOKEN_TTL: Duration = Duration::from_millis(250);
 
-/// Part of the bound that is given out. The rest is for slices that two hosts count for a moment, while one
-/// takes over from the other, and for requests that are held up on their way and arrive together.
+/// Fraction of the limit that is granted. The rest is for shares that two hosts count for a moment,
+/// while one takes over from the other, and for requests that are delayed on their way and arrive
+/// together.
 const GRANTED_FRACTION: f64 = 0.95;
 
-/// Part of a slice's window that may be given out at once. Whoever takes a slice over does not know what
-/// was just given out, and waits for as long as this takes to come back.
+/// Fraction of a share's window that may be granted at once. A host that takes a share over does
+/// not know what was just granted, and waits for the time in which this many tokens are refilled.
 const BURST_FRACTION: f64 = 0.05;
 
-/// Tokens that may be given out at once, at least: a slice of a small limit is a few tokens a second.
+/// Minimum number of tokens that may be granted at once: a share of a small limit is a few tokens
+/// per second.
 const MIN_BURST: f64 = 2.0;
 
-/// Length of the spans in which a bucket remembers what it gave out.
+/// Length of the periods by which a bucket records what it granted.
 const BUCKET_LENGTH: Duration = Duration::from_millis(100);
 
-/// Time over which a host remembers how many tokens it needed.
+/// Time constant of the decaying number of tokens that a host has needed.
 const DEMAND_DECAY: Duration = Duration::from_secs(1);
 
-/// How far all hosts together may go beyond a limit.
+/// Configuration of rate limits: how far all hosts together may exceed a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimitConfig {
-    /// Length of the window; any span of this length is bounded.
+    /// Length of the window; the limit holds for any period of this length.
     pub window: Duration,
-    /// Share of the limit beyond it.
+    /// Fraction of the limit by which it may be exceeded.
     pub over: f64,
     /// Requests in a window beyond that.
     pub slack: f64,
 }
 
 impl RateLimitConfig {
-    /// How long a token may be used after it was asked for.
+    /// Returns the time for which a token may be used after it was requested.
     pub fn token_ttl(&self) -> Duration {
         TOKEN_TTL
     }
 
-    /// Requests that may run in a window.
+    /// Returns the maximum number of requests in a window.
     pub fn max_requests(&self, rate: f64, burst: f64) -> f64 {
         (rate * self.window.as_secs_f64() + burst) * (1.0 + self.over) + self.slack
     }
 
-    /// One of `slices` equal slices of a limit.
+    /// Returns one of `shares` equal shares of a limit.
     pub fn share(&self, rate: f64, burst: f64, shares: usize) -> LimitShare {
         let max_tokens = self.max_requests(rate, burst) * GRANTED_FRACTION / shares.max(1) as f64;
         let span = self.window + TOKEN_TTL;
@@ -67,45 +70,45 @@
     }
 }
 
-/// A part of a limit.
+/// A region's share of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitShare {
-    /// Tokens that may be given out in any span of the length `span`.
+    /// Tokens that may be granted in any period of the length `span`.
     pub max_tokens: f64,
-    /// That length.
+    /// Length of that period.
     pub span: Duration,
-    /// Tokens a second.
+    /// Tokens per second.
     pub rate: f64,
-    /// Tokens that may be given out at once.
+    /// Tokens that may be granted at once.
     pub burst: f64,
 }
 
-/// Tokens of a slice, at the host that counts it.
+/// Token bucket of a share, at the host that counts it.
 ///
-/// Two bounds hold. What is given out in a span is at most what may run in it. And at no time is more than
-/// a burst given out beyond the slice's rate: without this, what a host gave out just before it died, and
-/// what its successor gives, could be twice the slice.
+/// Two bounds hold. The tokens granted in a span are at most the requests that may run in it. And
+/// never is more than a burst granted beyond the share's rate: without this, what a host granted
+/// just before it died, and what its successor grants, could be twice the share.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    /// Tokens that may be given out at once; below zero at first.
+    /// Tokens that may be granted at once; below zero at first.
     level: Option<f64>,
     at: Duration,
-    /// What was given out, by the start of its [`SPAN`].
+    /// Tokens granted, by the start of their [`BUCKET_LENGTH`].
     granted: VecDeque<(Duration, u32)>,
 }
 
-/// Answer to a host that asked for tokens.
+/// Response to a request for tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenGrant {
-    /// Tokens.
+    /// Number of tokens granted.
     pub count: u32,
-    /// Where there are none, time until there is one.
+    /// If there are none, the time until there is one.
     pub retry_after: Duration,
 }
 
 impl TokenBucket {
-    /// Opens the bucket of a slice that is counted here since `since`. It is a burst behind: whoever counted
-    /// before may just have given that out.
+    /// Opens the bucket of a share that is counted here since `since`. It starts a burst below
+    /// zero, because the previous counter may just have granted that burst.
     pub fn open(since: Duration) -> TokenBucket {
         TokenBucket {
             level: None,
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Takes up to `want` tokens.
+    /// Takes up to `wanted` tokens.
     pub fn take(&mut self, share: &LimitShare, wanted: u32, now: Duration) -> TokenGrant {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         let level = self.level.unwrap_or(-share.burst);
@@ -165,9 +168,9 @@
 /// Tokens of one workspace at a host that serves it.
 #[derive(Clone, Debug, Default)]
 pub struct TokenCache {
-    /// Ends of the tokens that are held.
+    /// Expiry times of the cached tokens.
     expirations: VecDeque<Duration>,
-    /// Tokens needed, fading over [`DEMAND_TIME`], as of a moment.
+    /// Tokens needed, decaying over [`DEMAND_DECAY`], and the time of this value.
     demand: (f64, Duration),
 }
 
@@ -177,12 +180,12 @@
         TokenCache::default()
     }
 
-    /// Notes that a token is needed.
+    /// Records that a token is needed.
     pub fn record_demand(&mut self, now: Duration) {
         self.demand = (self.demand(now) + 1.0, now);
     }
 
-    /// Takes a token that has not ended; tells its end.
+    /// Takes a token that has not expired, and returns its expiry time.
     pub fn take(&mut self, now: Duration) -> Option<Duration> {
         while self
             .expirations
@@ -194,14 +197,14 @@
         self.expirations.pop_front()
     }
 
-    /// Gives a token back whose request did not run.
+    /// Returns a token whose request did not run.
     pub fn return_token(&mut self, expires_at: Duration) {
         let at = self.expirations.partition_point(|held| *held <= expires_at);
         self.expirations.insert(at, expires_at);
     }
 
-    /// Tokens to ask for: one, and as many more as are likely to be needed while they live. While they are
-    /// `scarce` one alone: what is not used is missing elsewhere.
+    /// Returns how many tokens to request: one, and as many more as are likely to be needed while
+    /// they live. While they are `scarce`, only one: an unused token is missing at other hosts.
     pub fn refill_size(&self, config: &RateLimitConfig, scarce: bool, now: Duration) -> u32 {
         if scarce {
             return 1;
@@ -210,7 +213,7 @@
         1 + (rate * config.token_ttl().as_secs_f64()) as u32
     }
 
-    /// Takes in tokens that were asked for at `asked`.
+    /// Adds tokens that were requested at `requested_at`.
     pub fn add(&mut self, count: u32, requested_at: Duration, config: &RateLimitConfig) {
         (0..count).for_each(|_| self.return_token(requested_at + config.token_ttl()));
     }
--- a/crates/admit/src/direct/mod.rs
+++ b/crates/admit/src/direct/mod.rs
@@ -1,8 +1,9 @@
-//! Decisions of a host that sends straight to targets whose slots nobody owns.
+//! Limits that each host enforces by itself when it sends directly to targets whose slots have no
+//! owner.
 //!
-//! Each of them keeps a bound that holds for all hosts together. A host keeps its part of it alone,
-//! so that no request waits for a message between hosts: a part is smaller than what a shared
-//! counter could allow, and never adds up to more.
+//! Each limit holds for all hosts together. A host enforces its share of it alone, so no request
+//! waits for a message between hosts: the shares are smaller than what a shared counter could
+//! allow, and never add up to more than the limit.
 
 mod body_budget;
 mod cold_start;
--- a/crates/admit/src/direct/ranks.rs
+++ b/crates/admit/src/direct/ranks.rs
@@ -1,24 +1,25 @@
-//! Which requests get the last room at targets when there is more to do than slots.
+//! Load shedding by priority: which requests may use a target's queue when there are more requests
+//! than slots.
 //!
-//! Load: overload of a service whose requests differ in rank. Where all ranks may use the whole queue of
-//! a target, the more urgent ones are refused as often as the others.
+//! If all priorities may use a target's whole queue under overload, requests of high priority are
+//! refused as often as the others.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// Weight of the newest request in a rank's share.
+/// Weight of the newest request in a priority's refusal rate.
 const EWMA_WEIGHT: f64 = 1.0 / 16.0;
 
-/// Time in which a share that is not renewed falls to a third.
+/// Time in which a rate that is not renewed decays to about a third.
 const DECAY_TIME: Duration = Duration::from_secs(2);
 
-/// Share of refusals among the more urgent at which the less urgent leave them all queues.
+/// Refusal rate of higher priorities at which lower ones leave them the whole queue.
 const FULL_SHEDDING_FRACTION: f64 = 0.1;
 
-/// Part of the less urgent that are treated as the most urgent ones are. Without it they would not be
-/// served at all for as long as the more urgent alone fill the targets.
+/// Fraction of the lower priorities that are treated like the highest. Without it they would not be
+/// served at all for as long as the higher priorities alone fill the targets.
 pub(super) const EQUAL_FRACTION: f64 = 1.0 / 3.0;
 
-/// Share of requests that found no room.
+/// Fraction of requests that were refused because the targets were full.
 #[derive(Clone, Copy, Debug, Default)]
 struct RefusalRate {
     share: f64,
@@ -38,19 +39,19 @@
     }
 }
 
-/// What a service's requests found lately, by rank; 0 is the most urgent.
+/// Recent refusal rates of a service's requests by priority; 0 is the highest.
 #[derive(Clone, Debug, Default)]
 pub struct PriorityShedder {
     refused: BTreeMap<u8, RefusalRate>,
 }
 
 impl PriorityShedder {
-    /// Opens ranks of which nothing is known; all have the same room.
+    /// Opens a shedder without requests; all priorities have the same limit.
     pub fn open() -> PriorityShedder {
         PriorityShedder::default()
     }
 
-    /// Notes whether a request was refused for want of room.
+    /// Records whether a request was refused because its target was full.
     pub fn record(&mut self, rank: u8, is_refused: bool, now: Duration) {
         self.refused
             .entry(rank)
@@ -58,8 +59,9 @@
             .record(is_refused, now);
     }
 
-    /// Requests that a target with `slots` may have for one of `rank` to be sent to it, where one of the
-    /// most urgent may be up to `room`; never less than its slots. `draw` is even in 0 to 1.
+    /// Returns the maximum number of requests in flight at a target with `slots` for a request of
+    /// priority `rank` to be sent to it, where a request of the highest priority is allowed up to
+    /// `limit`; never less than its slots. `draw` is uniform in 0 to 1.
     pub fn concurrency_limit(
         &self,
         rank: u8,
--- a/crates/admit/src/direct/recent_hosts.rs
+++ b/crates/admit/src/direct/recent_hosts.rs
@@ -1,20 +1,22 @@
-//! Among how many hosts a bound is divided.
+//! The hosts among which a limit is divided.
 //!
-//! Load: targets that shed while the store turns some hosts away. The entries of those hosts lapse,
-//! but they go on serving, and have spent their parts. Divided among the listed hosts alone, the
-//! parts of the others grow at that moment, and all parts together are more than the bound.
+//! While targets shed, the store may be unavailable to some hosts. Their entries expire, but they
+//! continue to serve, and have used their shares. If the limit were divided among the listed hosts
+//! alone, the shares of the others would grow at that moment, and all shares together would exceed
+//! the limit.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// How long a host counts after its entry vanished. What it spent stays in the windows of the bounds
-/// for ten seconds; a store that turns some hosts away is usually back within a minute. A host that
-/// is gone for good makes the parts of the others smaller for this long, and nothing else.
+/// Time for which a host counts after its entry was removed. What it used stays in the windows of
+/// the limits for ten seconds; a store that is unavailable to some hosts is usually available again
+/// within a minute. A host that is permanently gone makes the shares of the others smaller for this
+/// long, and has no other effect.
 const KEEP_TIME: Duration = Duration::from_secs(60);
 
-/// Hosts that share bounds, as the hashes of their names.
+/// Hosts that share limits, as the hashes of their names.
 #[derive(Clone, Debug, Default)]
 pub struct RecentHosts {
-    /// When each was last listed.
+    /// When each host was last listed.
     last_listed: BTreeMap<u64, Duration>,
 }
 
@@ -24,9 +26,10 @@
         RecentHosts::default()
     }
 
-    /// Takes in which hosts are listed now; tells which ones share the bounds, in order.
+    /// Records which hosts are listed now, and returns those that share the limits, in order.
     ///
-    /// To be called with each change of the list. `before` are the hosts that were listed until now.
+    /// Must be called with each change of the list. `before` are the hosts that were listed until
+    /// now.
     pub fn update(&mut self, before: &[u64], now_listed: &[u64], now: Duration) -> Vec<u64> {
         let seen = before.iter().chain(now_listed);
         self.last_listed.extend(seen.map(|host| (*host, now)));
--- a/crates/admit/src/direct/retry_budget.rs
+++ b/crates/admit/src/direct/retry_budget.rs
@@ -1,11 +1,11 @@
-//! One host's part of a service's retry budget.
+//! One host's share of a service's retry budget.
 //!
-//! Load: targets that fail or shed while they have too much to do. Every failure would make another
-//! run, and each of those would fail as well. The budget allows second runs as a share of the first
-//! ones, and a few more so that a quiet service may still repeat.
+//! When targets fail or shed because they are overloaded, every failure would cause another
+//! attempt, and each of those would fail as well. The budget allows retries as a ratio of the
+//! requests, and a few more so that a quiet service may still retry.
 //!
-//! Load: the same, with requests of several ranks. What the more urgent have lately asked for is left to
-//! them.
+//! When requests differ in priority, the retries that higher priorities have recently asked for are
+//! left to them.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -14,40 +14,40 @@
 
 use super::ranks::EQUAL_FRACTION;
 
-/// Slices of the window; a run is forgotten at most one slice late.
+/// Buckets of the sliding window; an attempt leaves the window at most one bucket late.
 const WINDOW_BUCKETS: u32 = 10;
 
-/// Part of the bound that is spent: hosts that join are known to others a little later, and until
-/// then the parts of all add up to more than the whole.
+/// Fraction of the limit that is used: other hosts learn of a new host a little later, and until
+/// then the shares of all add up to more than the limit.
 const UTILIZATION: f64 = 0.8;
 
-/// Part of the bound that is spent within the first window of a host's life.
+/// Fraction of the limit that a host may use within one window after its start.
 ///
-/// A host that was killed may have spent its whole part a moment before, and its successor does not
-/// know: killed while targets shed, all hosts together made up to 1.2 times the second runs allowed.
-/// What a killed host may have spent and this part are the whole bound.
+/// A host that was killed may have used its whole share a moment before, and its successor does not
+/// know: when hosts were killed while targets shed, all hosts together made up to 1.2 times the
+/// retries allowed. What a killed host may have used and this fraction add up to the whole limit.
 const RESTARTED_UTILIZATION: f64 = 1.0 - UTILIZATION;
 
-/// The bound for all hosts together.
+/// Limits on the retries of all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
-    /// Second runs for each first run.
+    /// Retries for each request.
     pub ratio: f64,
-    /// Second runs in a window beyond the ratio.
+    /// Retries in a window beyond the ratio.
     pub slack: f64,
-    /// Length of the window; any span of this length is bounded.
+    /// Length of the window; the limit holds for any period of this length.
     pub window: Duration,
 }
 
-/// Second runs of one rank.
+/// Retries of one priority.
 #[derive(Clone, Copy, Debug, Default)]
 struct RetryCounts {
     requested: u32,
-    /// Never more than were asked for.
+    /// Never more than were requested.
     granted: u32,
 }
 
-/// Runs that began within a part of the window.
+/// Attempts that began within one bucket of the window.
 #[derive(Clone, Debug, Default)]
 struct Bucket {
     start: Duration,
@@ -55,22 +55,22 @@
     retries: BTreeMap<u8, RetryCounts>,
 }
 
-/// First and second runs of one service in the last window, at one host.
+/// Retry budget of one service at one host: its requests and retries in the last window.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
-    /// When the host started, if another process may have spent its part before.
+    /// When the host started, if an earlier process may have used its share before.
     restarted_at: Option<Duration>,
     /// Oldest first.
     buckets: VecDeque<Bucket>,
 }
 
 impl RetryBudget {
-    /// Opens a budget of which nothing was spent.
+    /// Opens an unused budget.
     pub fn open() -> RetryBudget {
         RetryBudget::default()
     }
 
-    /// Opens the budget of a host that started at `since`, and may be the successor of one that was
+    /// Opens the budget of a host that started at `restarted_at`, and may be the successor of one that was
     /// killed.
     pub fn open_restarted(restarted_at: Duration) -> RetryBudget {
         RetryBudget {
@@ -79,14 +79,14 @@
         }
     }
 
-    /// Notes a request that a caller sent.
+    /// Records a request from a caller.
     pub fn record_request(&mut self, limits: &RetryLimits, now: Duration) {
         self.bucket(limits, now).requests += 1;
     }
 
-    /// Takes a second run for a request of `rank` if this host's part has one left, and the more urgent
-    /// have not asked for it lately. `hosts` is the number of hosts that share the slack; `draw` is even
-    /// in 0 to 1.
+    /// Takes a retry for a request of priority `rank` if this host's share has one left that higher
+    /// priorities have not recently asked for. Returns false if there is none. `hosts` is the
+    /// number of hosts that share the slack; `draw` is uniform in 0 to 1.
     pub fn try_retry(
         &mut self,
         limits: &RetryLimits,
@@ -114,40 +114,40 @@
         true
     }
 
-    /// Second runs in the window that this host's part allows.
+    /// Returns the number of retries in the window that this host's share allows.
     fn max_retries(&self, limits: &RetryLimits, hosts: usize, now: Duration) -> f64 {
         let requests: u32 = self.buckets.iter().map(|s| s.requests).sum();
         let slack = limits.slack / hosts.max(1) as f64;
         let ratio = f64::from(requests) * limits.ratio;
         match self.age_if_restarted(limits, now) {
             None => UTILIZATION * (ratio + slack),
-            // The slack grows: killed time and again, a host has in all no more of it than one that
-            // lives on.
+            // The slack grows with the age: a host that is killed repeatedly uses no more of it in
+            // total than one that keeps running.
             Some(age) => {
                 RESTARTED_UTILIZATION * (ratio + slack * age.div_duration_f64(limits.window))
             }
         }
     }
 
-    /// Adds up what the window holds of each rank.
+    /// Returns the sum of a count over the window and all priorities.
     fn sum(&self, count: impl Fn(u8, &RetryCounts) -> u32) -> u32 {
         let all = self.buckets.iter().flat_map(|s| &s.retries);
         all.map(|(rank, retries)| count(*rank, retries)).sum()
     }
 
-    /// Time that a host has lived which may succeed a killed one, while what that one spent may still
-    /// be in the window.
+    /// Returns the age of a host that may be the successor of a killed one, while the retries of
+    /// that one may still be in the window.
     fn age_if_restarted(&self, limits: &RetryLimits, now: Duration) -> Option<Duration> {
         let age = now.saturating_sub(self.restarted_at?);
         (age < limits.window).then_some(age)
     }
 
-    /// What the slice of `now` holds of a rank.
+    /// Returns the counts of a priority in the bucket of `now`.
     fn counts_of(&mut self, limits: &RetryLimits, rank: u8, now: Duration) -> &mut RetryCounts {
         self.bucket(limits, now).retries.entry(rank).or_default()
     }
 
-    /// The slice of `now`; those that left the window go.
+    /// Returns the bucket of `now`, after removing those that have left the window.
     fn bucket(&mut self, limits: &RetryLimits, now: Duration) -> &mut Bucket {
         let length = limits.window / WINDOW_BUCKETS;
         while self
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decisions under load at one pool of targets: admission, queue, fairness, placement, retries.
+//! Load management of a pool of targets: admission, queueing, fairness, placement and retries.
 //!
 //! ```
 //! use {
@@ -22,13 +22,13 @@
 //!     tried: Vec::new(),
 //! };
 //!
-//! // The first request starts, the second waits, the third could not be answered in time.
+//! // The first request starts, the second is queued, the third could not be answered in time.
 //! assert_eq!(pool.offer(offer(1, ms(500)), ms(0)), Decision::Start { target: "worker-1".into() });
 //! assert_eq!(pool.offer(offer(2, ms(500)), ms(0)), Decision::Queued);
 //! let Decision::Refused { reason, .. } = pool.offer(offer(3, ms(30)), ms(0)) else { panic!() };
 //! assert_eq!(reason, RefusalReason::DeadlineExceeded);
 //!
-//! // The end of the first frees its slot for the second.
+//! // When the first run ends, its slot is free for the second request.
 //! let end = pool.finish(1, "worker-1", Outcome::Ok, ms(20));
 //! assert_eq!(end, Completion::Final { ran: true });
 //! let start = Action::Start { ticket: 2, target: "worker-1".into() };
@@ -36,23 +36,23 @@
 //! ```
 //!
 //! A [`Pool`] holds the targets of one service in one failure domain. The host that owns the pool
-//! counts its slots exactly, queues for them, and turns away at once what cannot be answered in
-//! time. Nothing here has a clock, a socket or a thread: every call takes the time as a `Duration`
-//! since an origin of the embedder's choice, and what has to be done comes back as a value.
+//! counts its slots exactly, queues for them, and refuses at once the requests that cannot be
+//! answered in time. The crate uses no clock, socket or thread: every call takes the time as a
+//! `Duration` since an origin of the embedder's choice, and returns the actions to perform.
 //!
-//! The decisions, and the load that each of them answers:
+//! The decisions, and the problem that each of them handles:
 //!
-//! | decision | load | note in `docs/decisions/` |
+//! | decision | problem | note in `docs/decisions/` |
 //! |---|---|---|
-//! | what is let in, what waits and how long | burst, saturation | `admission.md` |
-//! | whose turn it is | a few callers or keys with most of the load | `fairness.md` |
-//! | which slots long work may have | long work among short | `short-and-long.md` |
-//! | which target runs it | a slow, cold, leaving or misreported target | `placement.md` |
-//! | whether it runs again | failing targets, late runs | `retries.md` |
-//! | whether it may run at all | a request that kills its targets | `quarantine.md` |
+//! | which requests are admitted, which wait and how long | burst, saturation | `admission.md` |
+//! | in which order they start | a few callers or keys with most of the load | `fairness.md` |
+//! | which slots long requests may have | long requests among short ones | `short-and-long.md` |
+//! | which target runs a request | a slow, cold, leaving or misreported target | `placement.md` |
+//! | whether it is retried | failing targets, late runs | `retries.md` |
+//! | whether it may run at all | a request that crashes its targets | `quarantine.md` |
 //!
-//! [`simulation`] plays these loads against the pools and against [`baseline`]; `cargo run --release
-//! --example loads` prints the table and `--example sweep` the sweeps that chose the thresholds.
+//! [`simulation`] runs these loads against the pools and against [`baseline`]; `cargo run --release
+//! --example loads` prints the results and `--example sweep` the sweeps that chose the thresholds.
 
 pub mod baseline;
 pub mod direct;
--- a/crates/admit/src/quarantine/mod.rs
+++ b/crates/admit/src/quarantine/mod.rs
@@ -72,16 +72,17 @@
 ///
 /// ```
 /// use {
-///     dunlinrock_admit::{QuarantineStatus, Quarantine, CrashedRun},
+///     dunlinrock_admit::{CrashedRun, Quarantine, QuarantineStatus},
 ///     std::time::Duration,
 /// };
 ///
 /// let at = Duration::from_secs;
 /// let mut q = Quarantine::open();
-/// q.record_crash(&[CrashedRun { fingerprint: 7, since: at(0) }, CrashedRun { fingerprint: 8, since: at(0) }], at(1));
+/// let run = |fingerprint, since| CrashedRun { fingerprint, since };
+/// q.record_crash(&[run(7, at(0)), run(8, at(0))], at(1));
 /// q.clear(8);
 /// assert_eq!(q.status(8, at(2)), None);
-/// q.record_crash(&[CrashedRun { fingerprint: 7, since: at(2) }], at(3));
+/// q.record_crash(&[run(7, at(2))], at(3));
 /// assert_eq!(q.status(7, at(3)), Some(QuarantineStatus::Convict));
 /// ```
 #[derive(Debug, Default)]
--- a/crates/admit/src/simulation/baselines.rs
+++ b/crates/admit/src/simulation/baselines.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario without pools: see [`baseline`](crate::baseline).
+//! Simulates a scenario without pools: see [`baseline`](crate::baseline).
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -41,7 +41,7 @@
     events: Events<Event>,
     targets: Vec<Target>,
     queues: Vec<VecDeque<u64>>,
-    /// What each host believes of each target: reported, and sent by itself since.
+    /// Requests that each host assumes at each target: those reported, and those it has sent since.
     reported: Vec<u32>,
     sent: Vec<Vec<u32>>,
     requests: BTreeMap<u64, Sent>,
@@ -199,7 +199,7 @@
         }
     }
 
-    /// A full target turns work away; the host tries again.
+    /// Sheds a request at a full target; the host retries it.
     fn shed(&mut self, request: u64, target: usize, tries: u32, now: Duration) {
         let Some(sent) = self.requests.remove(&request) else {
             return;
@@ -268,7 +268,7 @@
         }
     }
 
-    /// A target dies with all that runs and waits on it.
+    /// Crashes a target with all requests that run and wait on it.
     fn crash(&mut self, request: u64, target: usize, now: Duration) {
         self.results.crashes += 1;
         self.targets[target].down = now + RESTART_TIME;
--- a/crates/admit/src/simulation/event_queue.rs
+++ b/crates/admit/src/simulation/event_queue.rs
@@ -1,4 +1,4 @@
-//! A heap of events in the order of their times.
+//! Priority queue of events by time.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Events to come, the earliest first, and in the order of their insertion at equal times.
+/// Pending events, the earliest first, and in the order of their insertion at equal times.
 pub(super) struct Events<E> {
     heap: BinaryHeap<Reverse<Entry<E>>>,
     seq: u64,
--- a/crates/admit/src/simulation/mod.rs
+++ b/crates/admit/src/simulation/mod.rs
@@ -1,9 +1,9 @@
-//! Plays loads against a policy in virtual time.
+//! Simulation of loads against a policy in virtual time.
 //!
-//! This is what the example `loads`, the tests of the bounds and the sweeps run on: arrivals,
-//! service times, lagging reports and a few faults, in a heap of events. It is not a model of a
-//! cluster: hosts neither fail nor talk to each other here, apart from the delay of a hand-over and
-//! the age of the summaries by which a pool is chosen.
+//! The example `loads`, the tests of the limits and the sweeps run on it: arrivals, service times,
+//! lagging reports and a few faults, as events in a priority queue. It is not a model of a cluster:
+//! hosts neither fail nor communicate here, apart from the delay of a hand-over and the age of the
+//! summaries by which a pool is chosen.
 
 mod baselines;
 mod event_queue;
@@ -19,24 +19,24 @@
 
 use crate::PoolConfig;
 
-/// How requests find a target.
+/// Policy by which requests are assigned to targets.
 #[derive(Clone, Debug)]
 pub enum Policy {
     /// [`Pool`](crate::Pool)s, one for each failure domain, chosen by [`choose_pool`](crate::choose_pool).
     Pools(PoolConfig),
     /// A random target of the region with an unbounded first-in-first-out queue.
     Random,
-    /// Many hosts that each take the less busy of two targets by lagging reports; a full target
-    /// turns work away.
+    /// Many hosts that each use the less busy of two targets by lagging reports; a full target
+    /// sheds.
     TwoChoices {
         /// Hosts in a region.
         hosts: usize,
-        /// Tries before the caller is turned away.
+        /// Attempts before the request is refused.
         tries: u32,
     },
 }
 
-/// Plays a scenario under a policy.
+/// Simulates a scenario under a policy.
 pub fn simulate(scenario: &Scenario, policy: &Policy) -> Results {
     match policy {
         Policy::Pools(config) => pools::simulate(scenario, config),
--- a/crates/admit/src/simulation/pools/metrics.rs
+++ b/crates/admit/src/simulation/pools/metrics.rs
@@ -1,4 +1,4 @@
-//! Reports of the targets, summaries of the pools, and figures that need watching.
+//! Reports of the targets, summaries of the pools, and results that are sampled.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,7 +11,7 @@
 };
 
 impl Simulation<'_> {
-    /// Reports and summaries set out.
+    /// Sends the reports and the summaries, which arrive later.
     pub(super) fn measure(&mut self, now: Duration) {
         if now >= self.scenario.length {
             return;
--- a/crates/admit/src/simulation/pools/mod.rs
+++ b/crates/admit/src/simulation/pools/mod.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario against pools.
+//! Simulates a scenario with pools.
 
 mod metrics;
 mod runs;
--- a/crates/admit/src/simulation/pools/runs.rs
+++ b/crates/admit/src/simulation/pools/runs.rs
@@ -1,4 +1,4 @@
-//! Runs at the targets and what becomes of them.
+//! Runs at the targets and their results.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/admit/src/simulation/results.rs
+++ b/crates/admit/src/simulation/results.rs
@@ -1,23 +1,23 @@
-//! What callers got.
+//! Results of a simulation, as callers see them.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use super::scenario::{Request, Scenario};
 
-/// Part of the requests that is looked at by itself.
+/// Group of requests that is measured separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Group {
     /// All requests.
     All,
-    /// Those of caller 0.
+    /// Requests of caller 0.
     Heavy,
-    /// Those of the other callers.
+    /// Requests of the other callers.
     Light,
-    /// Those about key 0.
+    /// Requests for key 0.
     Hot,
-    /// Those about other keys.
+    /// Requests for other keys.
     Other,
-    /// The kind of work with this number.
+    /// Requests of the kind with this number.
     Kind(usize),
 }
 
@@ -29,35 +29,35 @@
     failed: u64,
     /// Answered after the deadline.
     missed: u64,
-    /// Answer times in microseconds, late answers included.
+    /// Response times in microseconds, including late responses.
     times: Vec<u64>,
 }
 
-/// What callers got during a play, not counting its start.
+/// Results of a simulation, without its warm-up.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Results {
     groups: BTreeMap<Group, GroupCounts>,
-    /// Work of the answers in time, in seconds of slots.
+    /// Service time of the responses in time, in slot seconds.
     pub good_work: f64,
-    /// Seconds of slots that there were.
+    /// Available slot seconds.
     pub capacity: f64,
-    /// Requests that were queued and refused after all.
+    /// Requests that were queued and refused afterwards.
     pub refused_after_wait: u64,
-    /// The times that they waited, in ascending order.
+    /// Waits of those requests, in ascending order.
     pub refused_waits: Vec<Duration>,
-    /// Times a target turned work away, over the whole play.
+    /// Number of times that a target shed a request, over the whole simulation.
     pub shed: u64,
-    /// Second runs.
+    /// Retries and hedges.
     pub retries: u64,
-    /// Targets killed.
+    /// Crashes of targets.
     pub crashes: u64,
-    /// Requests refused in quarantine that kill nothing.
+    /// Requests refused by quarantine that crash no target.
     pub false_positives: u64,
-    /// Most targets ejected at once, as a share of those in the pool.
+    /// Maximum fraction of a pool's targets ejected at once.
     pub ejected: f64,
-    /// Starts on a target after the pool knew that it leaves.
+    /// Starts on a target after the pool knew that it is leaving.
     pub leaving_starts: u64,
-    /// Time from its word until a leaving target was idle.
+    /// Time from its report until a leaving target was idle.
     pub drain: Option<Duration>,
     /// Longest run of any request.
     pub longest_run: Duration,
@@ -119,7 +119,7 @@
         self
     }
 
-    /// A percentile, 0 to 1, of the time to answer.
+    /// Returns a percentile, 0 to 1, of the response time.
     pub fn time(&self, group: Group, percentile: f64) -> Duration {
         let Some(is_measured) = self.groups.get(&group).filter(|p| !p.times.is_empty()) else {
             return Duration::ZERO;
@@ -128,40 +128,40 @@
         Duration::from_micros(is_measured.times[at])
     }
 
-    /// Share of the offered requests that a count is.
+    /// Returns a count as a fraction of the offered requests.
     fn share(&self, group: Group, f: impl Fn(&GroupCounts) -> u64) -> f64 {
         self.groups
             .get(&group)
             .map_or(0.0, |p| f(p) as f64 / p.offered.max(1) as f64)
     }
 
-    /// Requests offered.
+    /// Returns the number of requests offered.
     pub fn offered_count(&self, group: Group) -> u64 {
         self.groups.get(&group).map_or(0, |p| p.offered)
     }
 
-    /// Share refused.
+    /// Returns the fraction refused.
     pub fn refused_fraction(&self, group: Group) -> f64 {
         self.share(group, |p| p.refused)
     }
 
-    /// Share that ended without an answer though it ran.
+    /// Returns the fraction that ended without a response although it ran.
     pub fn failed_fraction(&self, group: Group) -> f64 {
         self.share(group, |p| p.failed)
     }
 
-    /// Share answered in time.
+    /// Returns the fraction answered in time.
     pub fn good_fraction(&self, group: Group) -> f64 {
         self.share(group, |p| p.times.len() as u64 - p.missed)
     }
 
-    /// Answers that came after the deadline, as a share of all answers.
+    /// Returns the responses that came after the deadline, as a fraction of all responses.
     pub fn missed_fraction(&self, group: Group) -> f64 {
         let is_measured = self.groups.get(&group);
         is_measured.map_or(0.0, |p| p.missed as f64 / p.times.len().max(1) as f64)
     }
 
-    /// Answers in time as a share of the capacity, by their work.
+    /// Returns the service time of the responses in time as a fraction of the capacity.
     pub fn goodput(&self) -> f64 {
         self.good_work / self.capacity
     }
--- a/crates/admit/src/simulation/scenario.rs
+++ b/crates/admit/src/simulation/scenario.rs
@@ -1,4 +1,4 @@
-//! The deployments and the loads.
+//! Simulated deployments and loads.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     pub name: &'static str,
     /// Targets, spread over the six failure domains as evenly as they go.
     pub targets: usize,
-    /// Requests that a target runs at once.
+    /// Maximum number of requests that a target runs at once.
     pub slots: u32,
     /// One-way delay between the failure domains of a region.
     pub one_way_delay: Duration,
@@ -54,70 +54,70 @@
 /// Age of a report or a summary when it arrives.
 pub(super) const REPORT_LAG: Duration = Duration::from_millis(300);
 
-/// Time in which a killed target's process is back.
+/// Time in which a crashed target's process is back.
 pub(super) const RESTART_TIME: Duration = Duration::from_millis(400);
 
-/// After that a killer's work kills its target.
+/// Time after which a crashing request crashes its target.
 pub(super) const CRASH_DELAY: Duration = Duration::from_millis(5);
 
-/// Sends of a killer by its caller.
+/// Number of times that a caller sends a crashing request.
 pub(super) const MAX_SENDS: u32 = 10;
 
 impl Deployment {
-    /// Failure domain of a target.
+    /// Returns the failure domain of a target.
     pub(super) fn domain(&self, target: usize) -> usize {
         target % DOMAINS
     }
 
-    /// Slots of all targets.
+    /// Returns the number of slots of all targets.
     pub fn capacity(&self) -> f64 {
         self.targets as f64 * f64::from(self.slots)
     }
 }
 
-/// One kind of work in a load.
+/// A kind of request in a load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Work {
-    /// Share of the requests.
+    /// Fraction of the requests.
     pub share: f64,
     /// Mean service time. Times are log-normal with sigma 0.5: the 99th percentile is 2.8 means.
     pub mean: Duration,
-    /// Time that the caller gives.
+    /// Time from the arrival to the deadline.
     pub deadline: Duration,
-    /// It may run more than once.
+    /// Whether it may run more than once.
     pub repeatable: bool,
 }
 
-/// Something that goes wrong.
+/// A fault in a scenario.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A target takes this many times as long, from a time on.
+    /// A target is this many times slower, from a time on.
     Slow {
         /// Number of the target.
         target: usize,
-        /// Times as long.
+        /// Factor on the service time.
         factor: f64,
-        /// From then on.
+        /// Start of the fault.
         from: Duration,
     },
-    /// A target says that it leaves.
+    /// A target reports that it is leaving.
     Leave {
         /// Number of the target.
         target: usize,
-        /// When it says so.
+        /// Time of its first such report.
         at: Duration,
     },
     /// A target comes back with cold caches: three times as long, less with each run of 200.
     Cold {
         /// Number of the target.
         target: usize,
-        /// When it comes back.
+        /// Time when it comes back.
         at: Duration,
     },
     /// One in three targets claims to be full, another third to be idle with a hundred slots, and
-    /// the last third says nothing.
+    /// the last third sends no reports.
     FalseReports,
-    /// Requests, one every five seconds, that kill each target which runs them; their callers send
+    /// Requests, one every five seconds, that crash each target that runs them; their callers send
     /// them up to ten times.
     CrashingRequests,
 }
@@ -129,28 +129,28 @@
     pub name: &'static str,
     /// The service.
     pub deployment: Deployment,
-    /// Seed of all chance.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// How long requests arrive.
+    /// Time during which requests arrive.
     pub length: Duration,
-    /// Time at the start that does not count.
+    /// Time at the start that is not measured.
     pub warm_up: Duration,
-    /// Offered work as a share of the capacity.
+    /// Offered service time as a fraction of the capacity.
     pub rate: f64,
-    /// Bursts: the time between their starts, their length, and the share of the capacity offered
-    /// meanwhile.
+    /// Bursts: the time between their starts, their length, and the fraction of the capacity
+    /// offered meanwhile.
     pub burst: Option<(Duration, Duration, f64)>,
-    /// Kinds of work.
+    /// Kinds of request.
     pub works: Vec<Work>,
-    /// Callers; each offers the same.
+    /// Number of callers; each offers the same rate.
     pub callers: u64,
-    /// Times the share of another caller that caller 0 offers, on top of `rate`.
+    /// Ratio of the rate of caller 0 to that of another caller, on top of `rate`.
     pub heavy: f64,
-    /// Keys; each is asked for equally often.
+    /// Number of keys; each is requested equally often.
     pub keys: u64,
-    /// Share of the requests that are about key 0.
+    /// Fraction of the requests that are for key 0.
     pub hot: f64,
-    /// What goes wrong.
+    /// Faults.
     pub faults: Vec<Fault>,
 }
 
@@ -178,7 +178,7 @@
     repeatable: true,
 };
 
-/// Names of the loads that [`load`] makes.
+/// Names of the loads that [`load`] returns.
 pub const LOADS: [&str; 11] = [
     "calm",
     "burst",
@@ -193,7 +193,7 @@
     "killer requests",
 ];
 
-/// A named load on a service.
+/// Returns a named load on a service.
 ///
 /// # Panics
 ///
@@ -292,7 +292,7 @@
     }
 }
 
-/// One request of a load.
+/// A request of a load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Request {
     pub(super) work: usize,
@@ -301,15 +301,15 @@
     pub(super) fingerprint: u64,
     pub(super) arrived: Duration,
     pub(super) deadline: Duration,
-    /// Failure domain whose host it reaches, in proportion to the domain's targets: the shares of
-    /// the regions are decided elsewhere.
+    /// Failure domain of the host that it reaches, in proportion to the domain's targets: how
+    /// traffic is split between regions is outside the simulation.
     pub(super) home: usize,
-    /// It kills its targets; the number of times that it was sent.
+    /// For a request that crashes its targets, the number of times that it was sent.
     pub(super) crashing_sends: Option<u32>,
 }
 
 impl Scenario {
-    /// Mean service time of the mix.
+    /// Returns the mean service time of the mix, in seconds.
     pub(super) fn mean(&self) -> f64 {
         let total: f64 = self.works.iter().map(|w| w.share).sum();
         self.works
@@ -319,7 +319,7 @@
             / total
     }
 
-    /// Time until the next arrival.
+    /// Returns the time until the next arrival.
     pub(super) fn next_gap(&self, now: Duration, rng: &mut StdRng) -> Duration {
         let rate = match self.burst {
             Some((every, length, rate))
@@ -366,7 +366,8 @@
         }
     }
 
-    /// A service time of a kind of work on a target that is neither slow nor cold.
+    /// Returns a random service time of a kind of request on a target that is neither slow nor
+    /// cold.
     pub(super) fn time(&self, work: usize, rng: &mut StdRng) -> Duration {
         const SIGMA: f64 = 0.5;
         let (u, v) = (rng.random::<f64>().max(1e-12), rng.random::<f64>());
--- a/crates/admit/src/simulation/target.rs
+++ b/crates/admit/src/simulation/target.rs
@@ -1,4 +1,4 @@
-//! The speed of the targets.
+//! Simulated targets: their speed and their load reports.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
     simulation::{Fault, Scenario},
 };
 
-/// Times as long as usual that a cold target takes at first.
+/// Initial factor on the service time of a cold target.
 const COLD: f64 = 3.0;
 
-/// Runs that warm its caches.
+/// Runs after which its caches are warm.
 const WARM_RUNS: f64 = 200.0;
 
-/// One target's side of the play.
+/// State of a simulated target.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Target {
-    /// Numbers of the runs on it.
+    /// Ids of the runs on it.
     pub(super) running: Vec<u64>,
-    /// Its process is being restarted until then.
+    /// Time until which its process restarts.
     pub(super) down: Duration,
     runs: f64,
     cold_at: Option<Duration>,
 }
 
 impl Target {
-    /// Times as long as usual that a run takes which starts now.
+    /// Returns the factor on the service time of a run that starts now.
     pub(super) fn factor(&mut self, number: usize, scenario: &Scenario, now: Duration) -> f64 {
         let mut factor = 1.0;
         for fault in &scenario.faults {
@@ -52,7 +52,7 @@
         factor
     }
 
-    /// What it says about itself; nothing if its reports are lost.
+    /// Returns its load report, or `None` if its reports are lost.
     pub(super) fn report(
         &self,
         number: usize,
