--- a/crates/admit/src/direct/retry_budget.rs
+++ b/crates/admit/src/direct/retry_budget.rs
@@ -70,8 +70,8 @@
         RetryBudget::default()
     }
 
-    /// Opens the budget of a host that started at `restarted_at`, and may be the successor of one that was
-    /// killed.
+    /// Opens the budget of a host that started at `restarted_at`, and may be the successor of one
+    /// that was killed.
     pub fn open_restarted(restarted_at: Duration) -> RetryBudget {
         RetryBudget {
             restarted_at: Some(restarted_at),
--- a/crates/admit/src/pool/isolation.rs
+++ b/crates/admit/src/pool/isolation.rs
@@ -130,20 +130,18 @@
     /// Refuses queued suspects that were confirmed, and moves those that were cleared to the usual
     /// queue.
     fn update_isolation(&mut self, now: Duration) {
-        for ticket in self.isolation.queue.iter().copied().collect::<Vec<_>>() {
-            let Some(request) = self.tickets.get_mut(&ticket) else {
+        for id in self.isolation.queue.iter().copied().collect::<Vec<_>>() {
+            let Some(request) = self.tickets.get_mut(&id) else {
                 continue;
             };
             match self.quarantine.status(request.fingerprint, now) {
                 Some(QuarantineStatus::Suspect) => {}
-                Some(QuarantineStatus::Convict) => {
-                    self.refuse(ticket, RefusalReason::Quarantined, now)
-                }
+                Some(QuarantineStatus::Convict) => self.refuse(id, RefusalReason::Quarantined, now),
                 None => {
-                    self.isolation.remove(ticket);
+                    self.isolation.remove(id);
                     let work = request.estimate.mean.as_micros() as u64;
                     let queue = &mut self.queues[request.class as usize];
-                    let queue_key = queue.push(ticket, request.caller, request.key, work);
+                    let queue_key = queue.push(id, request.caller, request.key, work);
                     request.place = Place::Queued(queue_key);
                 }
             }
--- a/crates/admit/src/pool/mod.rs
+++ b/crates/admit/src/pool/mod.rs
@@ -138,8 +138,8 @@
     }
 
     /// Merges a quarantine update from a peer.
-    pub fn apply_update(&mut self, word: QuarantineUpdate, now: Duration) {
-        self.quarantine.apply_update(word, now);
+    pub fn apply_update(&mut self, update: QuarantineUpdate, now: Duration) {
+        self.quarantine.apply_update(update, now);
     }
 
     /// Returns the quarantine updates for the peers since the last call.
--- a/crates/admit/src/quarantine/mod.rs
+++ b/crates/admit/src/quarantine/mod.rs
@@ -60,7 +60,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Record {
-    grade: QuarantineStatus,
+    status: QuarantineStatus,
     /// When the crash that made the request a suspect became known to this host.
     since: Duration,
     expires_at: Duration,
@@ -100,7 +100,7 @@
     /// Returns the status of a request, or `None` if it is not quarantined.
     pub fn status(&self, fingerprint: u64, now: Duration) -> Option<QuarantineStatus> {
         let r = self.records.get(&fingerprint)?;
-        (now < r.expires_at).then_some(r.grade)
+        (now < r.expires_at).then_some(r.status)
     }
 
     /// Returns the time until a confirmed request is admitted again.
@@ -115,7 +115,7 @@
         for v in crashed_runs {
             let is_confirmed = self.records.get(&v.fingerprint).is_some_and(|r| {
                 now < r.expires_at
-                    && (r.grade == QuarantineStatus::Convict || (alone && v.since >= r.since))
+                    && (r.status == QuarantineStatus::Convict || (alone && v.since >= r.since))
             });
             let (status, ttl) = match is_confirmed {
                 true => (QuarantineStatus::Convict, CONFIRMED_TTL),
@@ -138,7 +138,7 @@
         if self
             .records
             .get(&fingerprint)
-            .is_some_and(|r| r.grade == QuarantineStatus::Suspect)
+            .is_some_and(|r| r.status == QuarantineStatus::Suspect)
         {
             self.records.remove(&fingerprint);
         }
@@ -159,17 +159,17 @@
         let list = self.records.iter().filter(|(_, r)| now < r.expires_at);
         list.map(|(f, r)| QuarantineUpdate {
             fingerprint: *f,
-            status: r.grade,
+            status: r.status,
             ttl: r.expires_at - now,
         })
         .collect()
     }
 
     /// Returns the number of live records with this status.
-    pub fn count(&self, grade: QuarantineStatus, now: Duration) -> usize {
+    pub fn count(&self, status: QuarantineStatus, now: Duration) -> usize {
         self.records
             .values()
-            .filter(|r| r.grade == grade && now < r.expires_at)
+            .filter(|r| r.status == status && now < r.expires_at)
             .count()
     }
 
@@ -183,11 +183,11 @@
             .records
             .get(&update.fingerprint)
             .filter(|r| now < r.expires_at);
-        if known.is_some_and(|r| r.grade >= update.status) {
+        if known.is_some_and(|r| r.status >= update.status) {
             return false;
         }
         let record = Record {
-            grade: update.status,
+            status: update.status,
             since: now,
             expires_at: now + life,
         };
@@ -205,7 +205,7 @@
             let weakest = self
                 .records
                 .iter()
-                .min_by_key(|(_, r)| (r.grade, r.expires_at));
+                .min_by_key(|(_, r)| (r.status, r.expires_at));
             let Some(f) = weakest.map(|(f, _)| *f) else {
                 return;
             };
--- a/crates/admit/src/simulation/mod.rs
+++ b/crates/admit/src/simulation/mod.rs
@@ -22,7 +22,8 @@
 /// Policy by which requests are assigned to targets.
 #[derive(Clone, Debug)]
 pub enum Policy {
-    /// [`Pool`](crate::Pool)s, one for each failure domain, chosen by [`choose_pool`](crate::choose_pool).
+    /// [`Pool`](crate::Pool)s, one for each failure domain, chosen by
+    /// [`choose_pool`](crate::choose_pool).
     Pools(PoolConfig),
     /// A random target of the region with an unbounded first-in-first-out queue.
     Random,
--- a/crates/admit/tests/random/ops.rs
+++ b/crates/admit/tests/random/ops.rs
@@ -1,4 +1,4 @@
-//! What can happen to a pool, at random.
+//! Random operations on a pool.
 
 use dunlinrock_admit::{LoadReport, Outcome};
 use proptest::{
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decisions under load, without clock, socket or thread.
+//! Load management without clock, socket or thread: admission and traffic steering.
 //!
-//! A facade: [`admit`] decides at one pool of targets, [`steer`] between regions. A struct takes an
-//! input and a time, a `Duration` since an origin of the embedder's choice, and returns what to do:
+//! This crate is a facade: [`admit`] decides at one pool of targets, [`steer`] between regions.
+//! Each type takes its inputs and the time, a `Duration` since an origin of the embedder's
+//! choice, and returns the decision:
 //!
 //! ```
 //! use std::{collections::BTreeMap, time::Duration};
@@ -23,11 +24,11 @@
 //! )
 //! .unwrap();
 //!
-//! // Which region is a caller near to?
+//! // Returns the region of a caller by its address.
 //! let blocks = Blocks::open(&config);
 //! assert_eq!(blocks.find("10.32.0.1".parse().unwrap()).map(|r| &**r), Some("cluj"));
 //!
-//! // A host that heard all its peers, none of which has shares, starts from the goal.
+//! // If no peer knows the current split, a host starts from the desired one.
 //! let goals = Goals::open(&config, &Default::default());
 //! let mut shares = Shares::open();
 //! assert!(!shares.ready());
@@ -36,8 +37,8 @@
 //! assert!(shares.ready());
 //! ```
 //!
-//! Which load each decision answers, what goes wrong without it, and why its thresholds are as they
-//! are stands in `docs/decisions/`.
+//! `docs/decisions/` describes the problem that each decision handles, what goes wrong without it,
+//! and why its thresholds are as they are.
 
 pub use dunlinrock_admit as admit;
 pub use dunlinrock_steer as steer;
