--- a/crates/admit/examples/loads.rs
+++ b/crates/admit/examples/loads.rs
@@ -15,7 +15,13 @@
     let policies = [
         ("pools", Policy::Pools(PoolConfig::default())),
         ("random", Policy::Random),
-        ("two choices", Policy::TwoChoices { hosts: 4, tries: 3 }),
+        (
+            "two choices",
+            Policy::TwoChoices {
+                hosts: 4,
+                attempts: 3,
+            },
+        ),
     ];
     for name in LOADS {
         for deployment in DEPLOYMENTS {
--- a/crates/admit/src/fair_queue/queue.rs
+++ b/crates/admit/src/fair_queue/queue.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct ClockRate {
     /// Clock and time of the last record.
-    mark: Option<(u64, Duration)>,
+    last_record: Option<(u64, Duration)>,
     /// Recent distance of the clock, in microseconds of service time.
     distance: f64,
     /// Time of that distance, in seconds.
@@ -54,11 +54,11 @@
 
 impl ClockRate {
     fn record(&mut self, clock: u64, now: Duration) {
-        if let Some((from, since)) = self.mark {
+        if let Some((from, since)) = self.last_record {
             self.distance += (clock - from) as f64;
             self.time += now.saturating_sub(since).as_secs_f64();
         }
-        self.mark = Some((clock, now));
+        self.last_record = Some((clock, now));
         if self.time > RATE_WINDOW {
             self.distance /= 2.0;
             self.time /= 2.0;
@@ -138,8 +138,8 @@
         self.callers.raise(caller, caller_start + work);
         // A request behind its caller's own backlog uses its key's turn later and less often. If it
         // were charged in full, a heavy caller would delay all others that ask for the same key.
-        let lead = (caller_start - self.clock) / work;
-        let charge = work / KEY_WEIGHT / (1 + lead);
+        let distance_ahead = (caller_start - self.clock) / work;
+        let charge = work / KEY_WEIGHT / (1 + distance_ahead);
         let key_start = self.clock.max(self.keys.read(key));
         self.keys.raise(key, key_start + charge);
         self.max_rank = self
@@ -196,9 +196,11 @@
     /// earlier clocks will still send. Where every caller offers more than its share, these make up
     /// half of what is served.
     pub(crate) fn time_to_reach(&self, rank: u64) -> Duration {
-        let lead = rank.saturating_sub(self.clock) as f64;
+        let distance_ahead = rank.saturating_sub(self.clock) as f64;
         match self.clock_rate.per_second() {
-            Some(per_second) if lead > 0.0 => Duration::from_secs_f64((lead / per_second).min(1e6)),
+            Some(per_second) if distance_ahead > 0.0 => {
+                Duration::from_secs_f64((distance_ahead / per_second).min(1e6))
+            }
             _ => Duration::ZERO,
         }
     }
@@ -210,7 +212,7 @@
         self.take(queue_key);
         if self.list.is_empty() {
             self.clock_rate.record(self.clock, now);
-            self.clock_rate.mark = None;
+            self.clock_rate.last_record = None;
         }
     }
 
@@ -232,7 +234,7 @@
         self.total -= entry.work;
         if self.list.is_empty() {
             self.clock = self.clock.max(self.max_rank);
-            self.clock_rate.mark = None;
+            self.clock_rate.last_record = None;
             self.callers.reseed();
             self.keys.reseed();
         }
--- a/crates/admit/src/pool/admit.rs
+++ b/crates/admit/src/pool/admit.rs
@@ -65,7 +65,7 @@
         if self.quarantine.status(request.fingerprint, now) == Some(QuarantineStatus::Suspect) {
             return self.offer_suspect(request, now);
         }
-        match self.place_now(&request, now) {
+        match self.find_free_slot(&request, now) {
             Some(at) => self.start_offered(request, at, now),
             None => self.enqueue(request, now),
         }
@@ -95,7 +95,7 @@
     ///
     /// With a free slot the request is started even if its deadline leaves less than the tail of
     /// its service time: no other request needs the slot.
-    fn place_now(&self, request: &Request, now: Duration) -> Option<usize> {
+    fn find_free_slot(&self, request: &Request, now: Duration) -> Option<usize> {
         if !self.queues[request.class as usize].is_empty() {
             return None;
         }
@@ -127,10 +127,10 @@
         let max_wait = self.max_wait(request.class, request.estimate.mean, now);
         request.wait(max_wait, now);
         // The deadline is the caller's and must hold; the maximum wait only limits the queue.
-        let late = now + wait.upper + request.estimate.tail > request.deadline;
-        if late || now + wait.mean > request.start_by {
-            let over = (now + wait.upper).saturating_sub(request.start_by);
-            return self.refused(request.reason, clamp_retry_after(over));
+        let is_late = now + wait.upper + request.estimate.tail > request.deadline;
+        if is_late || now + wait.mean > request.start_by {
+            let excess = (now + wait.upper).saturating_sub(request.start_by);
+            return self.refused(request.reason, clamp_retry_after(excess));
         }
         if self.is_queue_full_for(&request, rank, now) {
             return self.refused(request.reason, clamp_retry_after(wait.mean));
@@ -146,7 +146,7 @@
         self.start_deadlines.insert((request.start_by, ticket));
         let class = request.class;
         self.tickets.insert(ticket, request);
-        self.trim(class, now);
+        self.evict_late(class, now);
         Decision::Queued
     }
 
@@ -178,7 +178,7 @@
 
     /// Refuses requests at the end of a queue that can no longer start in time because others were
     /// admitted ahead of them: they are refused now and not when their time is up.
-    fn trim(&mut self, class: Class, now: Duration) {
+    fn evict_late(&mut self, class: Class, now: Duration) {
         while let Some((rank, ticket)) = self.queues[class as usize].last() {
             let Some(request) = self.tickets.get(&ticket) else {
                 return;
@@ -194,13 +194,13 @@
     /// Evicts the request that would be served last from a full queue, in favour of one of this
     /// rank. Without this, a heavy caller that came first would keep all others out.
     fn evict_worst(&mut self, class: Class, rank: u64, now: Duration) -> bool {
-        let other = match class {
+        let other_class = match class {
             Class::Short => Class::Long,
             Class::Long => Class::Short,
         };
         let own = &self.queues[class as usize];
-        let worst = if self.queues[other as usize].len() > own.len() {
-            self.queues[other as usize].last()
+        let worst = if self.queues[other_class as usize].len() > own.len() {
+            self.queues[other_class as usize].last()
         } else {
             own.last().filter(|(last, _)| *last > rank)
         };
@@ -213,24 +213,27 @@
 
     /// Returns the estimated wait of a request with this rank.
     pub(super) fn wait(&self, class: Class, rank: u64, now: Duration) -> Wait {
-        let other = &self.queues[1 - class as usize];
-        let slots = f64::from(self.slot_shares(now).serving(class, !other.is_empty()));
+        let other_class = &self.queues[1 - class as usize];
+        let slots = f64::from(
+            self.slot_shares(now)
+                .serving(class, !other_class.is_empty()),
+        );
         let (n, work) = self.queues[class as usize].ahead(rank);
         let ahead = work as f64 / 1e6;
         let first = self.first_free(class);
-        let reach = self.queues[class as usize]
+        let time_to_reach = self.queues[class as usize]
             .time_to_reach(rank)
             .as_secs_f64();
-        let here = first + ahead / slots;
-        let mean = here.max(reach.min(here * MAX_OVERTAKING));
-        let each = if n == 0 {
+        let current = first + ahead / slots;
+        let mean = current.max(time_to_reach.min(current * MAX_OVERTAKING));
+        let per_request = if n == 0 {
             0.0
         } else {
             ahead / n as f64 / slots
         };
-        let spread = WAIT_DEVIATIONS * first.max(each * (n as f64).sqrt());
+        let deviation = WAIT_DEVIATIONS * first.max(per_request * (n as f64).sqrt());
         // Without any slot, nothing starts until the limits change.
-        let still = match self.targets.slots() {
+        let stall = match self.targets.slots() {
             0 => self
                 .targets
                 .next_change()
@@ -239,9 +242,9 @@
             _ => Duration::ZERO,
         };
         Wait {
-            current: still + Duration::from_secs_f64(here),
-            mean: still + Duration::from_secs_f64(mean),
-            upper: still + Duration::from_secs_f64(mean + spread),
+            current: stall + Duration::from_secs_f64(current),
+            mean: stall + Duration::from_secs_f64(mean),
+            upper: stall + Duration::from_secs_f64(mean + deviation),
         }
     }
 
@@ -252,12 +255,12 @@
     fn first_free(&self, class: Class) -> f64 {
         let slot_interval =
             |i: usize| self.load[i] as f64 / 1e6 / f64::from(self.busy[i].max(1)).powi(2);
-        let (own, other) = (class as usize, 1 - class as usize);
-        match (self.busy[own], self.busy[other]) {
+        let (own, other_class) = (class as usize, 1 - class as usize);
+        match (self.busy[own], self.busy[other_class]) {
             (0, 0) => 0.0,
-            (0, _) => slot_interval(other),
+            (0, _) => slot_interval(other_class),
             (_, 0) => slot_interval(own),
-            _ => slot_interval(own).min(slot_interval(other)),
+            _ => slot_interval(own).min(slot_interval(other_class)),
         }
     }
 
--- a/crates/admit/src/pool/finish.rs
+++ b/crates/admit/src/pool/finish.rs
@@ -105,8 +105,8 @@
             }
             return Completion::Stale;
         }
-        let effect = !matches!(outcome, Outcome::Refused);
-        request.ran |= effect;
+        let had_effect = !matches!(outcome, Outcome::Refused);
+        request.ran |= had_effect;
         let name = Arc::clone(&self.targets.get(run.target).name);
         request.tried.push(name);
         if has_other_runs && !matches!(outcome, Outcome::Ok | Outcome::Cancelled) {
--- a/crates/admit/src/simulation/mod.rs
+++ b/crates/admit/src/simulation/mod.rs
@@ -14,7 +14,7 @@
 
 pub use self::{
     results::{Group, Results},
-    scenario::{DEPLOYMENTS, Deployment, Fault, LOADS, Scenario, Work, load},
+    scenario::{DEPLOYMENTS, Deployment, Fault, LOADS, RequestKind, Scenario, load},
 };
 
 use crate::PoolConfig;
@@ -33,7 +33,7 @@
         /// Hosts in a region.
         hosts: usize,
         /// Attempts before the request is refused.
-        tries: u32,
+        attempts: u32,
     },
 }
 
@@ -42,8 +42,8 @@
     match policy {
         Policy::Pools(config) => pools::simulate(scenario, config),
         Policy::Random => baselines::simulate(scenario, None),
-        Policy::TwoChoices { hosts, tries } => {
-            baselines::simulate(scenario, Some((*hosts, *tries)))
+        Policy::TwoChoices { hosts, attempts } => {
+            baselines::simulate(scenario, Some((*hosts, *attempts)))
         }
     }
 }
--- a/crates/admit/src/simulation/pools/metrics.rs
+++ b/crates/admit/src/simulation/pools/metrics.rs
@@ -12,11 +12,11 @@
 
 impl Simulation<'_> {
     /// Sends the reports and the summaries, which arrive later.
-    pub(super) fn measure(&mut self, now: Duration) {
+    pub(super) fn send_reports(&mut self, now: Duration) {
         if now >= self.scenario.length {
             return;
         }
-        self.events.push(now + REPORT_INTERVAL, Event::Measure);
+        self.events.push(now + REPORT_INTERVAL, Event::SendReports);
         for target in 0..self.targets.len() {
             if let Some(report) = self.targets[target].report(target, self.scenario, now) {
                 self.events
--- a/crates/admit/src/simulation/pools/mod.rs
+++ b/crates/admit/src/simulation/pools/mod.rs
@@ -24,7 +24,7 @@
     Offer { ticket: u64 },
     End { run: u64 },
     Wake { pool: usize },
-    Measure,
+    SendReports,
     Report { target: usize, report: LoadReport },
     Summary { loads: Vec<Load> },
 }
@@ -91,7 +91,7 @@
         results: Results::open(scenario),
     };
     simulation.events.push(Duration::ZERO, Event::Arrive);
-    simulation.events.push(Duration::ZERO, Event::Measure);
+    simulation.events.push(Duration::ZERO, Event::SendReports);
     if scenario.faults.contains(&Fault::CrashingRequests) {
         simulation
             .events
@@ -124,7 +124,7 @@
                 self.poll(pool, now);
             }
             Event::Wake { .. } => {}
-            Event::Measure => self.measure(now),
+            Event::SendReports => self.send_reports(now),
             Event::Report { target, report } => self.report(target, report, now),
             Event::Summary { loads } => {
                 self.loads = loads
@@ -194,10 +194,10 @@
             ticket,
             caller: request.caller,
             key: request.key,
-            kind: request.work as u64,
+            kind: request.kind as u64,
             fingerprint: request.fingerprint,
             deadline: request.deadline,
-            repeatable: self.scenario.works[request.work].repeatable,
+            repeatable: self.scenario.kinds[request.kind].repeatable,
             tried: Vec::new(),
         };
         match self.pools[pool].offer(offer, now) {
--- a/crates/admit/src/simulation/pools/runs.rs
+++ b/crates/admit/src/simulation/pools/runs.rs
@@ -36,7 +36,7 @@
             None => {
                 let factor = self.targets[target].factor(target, self.scenario, now);
                 self.scenario
-                    .time(request.work, &mut self.rng)
+                    .time(request.kind, &mut self.rng)
                     .mul_f64(factor)
             }
         };
@@ -99,7 +99,7 @@
     pub(super) fn good(&mut self, request: &Request, pool: usize, time: Duration, now: Duration) {
         let window = now >= self.scenario.warm_up && now < self.scenario.length;
         if window && now + self.one_way_delay(request, pool) <= request.deadline {
-            self.results.good_work += time.as_secs_f64();
+            self.results.good_time += time.as_secs_f64();
         }
     }
 
@@ -111,18 +111,18 @@
         now: Duration,
     ) {
         if let Some(sends) = request.crashing_sends.filter(|s| *s < MAX_SENDS) {
-            let again = now + Duration::from_millis(100);
+            let resend_at = now + Duration::from_millis(100);
             let request = Request {
                 crashing_sends: Some(sends + 1),
-                arrived: again,
-                deadline: again + Duration::from_secs(2),
+                arrived: resend_at,
+                deadline: resend_at + Duration::from_secs(2),
                 home: self
                     .scenario
                     .deployment
                     .domain(self.rng.random_range(0..self.targets.len())),
                 ..*request
             };
-            self.route(request, again);
+            self.route(request, resend_at);
             return;
         }
         if !self.is_measured(request) {
--- a/crates/admit/src/simulation/scenario.rs
+++ b/crates/admit/src/simulation/scenario.rs
@@ -77,7 +77,7 @@
 
 /// A kind of request in a load.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Work {
+pub struct RequestKind {
     /// Fraction of the requests.
     pub share: f64,
     /// Mean service time. Times are log-normal with sigma 0.5: the 99th percentile is 2.8 means.
@@ -141,7 +141,7 @@
     /// offered meanwhile.
     pub burst: Option<(Duration, Duration, f64)>,
     /// Kinds of request.
-    pub works: Vec<Work>,
+    pub kinds: Vec<RequestKind>,
     /// Number of callers; each offers the same rate.
     pub callers: u64,
     /// Ratio of the rate of caller 0 to that of another caller, on top of `rate`.
@@ -155,7 +155,7 @@
 }
 
 /// A catalogue search, a calendar page, a roster.
-const PAGE: Work = Work {
+const PAGE: RequestKind = RequestKind {
     share: 1.0,
     mean: Duration::from_millis(20),
     deadline: Duration::from_millis(500),
@@ -163,7 +163,7 @@
 };
 
 /// A reservation, a registration, a payment.
-const BOOKING: Work = Work {
+const BOOKING: RequestKind = RequestKind {
     share: 0.1,
     mean: Duration::from_millis(40),
     deadline: Duration::from_secs(2),
@@ -171,7 +171,7 @@
 };
 
 /// An attendance summary.
-const SUMMARY: Work = Work {
+const SUMMARY: RequestKind = RequestKind {
     share: 0.05,
     mean: Duration::from_millis(800),
     deadline: Duration::from_secs(20),
@@ -212,7 +212,7 @@
         warm_up: secs(4),
         rate: 0.6,
         burst: None,
-        works: vec![Work { share: 0.9, ..PAGE }, BOOKING],
+        kinds: vec![RequestKind { share: 0.9, ..PAGE }, BOOKING],
         callers: 50,
         heavy: 1.0,
         keys: 200,
@@ -263,8 +263,8 @@
             }
         }
         "long among short" => {
-            let works = vec![
-                Work {
+            let kinds = vec![
+                RequestKind {
                     share: 0.95,
                     ..PAGE
                 },
@@ -272,7 +272,7 @@
             ];
             Scenario {
                 rate: 1.1,
-                works,
+                kinds,
                 length: secs(40),
                 warm_up: secs(10),
                 ..calm
@@ -295,7 +295,7 @@
 /// A request of a load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Request {
-    pub(super) work: usize,
+    pub(super) kind: usize,
     pub(super) caller: u64,
     pub(super) key: u64,
     pub(super) fingerprint: u64,
@@ -311,8 +311,8 @@
 impl Scenario {
     /// Returns the mean service time of the mix, in seconds.
     pub(super) fn mean(&self) -> f64 {
-        let total: f64 = self.works.iter().map(|w| w.share).sum();
-        self.works
+        let total: f64 = self.kinds.iter().map(|w| w.share).sum();
+        self.kinds
             .iter()
             .map(|w| w.share * w.mean.as_secs_f64())
             .sum::<f64>()
@@ -334,13 +334,13 @@
     }
 
     pub(super) fn arrive(&self, number: u64, now: Duration, rng: &mut StdRng) -> Request {
-        let total: f64 = self.works.iter().map(|w| w.share).sum();
+        let total: f64 = self.kinds.iter().map(|w| w.share).sum();
         let mut x = rng.random::<f64>() * total;
-        let work = self.works.iter().position(|w| {
+        let kind = self.kinds.iter().position(|w| {
             x -= w.share;
             x < 0.0
         });
-        let work = work.unwrap_or(0);
+        let kind = kind.unwrap_or(0);
         let heavy = rng.random::<f64>() * (self.callers as f64 - 1.0 + self.heavy) < self.heavy;
         let caller = if heavy {
             0
@@ -349,7 +349,7 @@
         };
         let hot = rng.random::<f64>() < self.hot;
         Request {
-            work,
+            kind,
             caller,
             key: if hot {
                 0
@@ -358,7 +358,7 @@
             },
             fingerprint: number,
             arrived: now,
-            deadline: now + self.works[work].deadline,
+            deadline: now + self.kinds[kind].deadline,
             home: self
                 .deployment
                 .domain(rng.random_range(0..self.deployment.targets)),
@@ -368,11 +368,11 @@
 
     /// Returns a random service time of a kind of request on a target that is neither slow nor
     /// cold.
-    pub(super) fn time(&self, work: usize, rng: &mut StdRng) -> Duration {
+    pub(super) fn time(&self, kind: usize, rng: &mut StdRng) -> Duration {
         const SIGMA: f64 = 0.5;
         let (u, v) = (rng.random::<f64>().max(1e-12), rng.random::<f64>());
         let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
         let factor = (SIGMA * normal - SIGMA * SIGMA / 2.0).exp();
-        self.works[work].mean.mul_f64(factor)
+        self.kinds[kind].mean.mul_f64(factor)
     }
 }
--- a/crates/admit/src/target/health.rs
+++ b/crates/admit/src/target/health.rs
@@ -223,8 +223,8 @@
     }
 
     pub(crate) fn next_change(&self, now: Duration) -> Option<Duration> {
-        let back = self.ejected.map(|e| e.probe_at);
-        [Some(self.down_until), back, self.last_resort_probe]
+        let returns_at = self.ejected.map(|e| e.probe_at);
+        [Some(self.down_until), returns_at, self.last_resort_probe]
             .into_iter()
             .flatten()
             .filter(|t| *t > now)
--- a/crates/admit/src/target/mod.rs
+++ b/crates/admit/src/target/mod.rs
@@ -58,12 +58,12 @@
     /// Applies its configuration, if it still has one. A target that returns to the list may be
     /// another process, so it starts cold.
     fn configure(&mut self, spec: Option<&TargetSpec>, now: Duration) {
-        let back = !self.listed;
+        let is_relisted = !self.listed;
         self.listed = spec.is_some();
         let Some(spec) = spec else { return };
         self.slots = spec.slots;
         self.draining = spec.leaving;
-        if back {
+        if is_relisted {
             self.limits.ramp(now);
         }
     }
@@ -107,8 +107,8 @@
 
     /// Returns whether it is slow or fails. The limit is doubled while the target is warming up.
     fn is_bad(&self, config: &PoolConfig, median_ratio: f64, now: Duration) -> bool {
-        let warms = self.limits.ramping(config.ramp_time, now);
-        let slow = if warms {
+        let is_warming_up = self.limits.ramping(config.ramp_time, now);
+        let slow = if is_warming_up {
             2.0 * config.eject_ratio
         } else {
             config.eject_ratio
--- a/crates/admit/src/target/slot_limit.rs
+++ b/crates/admit/src/target/slot_limit.rs
@@ -161,13 +161,17 @@
         config: &PoolConfig,
         now: Duration,
     ) -> Option<Duration> {
-        let ends = [self.reported.expires_at, self.shed.expires_at].into_iter();
-        let left = self.leaving.map(|at| at + LEAVING_TTL);
-        let step = self.ramp.map(|at| {
+        let expirations = [self.reported.expires_at, self.shed.expires_at].into_iter();
+        let leaving_until = self.leaving.map(|at| at + LEAVING_TTL);
+        let next_step = self.ramp.map(|at| {
             let n = ramped_slots(slots, now.saturating_sub(at), config.ramp_time);
             at + config.ramp_time * n / slots.max(1)
         });
-        ends.chain(left).chain(step).filter(|t| *t > now).min()
+        expirations
+            .chain(leaving_until)
+            .chain(next_step)
+            .filter(|t| *t > now)
+            .min()
     }
 }
 
--- a/crates/admit/src/target/target_set.rs
+++ b/crates/admit/src/target/target_set.rs
@@ -80,11 +80,11 @@
 
     /// Adds a target, at an unused index if there is one, so that the list stays bounded.
     fn add(&mut self, spec: &TargetSpec, now: Duration) {
-        let fresh = Target::open(spec, now);
-        let free = |t: &&mut Target| !t.listed && t.running.is_empty() && !t.isolated;
-        match self.list.iter_mut().find(free) {
-            Some(t) => *t = fresh,
-            None => self.list.push(fresh),
+        let new_target = Target::open(spec, now);
+        let is_unused = |t: &&mut Target| !t.listed && t.running.is_empty() && !t.isolated;
+        match self.list.iter_mut().find(is_unused) {
+            Some(t) => *t = new_target,
+            None => self.list.push(new_target),
         }
     }
 
@@ -134,13 +134,13 @@
     fn update_ejections(&mut self, config: &PoolConfig, now: Duration) {
         self.median_ratio = self.median(now);
         let usable = self.list.iter().filter(|t| t.usable(now)).count();
-        let most = usable / MAX_EJECTED_DIVISOR;
-        let mut out = 0;
+        let max_ejected = usable / MAX_EJECTED_DIVISOR;
+        let mut ejected_count = 0;
         for t in self.list.iter_mut().filter(|t| t.health.ejected()) {
-            if !t.usable(now) || out == most {
+            if !t.usable(now) || ejected_count == max_ejected {
                 t.health.restore();
             } else {
-                out += 1;
+                ejected_count += 1;
             }
         }
         for t in self
@@ -150,9 +150,9 @@
         {
             if !t.is_bad(config, self.median_ratio, now) {
                 t.health.clear_last_resort();
-            } else if out < most {
+            } else if ejected_count < max_ejected {
                 t.health.eject(config.eject_time, now);
-                out += 1;
+                ejected_count += 1;
             } else {
                 t.health.mark_last_resort(config.eject_time, now);
             }
@@ -186,7 +186,7 @@
                 continue;
             }
             let cost = t.cost();
-            if best.is_none_or(|(_, least)| cost < least) {
+            if best.is_none_or(|(_, min_cost)| cost < min_cost) {
                 best = Some((i, cost));
             }
         }
@@ -269,8 +269,8 @@
     /// Records a crash of the process: the target backs off, and returns cold.
     pub(crate) fn record_crash(&mut self, at: usize, now: Duration) {
         let t = &mut self.list[at];
-        let back = t.health.back_off(now);
-        t.limits.ramp(back);
+        let returns_at = t.health.back_off(now);
+        t.limits.ramp(returns_at);
         self.stale = true;
     }
 
