--- a/crates/admit/src/quarantine/mod.rs
+++ b/crates/admit/src/quarantine/mod.rs
@@ -1,54 +1,57 @@
-//! Quarantine of requests that kill the targets which run them.
+//! Quarantine of requests that crash the targets that run them.
 //!
-//! Load: one request crashes the process that runs it, and its caller (or a retry) sends it again.
-//! Without quarantine it takes the targets down one after the other.
+//! A request that crashes the process that runs it is often sent again, by its caller or by a
+//! retry. Without quarantine it takes down one target after the other.
 //!
-//! After a death all requests that ran on the target are suspects, because any of them may have
-//! done it. A suspect runs alone on its target until a run of it has succeeded, which clears it. So
-//! the second death under the same request leaves no doubt, and convicts it; a request that only
-//! shared the first death ends its lone run well. A death counts as the second one only if that run
-//! began after the first was known: when a whole failure domain dies at once, all its targets die
-//! under popular requests, and none of that is evidence.
+//! After a crash, all requests that ran on the target are suspects, because any of them may have
+//! caused it. A suspect runs alone on its target until one run succeeds, which clears it. A second
+//! crash during such an isolated run therefore confirms the request as the cause, while a request
+//! that only shared the first crash succeeds in its isolated run. A crash counts as the second one
+//! only if the run began after the first crash was known: when a whole failure domain goes down at
+//! once, many targets crash under popular requests, and none of that is evidence against the
+//! requests.
 //!
-//! Hosts pass [`QuarantineUpdate`]s on, so that a resend through another host meets the same record. A word is
-//! idempotent, and each ends by itself: a request that was convicted wrongly, or whose cause has
-//! been mended, is let in again after half an hour.
+//! Hosts exchange [`QuarantineUpdate`]s, so that a resend through another host meets the same
+//! record. An update is idempotent, and every record expires: a request that was confirmed wrongly,
+//! or whose cause has been fixed, is admitted again after half an hour.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// Records held; above that the weakest and oldest goes. A death leaves as many suspects as a
-/// target has slots, 3 to 8: this is enough for 30 deaths within its time.
-pub(crate) const RECORDS: usize = 256;
+/// Maximum number of records; beyond it the weakest and oldest is evicted. A crash leaves as many
+/// suspects as a target has slots, 3 to 8, so this is enough for 30 crashes within the time to live
+/// of a suspect.
+pub(crate) const MAX_RECORDS: usize = 256;
 
-/// How long a suspect is remembered: longer than callers wait before they send again.
-pub(crate) const SUSPECT_LIFE: Duration = Duration::from_secs(300);
+/// Time to live of a suspect's record: longer than callers wait before they send again.
+pub(crate) const SUSPECT_TTL: Duration = Duration::from_secs(300);
 
-/// How long a convicted request is refused: long enough for the on-call to act.
-pub(crate) const CONVICT_LIFE: Duration = Duration::from_secs(1800);
+/// Time for which a confirmed request is refused: long enough for the on-call engineer to act.
+pub(crate) const CONFIRMED_TTL: Duration = Duration::from_secs(1800);
 
-/// How sure the evidence is.
+/// Status of a quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QuarantineStatus {
-    /// It ran on a target that died. It runs alone until it has succeeded once.
+    /// Ran on a target that crashed. It runs alone until it has succeeded once.
     Suspect,
-    /// Two targets died under it, the second while it ran alone. It is refused.
+    /// Confirmed as the cause of a crash: two targets crashed under it, the second while it ran
+    /// alone. It is refused.
     Convict,
 }
 
-/// What hosts tell each other.
+/// Quarantine record that one host sends to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QuarantineUpdate {
     /// Hash of the request.
     pub fingerprint: u64,
-    /// How sure the evidence is.
+    /// Status of the request.
     pub status: QuarantineStatus,
-    /// Time for which the word holds, from its receipt.
+    /// Time to live of the record, counted from its receipt.
     pub ttl: Duration,
 }
 
-/// A run that was on a target when it died.
+/// A run that was on a target when the target crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Victim {
+pub struct CrashedRun {
     /// Hash of the request.
     pub fingerprint: u64,
     /// When the run began.
@@ -57,34 +60,35 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Record {
-    grade: QuarantineStatus,
-    /// When the death that made it a suspect became known here.
+    status: QuarantineStatus,
+    /// When the crash that made the request a suspect became known to this host.
     since: Duration,
-    expiry: Duration,
+    expires_at: Duration,
 }
 
-/// Records of requests that ran on targets which died.
+/// Records of requests that ran on targets that crashed.
 ///
 /// Invariant: at most 256 records.
 ///
 /// ```
 /// use {
-///     dunlinrock_admit::{QuarantineStatus, Quarantine, Victim},
+///     dunlinrock_admit::{CrashedRun, Quarantine, QuarantineStatus},
 ///     std::time::Duration,
 /// };
 ///
 /// let at = Duration::from_secs;
 /// let mut q = Quarantine::open();
-/// q.death(&[Victim { fingerprint: 7, since: at(0) }, Victim { fingerprint: 8, since: at(0) }], at(1));
-/// q.ran(8);
+/// let run = |fingerprint, since| CrashedRun { fingerprint, since };
+/// q.record_crash(&[run(7, at(0)), run(8, at(0))], at(1));
+/// q.clear(8);
 /// assert_eq!(q.status(8, at(2)), None);
-/// q.death(&[Victim { fingerprint: 7, since: at(2) }], at(3));
+/// q.record_crash(&[run(7, at(2))], at(3));
 /// assert_eq!(q.status(7, at(3)), Some(QuarantineStatus::Convict));
 /// ```
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: BTreeMap<u64, Record>,
-    words: Vec<QuarantineUpdate>,
+    updates: Vec<QuarantineUpdate>,
 }
 
 impl Quarantine {
@@ -93,111 +97,115 @@
         Self::default()
     }
 
-    /// What is held against a request.
+    /// Returns the status of a request, or `None` if it is not quarantined.
     pub fn status(&self, fingerprint: u64, now: Duration) -> Option<QuarantineStatus> {
         let r = self.records.get(&fingerprint)?;
-        (now < r.expiry).then_some(r.grade)
+        (now < r.expires_at).then_some(r.status)
     }
 
-    /// Time until a convicted request is let in again.
+    /// Returns the time until a confirmed request is admitted again.
     pub fn remaining(&self, fingerprint: u64, now: Duration) -> Duration {
-        let expiry = self.records.get(&fingerprint).map_or(now, |r| r.expiry);
-        expiry.saturating_sub(now)
+        let expires_at = self.records.get(&fingerprint).map_or(now, |r| r.expires_at);
+        expires_at.saturating_sub(now)
     }
 
-    /// A target died while these ran on it.
-    pub fn death(&mut self, victims: &[Victim], now: Duration) {
-        let alone = victims.len() == 1;
-        for v in victims {
-            let again = self.records.get(&v.fingerprint).is_some_and(|r| {
-                now < r.expiry
-                    && (r.grade == QuarantineStatus::Convict || (alone && v.since >= r.since))
+    /// Records that a target crashed while these requests ran on it.
+    pub fn record_crash(&mut self, crashed_runs: &[CrashedRun], now: Duration) {
+        let alone = crashed_runs.len() == 1;
+        for v in crashed_runs {
+            let is_confirmed = self.records.get(&v.fingerprint).is_some_and(|r| {
+                now < r.expires_at
+                    && (r.status == QuarantineStatus::Convict || (alone && v.since >= r.since))
             });
-            let (status, ttl) = match again {
-                true => (QuarantineStatus::Convict, CONVICT_LIFE),
-                false => (QuarantineStatus::Suspect, SUSPECT_LIFE),
+            let (status, ttl) = match is_confirmed {
+                true => (QuarantineStatus::Convict, CONFIRMED_TTL),
+                false => (QuarantineStatus::Suspect, SUSPECT_TTL),
             };
-            let word = QuarantineUpdate {
+            let update = QuarantineUpdate {
                 fingerprint: v.fingerprint,
                 status,
                 ttl,
             };
-            if self.note(word, now) && self.words.len() < RECORDS {
-                self.words.push(word);
+            if self.upsert(update, now) && self.updates.len() < MAX_RECORDS {
+                self.updates.push(update);
             }
         }
     }
 
-    /// A run ended with an answer: the request does not kill its targets.
-    pub fn ran(&mut self, fingerprint: u64) {
+    /// Clears a suspect after a run that ended with a response: the request does not crash its
+    /// targets.
+    pub fn clear(&mut self, fingerprint: u64) {
         if self
             .records
             .get(&fingerprint)
-            .is_some_and(|r| r.grade == QuarantineStatus::Suspect)
+            .is_some_and(|r| r.status == QuarantineStatus::Suspect)
         {
             self.records.remove(&fingerprint);
         }
     }
 
-    /// Takes a peer's word.
-    pub fn apply_update(&mut self, word: QuarantineUpdate, now: Duration) {
-        self.note(word, now);
+    /// Merges an update from a peer.
+    pub fn apply_update(&mut self, update: QuarantineUpdate, now: Duration) {
+        self.upsert(update, now);
     }
 
-    /// Words for the peers since the last call.
+    /// Returns the updates for the peers since the last call.
     pub fn take_updates(&mut self) -> Vec<QuarantineUpdate> {
-        std::mem::take(&mut self.words)
+        std::mem::take(&mut self.updates)
     }
 
-    /// All that holds, for a peer that is new.
-    pub fn all(&self, now: Duration) -> Vec<QuarantineUpdate> {
-        let list = self.records.iter().filter(|(_, r)| now < r.expiry);
+    /// Returns all live records, for a new peer.
+    pub fn all_updates(&self, now: Duration) -> Vec<QuarantineUpdate> {
+        let list = self.records.iter().filter(|(_, r)| now < r.expires_at);
         list.map(|(f, r)| QuarantineUpdate {
             fingerprint: *f,
-            status: r.grade,
-            ttl: r.expiry - now,
+            status: r.status,
+            ttl: r.expires_at - now,
         })
         .collect()
     }
 
-    /// Number of records of a grade.
-    pub fn count(&self, grade: QuarantineStatus, now: Duration) -> usize {
+    /// Returns the number of live records with this status.
+    pub fn count(&self, status: QuarantineStatus, now: Duration) -> usize {
         self.records
             .values()
-            .filter(|r| r.grade == grade && now < r.expiry)
+            .filter(|r| r.status == status && now < r.expires_at)
             .count()
     }
 
-    /// True if this says more than was known.
-    fn note(&mut self, word: QuarantineUpdate, now: Duration) -> bool {
-        let life = word.ttl.min(match word.status {
-            QuarantineStatus::Suspect => SUSPECT_LIFE,
-            QuarantineStatus::Convict => CONVICT_LIFE,
+    /// Merges a record; returns true if it is stronger than what was known.
+    fn upsert(&mut self, update: QuarantineUpdate, now: Duration) -> bool {
+        let life = update.ttl.min(match update.status {
+            QuarantineStatus::Suspect => SUSPECT_TTL,
+            QuarantineStatus::Convict => CONFIRMED_TTL,
         });
         let known = self
             .records
-            .get(&word.fingerprint)
-            .filter(|r| now < r.expiry);
-        if known.is_some_and(|r| r.grade >= word.status) {
+            .get(&update.fingerprint)
+            .filter(|r| now < r.expires_at);
+        if known.is_some_and(|r| r.status >= update.status) {
             return false;
         }
         let record = Record {
-            grade: word.status,
+            status: update.status,
             since: now,
-            expiry: now + life,
+            expires_at: now + life,
         };
-        self.records.insert(word.fingerprint, record);
-        self.trim(now);
+        self.records.insert(update.fingerprint, record);
+        self.evict_excess(now);
         true
     }
 
-    fn trim(&mut self, now: Duration) {
-        if self.records.len() <= RECORDS {
+    fn evict_excess(&mut self, now: Duration) {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
-        self.records.retain(|_, r| now < r.expiry);
-        while self.records.len() > RECORDS {
-            let weakest = self.records.iter().min_by_key(|(_, r)| (r.grade, r.expiry));
+        self.records.retain(|_, r| now < r.expires_at);
+        while self.records.len() > MAX_RECORDS {
+            let weakest = self
+                .records
+                .iter()
+                .min_by_key(|(_, r)| (r.status, r.expires_at));
             let Some(f) = weakest.map(|(f, _)| *f) else {
                 return;
             };
--- a/crates/admit/src/target/mod.rs
+++ b/crates/admit/src/target/mod.rs
@@ -1,36 +1,36 @@
 //! Placement on the targets of a pool.
 //!
-//! Loads: a target that is slow, starts cold, leaves, dies, or reports what is not so. The pool
-//! counts its own runs exactly; a report can only lower what a target is given, down to half its
-//! slots and for a bounded time, so that a false report costs some capacity and never overruns.
+//! Targets may be slow, start cold, leave, crash or send wrong reports. The pool counts its own
+//! runs exactly; a report can only lower the number of slots that are used, down to half of them
+//! and for a limited time, so a wrong report costs some capacity and never overloads a target.
 
 mod health;
-mod limit;
-mod set;
+mod slot_limit;
+mod target_set;
 
-pub(crate) use self::set::{Ask, Finished, Targets};
+pub(crate) use self::target_set::{Finished, PlacementRequest, TargetSet};
 
 use std::{sync::Arc, time::Duration};
 
 use crate::{
     LoadReport, PoolConfig, TargetSpec,
-    target::{health::Health, limit::Limits},
+    target::{health::Health, slot_limit::Limits},
 };
 
-/// One target.
+/// A target of the pool.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub(crate) name: Arc<str>,
     pub(crate) slots: u32,
-    /// Tickets that run on it. Invariant: no longer than `slots` was when each of them started.
+    /// Tickets that run on it. Invariant: no more than `slots` was when each of them started.
     pub(crate) running: Vec<u64>,
-    /// It is in the configuration.
+    /// Whether it is in the configuration.
     pub(crate) listed: bool,
-    /// The configuration says that it leaves.
-    pub(crate) drains: bool,
-    /// Nothing new starts on it, so that a suspect can run alone.
-    pub(crate) held: bool,
-    /// Slots that may be used now; brought up to date by [`Targets::refresh`].
+    /// Whether it is draining by configuration.
+    pub(crate) draining: bool,
+    /// Whether no new requests start on it, so that a suspect can run alone.
+    pub(crate) isolated: bool,
+    /// Slots that may be used now; updated by [`TargetSet::refresh`].
     pub(crate) limit: u32,
     pub(crate) health: Health,
     limits: Limits,
@@ -43,8 +43,8 @@
             slots: spec.slots,
             running: Vec::new(),
             listed: true,
-            drains: spec.leaving,
-            held: false,
+            draining: spec.leaving,
+            isolated: false,
             limit: 0,
             health: Health::default(),
             limits: Limits::default(),
@@ -55,15 +55,15 @@
         t
     }
 
-    /// Takes its configuration, if it still has one. One that comes back to the list may be another
-    /// process, and starts cold.
+    /// Applies its configuration, if it still has one. A target that returns to the list may be
+    /// another process, so it starts cold.
     fn configure(&mut self, spec: Option<&TargetSpec>, now: Duration) {
-        let back = !self.listed;
+        let is_relisted = !self.listed;
         self.listed = spec.is_some();
         let Some(spec) = spec else { return };
         self.slots = spec.slots;
-        self.drains = spec.leaving;
-        if back {
+        self.draining = spec.leaving;
+        if is_relisted {
             self.limits.ramp(now);
         }
     }
@@ -72,60 +72,65 @@
         self.running.len() as u32
     }
 
-    /// It may be given something now or later.
-    pub(crate) fn hopeful(&self, now: Duration) -> bool {
-        self.listed && !self.leaves(now)
+    /// Returns whether it may get requests now or later.
+    pub(crate) fn usable(&self, now: Duration) -> bool {
+        self.listed && !self.is_leaving(now)
     }
 
-    pub(crate) fn leaves(&self, now: Duration) -> bool {
-        self.drains || self.limits.leaving(now)
+    pub(crate) fn is_leaving(&self, now: Duration) -> bool {
+        self.draining || self.limits.leaving(now)
     }
 
-    fn takes(&self) -> bool {
-        !self.held && self.busy() < self.limit
+    fn has_free_slot(&self) -> bool {
+        !self.isolated && self.busy() < self.limit
     }
 
-    /// Slots that may be used at `now`.
-    fn allowed(&self, rules: &PoolConfig, now: Duration) -> u32 {
-        if !self.hopeful(now) {
+    /// Returns the slots that may be used at `now`.
+    fn allowed(&self, config: &PoolConfig, now: Duration) -> u32 {
+        if !self.usable(now) {
             return 0;
         }
-        let n = self.limits.allowed(self.slots, rules, now);
+        let n = self.limits.allowed(self.slots, config, now);
         n.min(self.health.allowed(self.slots, now))
     }
 
-    /// The next time at which `allowed` may change by itself.
-    fn changes(&self, rules: &PoolConfig, now: Duration) -> Option<Duration> {
+    /// Returns the next time at which `allowed` may change without a call.
+    fn next_change(&self, config: &PoolConfig, now: Duration) -> Option<Duration> {
         [
-            self.limits.changes(self.slots, rules, now),
-            self.health.changes(now),
+            self.limits.next_change(self.slots, config, now),
+            self.health.next_change(now),
         ]
         .into_iter()
         .flatten()
         .min()
     }
 
-    /// It is slow or fails. A target that warms up is given twice the time.
-    fn bad(&self, rules: &PoolConfig, norm: f64, now: Duration) -> bool {
-        let warms = self.limits.ramping(rules.ramp, now);
-        let slow = if warms { 2.0 * rules.slow } else { rules.slow };
-        self.health.bad(slow, norm)
+    /// Returns whether it is slow or fails. The limit is doubled while the target is warming up.
+    fn is_bad(&self, config: &PoolConfig, median_ratio: f64, now: Duration) -> bool {
+        let is_warming_up = self.limits.ramping(config.ramp_time, now);
+        let slow = if is_warming_up {
+            2.0 * config.eject_ratio
+        } else {
+            config.eject_ratio
+        };
+        self.health.is_bad(slow, median_ratio)
     }
 
-    fn take_report(&mut self, report: LoadReport, rules: &PoolConfig, now: Duration) {
+    fn take_report(&mut self, report: LoadReport, config: &PoolConfig, now: Duration) {
         let busy = self.busy();
-        if self.limits.report(report, self.slots, busy, rules, now) {
-            // That it was slow has been explained: it warms only if it is given work.
+        if self.limits.report(report, self.slots, busy, config, now) {
+            // The cold caches explain that it was slow, and it warms up only if it gets requests.
             self.health.restore();
         }
     }
 
-    /// Rank for the next start, least first: the share of its slots in use, scaled by how slow it
-    /// has lately been. A probe of an ejected target comes first, as it has to come at all.
+    /// Returns its cost for the next start; the lowest is chosen: the fraction of its slots in use,
+    /// scaled by how slow it has recently been. A probe of an ejected target comes first, because
+    /// it must be sent at all.
     fn cost(&self) -> f64 {
-        if self.health.probes() {
+        if self.health.is_probe() {
             return 0.0;
         }
-        f64::from(self.busy() + 1) / f64::from(self.limit) * self.health.weight()
+        f64::from(self.busy() + 1) / f64::from(self.limit) * self.health.cost_factor()
     }
 }
