--- a/crates/coord/src/member/refresh.rs
+++ b/crates/coord/src/member/changes.rs
@@ -11,20 +11,20 @@
 use super::{Action, Membership, topology::topology};
 
 /// Times the `gone` silence after which a host that is not listed and not heard is forgotten.
-const FORGET: u32 = 20;
+const FORGET_FACTOR: u32 = 20;
 
 impl Membership {
     /// Tells the caller what changed, and works out anew who speaks to whom.
     pub(super) fn refresh(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.table
-            .forget(now, self.timings.gone_after * FORGET, &self.me.name);
+            .remove_stale(now, self.timings.gone_after * FORGET_FACTOR, &self.me.name);
         self.count_live();
-        let mut told = BTreeMap::new();
+        let mut states = BTreeMap::new();
         for (name, host) in &self.table.hosts {
-            told.insert(name.clone(), (host.incarnation, self.state_of(name)));
+            states.insert(name.clone(), (host.incarnation, self.state_of(name)));
         }
-        for (name, (incarnation, state)) in &told {
-            if self.told.get(name) != Some(&(*incarnation, *state)) {
+        for (name, (incarnation, state)) in &states {
+            if self.reported_states.get(name) != Some(&(*incarnation, *state)) {
                 out.push(Action::HostChanged {
                     name: name.clone(),
                     incarnation: *incarnation,
@@ -32,9 +32,11 @@
                 });
             }
         }
-        self.told = told;
-        self.reports.retain(|name, _| self.told.contains_key(name));
-        self.differs.retain(|name, _| self.told.contains_key(name));
+        self.reported_states = states;
+        self.reports
+            .retain(|name, _| self.reported_states.contains_key(name));
+        self.mismatch_since
+            .retain(|name, _| self.reported_states.contains_key(name));
         self.refresh_topology(now);
         self.refresh_silent(out);
     }
@@ -48,7 +50,7 @@
             .hosts
             .get(name)
             .map_or(0, |host| host.incarnation);
-        let old = self.told.get(name).copied();
+        let old = self.reported_states.get(name).copied();
         if old == Some((incarnation, state)) {
             return;
         }
@@ -57,7 +59,8 @@
             self.refresh(now, out);
             return;
         }
-        self.told.insert(name.clone(), (incarnation, state));
+        self.reported_states
+            .insert(name.clone(), (incarnation, state));
         out.push(Action::HostChanged {
             name: name.clone(),
             incarnation,
@@ -66,11 +69,11 @@
     }
 
     fn count_live(&mut self) {
-        self.live.clear();
+        self.live_counts.clear();
         for (name, host) in &self.table.hosts {
-            let told = self.told.get(name);
-            if told.is_none_or(|(_, state)| *state != HostState::Gone) {
-                *self.live.entry(host.domain.clone()).or_default() += 1;
+            let reported = self.reported_states.get(name);
+            if reported.is_none_or(|(_, state)| *state != HostState::Gone) {
+                *self.live_counts.entry(host.domain.clone()).or_default() += 1;
             }
         }
     }
@@ -78,7 +81,7 @@
     fn refresh_topology(&mut self, now: Duration) {
         let mut domains: BTreeMap<Arc<str>, BTreeSet<Arc<str>>> = BTreeMap::new();
         let mut gone = BTreeSet::new();
-        for (name, (_, state)) in &self.told {
+        for (name, (_, state)) in &self.reported_states {
             let host = self.table.hosts.get(name);
             let domain = host.map(|host| host.domain.clone()).unwrap_or_default();
             if *state == HostState::Gone && domain == self.me.domain {
@@ -94,30 +97,33 @@
         self.topology = topology(&self.me.name, &self.me.domain, &domains, &gone);
         self.domains = domains;
         self.gone = gone;
-        let old = std::mem::take(&mut self.watched);
+        let old = std::mem::take(&mut self.watched_since);
         for name in &self.topology.watched {
             let since = old.get(name).copied().unwrap_or(now);
-            self.watched.insert(name.clone(), since);
+            self.watched_since.insert(name.clone(), since);
         }
     }
 
     /// A domain is silent when two hosts of this domain hear nothing from it, or the only one.
     pub(super) fn refresh_silent(&mut self, out: &mut Vec<Action>) {
-        let needed = (self.topology.near.len() + 1).min(2);
+        let needed = (self.topology.local_peers.len() + 1).min(2);
         let mut silent = BTreeSet::new();
-        for (domain, said) in &self.silent {
-            let there = |by: &Arc<str>| self.topology.near.contains(by) || *by == self.me.name;
-            let count = said.iter().filter(|(by, voice)| voice.silent && there(by));
+        for (domain, reports) in &self.silence_reports {
+            let there =
+                |by: &Arc<str>| self.topology.local_peers.contains(by) || *by == self.me.name;
+            let count = reports
+                .iter()
+                .filter(|(by, report)| report.silent && there(by));
             if count.count() >= needed {
                 silent.insert(domain.clone());
             }
         }
-        for domain in silent.symmetric_difference(&self.told_silent) {
+        for domain in silent.symmetric_difference(&self.silent_domains) {
             out.push(Action::DomainSilent {
                 domain: domain.clone(),
                 silent: silent.contains(domain),
             });
         }
-        self.told_silent = silent;
+        self.silent_domains = silent;
     }
 }
--- a/crates/coord/src/member/spread.rs
+++ b/crates/coord/src/member/dissemination.rs
@@ -14,33 +14,33 @@
 use super::{Action, Membership};
 
 /// Beat of a host that was never heard; the first that it sends is the one after.
-const NEVER: u64 = 0;
+const NO_HEARTBEAT: u64 = 0;
 
 impl Membership {
     /// Says to all hosts that a request or target is to be refused or avoided.
     pub fn broadcast(&mut self, now: Duration, word: Quarantine) -> Vec<Action> {
         let mut out = Vec::new();
-        self.start(now, Word::Quarantine(word), &mut out);
+        self.originate(now, Word::Quarantine(word), &mut out);
         out
     }
 
     /// Says this host's own state with a beat that refutes earlier doubts.
-    pub(super) fn say_self(&mut self, now: Duration, out: &mut Vec<Action>) {
-        self.beat += 1;
-        self.refuted = self.beat;
+    pub(super) fn broadcast_own_state(&mut self, now: Duration, out: &mut Vec<Action>) {
+        self.heartbeat += 1;
+        self.refuted = self.heartbeat;
         let word = StateWord {
             name: self.me.name.clone(),
             incarnation: self.me.incarnation,
-            beat: self.beat,
+            beat: self.heartbeat,
             state: self.state,
             by: self.me.name.clone(),
             turn: 0,
         };
-        self.start(now, Word::State(word), out);
+        self.originate(now, Word::State(word), out);
     }
 
     /// Says of a watched host that it is silent, or that it is heard again.
-    pub(super) fn say_other(
+    pub(super) fn broadcast_host_state(
         &mut self,
         now: Duration,
         name: &Arc<str>,
@@ -58,28 +58,28 @@
             by: self.me.name.clone(),
             turn,
         };
-        self.start(now, Word::State(word), out);
+        self.originate(now, Word::State(word), out);
     }
 
     /// Says to this domain whether another is heard.
-    pub(super) fn say_domain(
+    pub(super) fn broadcast_domain_state(
         &mut self,
         now: Duration,
         domain: &Arc<str>,
         silent: bool,
         out: &mut Vec<Action>,
     ) {
-        self.beat += 1;
+        self.heartbeat += 1;
         let word = DomainWord {
             domain: domain.clone(),
             by: self.me.name.clone(),
-            beat: self.beat,
+            beat: self.heartbeat,
             silent,
         };
-        self.start(now, Word::Domain(word), out);
+        self.originate(now, Word::Domain(word), out);
     }
 
-    fn start(&mut self, now: Duration, word: Word, out: &mut Vec<Action>) {
+    fn originate(&mut self, now: Duration, word: Word, out: &mut Vec<Action>) {
         let ttl_ms = match &word {
             Word::Quarantine(word) => word.ttl_ms,
             _ => self.timings.rumor_ttl.as_millis() as u64,
@@ -89,46 +89,46 @@
             ttl_ms,
             word,
         };
-        if self.take(now, &rumor, out) {
-            let near = self.topology.near.clone();
-            self.pass(&near, std::slice::from_ref(&rumor), out);
-            self.pass_far(std::slice::from_ref(&rumor), out);
+        if self.apply_rumor(now, &rumor, out) {
+            let local_peers = self.topology.local_peers.clone();
+            self.send_rumors(&local_peers, std::slice::from_ref(&rumor), out);
+            self.send_to_remote_peers(std::slice::from_ref(&rumor), out);
         }
     }
 
     /// Takes words from another host and passes on those that are news.
-    pub(super) fn rumors(
+    pub(super) fn handle_rumors(
         &mut self,
         now: Duration,
         from: &Arc<str>,
         rumors: &[Rumor],
         out: &mut Vec<Action>,
     ) {
-        let news: Vec<Rumor> = rumors
+        let new: Vec<Rumor> = rumors
             .iter()
-            .filter(|rumor| self.take(now, rumor, out))
+            .filter(|rumor| self.apply_rumor(now, rumor, out))
             .cloned()
             .collect();
-        let inside = self.topology.near.contains(from);
-        let (own, foreign): (Vec<_>, Vec<_>) = news
+        let is_local = self.topology.local_peers.contains(from);
+        let (own, foreign): (Vec<_>, Vec<_>) = new
             .into_iter()
             .partition(|rumor| rumor.origin == self.me.domain);
-        self.pass_far(&own, out);
-        if !inside {
-            let near = self.topology.near.clone();
-            self.pass(&near, &foreign, out);
+        self.send_to_remote_peers(&own, out);
+        if !is_local {
+            let local_peers = self.topology.local_peers.clone();
+            self.send_rumors(&local_peers, &foreign, out);
         }
     }
 
     /// A domain's silence is each domain's own finding and stays inside.
-    fn pass_far(&self, rumors: &[Rumor], out: &mut Vec<Action>) {
+    fn send_to_remote_peers(&self, rumors: &[Rumor], out: &mut Vec<Action>) {
         let far = |rumor: &&Rumor| !matches!(rumor.word, Word::Domain(_));
         let rumors: Vec<Rumor> = rumors.iter().filter(far).cloned().collect();
-        let partners = self.topology.partners.clone();
-        self.pass(&partners, &rumors, out);
+        let remote_peers = self.topology.remote_peers.clone();
+        self.send_rumors(&remote_peers, &rumors, out);
     }
 
-    fn pass(&self, to: &[Arc<str>], rumors: &[Rumor], out: &mut Vec<Action>) {
+    fn send_rumors(&self, to: &[Arc<str>], rumors: &[Rumor], out: &mut Vec<Action>) {
         if rumors.is_empty() {
             return;
         }
@@ -144,27 +144,27 @@
     }
 
     /// Puts a word into effect here; `false` for one that is known.
-    fn take(&mut self, now: Duration, rumor: &Rumor, out: &mut Vec<Action>) -> bool {
-        if !self.words.take(rumor, now, self.timings.rumor_ttl) {
+    fn apply_rumor(&mut self, now: Duration, rumor: &Rumor, out: &mut Vec<Action>) -> bool {
+        if !self.rumors.insert(rumor, now, self.timings.rumor_ttl) {
             return false;
         }
         // A word that comes late lapses with those that came in time.
-        let left = Duration::from_millis(rumor.ttl_ms);
-        let said = now.saturating_sub(self.timings.rumor_ttl.saturating_sub(left));
+        let remaining = Duration::from_millis(rumor.ttl_ms);
+        let reported_at = now.saturating_sub(self.timings.rumor_ttl.saturating_sub(remaining));
         match &rumor.word {
-            Word::State(word) if word.name == self.me.name => self.word_of_me(now, word, out),
+            Word::State(word) if word.name == self.me.name => self.handle_own_state(now, word, out),
             Word::State(word) => {
-                if self.table.word(word, said, now) {
+                if self.table.apply_state_rumor(word, reported_at, now) {
                     self.refresh_one(now, &word.name, out);
                 }
             }
             Word::Quarantine(word) => out.push(Action::Quarantined(word.clone())),
             Word::Domain(word) => {
-                let voices = self.silent.entry(word.domain.clone()).or_default();
-                let voice = voices.entry(word.by.clone()).or_default();
-                if word.beat > voice.beat {
-                    (voice.beat, voice.silent) = (word.beat, word.silent);
-                    voice.said = said;
+                let reports = self.silence_reports.entry(word.domain.clone()).or_default();
+                let report = reports.entry(word.by.clone()).or_default();
+                if word.beat > report.beat {
+                    (report.beat, report.silent) = (word.beat, word.silent);
+                    report.reported_at = reported_at;
                 }
                 self.refresh_silent(out);
             }
@@ -173,16 +173,16 @@
     }
 
     /// Others doubt this host: it refutes them, or learns that it was replaced.
-    fn word_of_me(&mut self, now: Duration, word: &StateWord, out: &mut Vec<Action>) {
-        self.other_me(word.incarnation, out);
-        let doubted = word.by != self.me.name && word.incarnation == self.me.incarnation;
+    fn handle_own_state(&mut self, now: Duration, word: &StateWord, out: &mut Vec<Action>) {
+        self.check_own_incarnation(word.incarnation, out);
+        let suspected = word.by != self.me.name && word.incarnation == self.me.incarnation;
         // A doubt from before the last answer needs no other one, but for that of a host that never
         // heard this one: hosts that started since have not got the last answer either, and take
         // the doubt. Left without an answer, it would stay with them for good.
-        let needed = word.beat >= self.refuted || word.beat == NEVER;
-        if doubted && needed && self.superseded.is_none() {
-            self.beat = self.beat.max(word.beat);
-            self.say_self(now, out);
+        let needed = word.beat >= self.refuted || word.beat == NO_HEARTBEAT;
+        if suspected && needed && self.superseded.is_none() {
+            self.heartbeat = self.heartbeat.max(word.beat);
+            self.broadcast_own_state(now, out);
         }
     }
 }
--- a/crates/coord/src/member/mod.rs
+++ b/crates/coord/src/member/mod.rs
@@ -32,15 +32,15 @@
 //! assert_eq!(member.serving().len(), 1);
 //! ```
 
+mod changes;
+mod config;
+mod dissemination;
+mod hosts;
 mod receive;
-mod refresh;
-mod settings;
-mod spread;
-mod table;
+mod rumors;
 mod tick;
 mod topology;
 mod view;
-mod words;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -56,11 +56,11 @@
 pub use dunlinrock_schema::coord::HostState;
 
 pub use self::{
-    settings::{LocalMember, Timings},
-    table::Host,
-    topology::{SPEAKERS, WATCHERS},
+    config::{LocalMember, Timings},
+    hosts::Host,
+    topology::{GATEWAYS, WATCHERS},
 };
-use self::{table::Table, topology::Topology, words::Words};
+use self::{hosts::HostTable, rumors::RumorStore, topology::Topology};
 
 /// What the caller does for a membership, or learns from it.
 #[derive(Clone, Debug, PartialEq)]
@@ -118,116 +118,116 @@
     timings: Timings,
     state: HostState,
     /// Counts up with each heartbeat and each refuted doubt.
-    beat: u64,
+    heartbeat: u64,
     /// Beat with which the last doubt was refuted; doubts of earlier ones need no answer.
     refuted: u64,
     revision: u64,
     /// Whether the next heartbeat goes to the whole domain, as the revision is another one.
-    announce: bool,
-    table: Table,
-    words: Words,
+    announce_revision: bool,
+    table: HostTable,
+    rumors: RumorStore,
     /// Hosts that are not gone, by domain; the topology follows from them.
     domains: BTreeMap<Arc<str>, BTreeSet<Arc<str>>>,
     /// Hosts of this domain that are gone and not forgotten.
     gone: BTreeSet<Arc<str>>,
     topology: Topology,
     /// Since when each watched host is waited for.
-    watched: BTreeMap<Arc<str>, Duration>,
+    watched_since: BTreeMap<Arc<str>, Duration>,
     /// Watched hosts that this host doubts.
-    doubted: BTreeSet<Arc<str>>,
+    suspected: BTreeSet<Arc<str>>,
     /// When each domain that speaks to this host was last heard, or first waited for.
-    direct: BTreeMap<Arc<str>, Duration>,
+    last_direct: BTreeMap<Arc<str>, Duration>,
     /// Which hosts of this domain do not hear another domain, with the number of their word.
-    silent: BTreeMap<Arc<str>, Voices>,
+    silence_reports: BTreeMap<Arc<str>, SilenceReports>,
     facts: Facts,
     /// Counts up with each change of the facts.
-    stamp: u64,
+    facts_stamp: u64,
     /// Stamp of the last report sent, and reports since the last that was sent without a change.
-    reported: u64,
-    quiet: u32,
+    reported_stamp: u64,
+    unchanged_rounds: u32,
     /// Hosts that have not had a report yet.
     newcomers: BTreeSet<Arc<str>>,
     reports: BTreeMap<Arc<str>, (Report, Duration)>,
     digests: BTreeMap<Arc<str>, (Digest, Duration)>,
     /// Digests heard directly and not passed on yet.
-    heard: BTreeMap<Arc<str>, Digest>,
+    pending_digests: BTreeMap<Arc<str>, Digest>,
     /// Lowest revision of each domain as last passed on within this one.
-    lowest_passed: BTreeMap<Arc<str>, u64>,
+    relayed_lowest: BTreeMap<Arc<str>, u64>,
     digest_stamp: u64,
     /// Since when the words of each host that was heard differ from this host's.
-    differs: BTreeMap<Arc<str>, Duration>,
+    mismatch_since: BTreeMap<Arc<str>, Duration>,
     due: Due,
     last_tick: Duration,
     /// Since when other hosts are asked; `None` once one has answered.
-    asking: Option<Duration>,
+    catching_up_since: Option<Duration>,
     /// Whether this host has ever caught up.
     joined: bool,
     /// Counts up with each ask, to ask others in turn; begins at a place of the host's own, as hosts
     /// started together would all ask the same one.
-    turn: usize,
+    next_peer: usize,
     listed: bool,
     superseded: Option<u64>,
     /// States as last told to the caller.
-    told: BTreeMap<Arc<str>, (u64, HostState)>,
+    reported_states: BTreeMap<Arc<str>, (u64, HostState)>,
     /// Hosts of each domain that are not gone, as last told.
-    live: BTreeMap<Arc<str>, usize>,
-    told_silent: BTreeSet<Arc<str>>,
+    live_counts: BTreeMap<Arc<str>, usize>,
+    silent_domains: BTreeSet<Arc<str>>,
 }
 
 /// What hosts said of a domain's silence.
-type Voices = BTreeMap<Arc<str>, Voice>;
+type SilenceReports = BTreeMap<Arc<str>, SilenceReport>;
 
 /// What one host last said of a domain's silence; it lapses unless it is said again.
 #[derive(Clone, Copy, Debug, Default)]
-struct Voice {
+struct SilenceReport {
     /// Number of its word.
     beat: u64,
     silent: bool,
-    said: Duration,
+    reported_at: Duration,
 }
 
 /// When things are next done.
 #[derive(Clone, Copy, Debug, Default)]
 struct Due {
-    beat: Duration,
+    heartbeat: Duration,
     report: Duration,
     digest: Duration,
-    far: Duration,
+    relay: Duration,
     sync: Duration,
-    repeat: Duration,
+    renew: Duration,
 }
 
 impl Membership {
     /// Begins as a starting host that knows nobody. Each host's rounds begin at a place of their
     /// own, so that hosts started together do not send together.
     pub fn open(me: LocalMember, timings: Timings, now: Duration) -> Self {
-        let place = rapidhash::v3::rapidhash_v3(me.name.as_bytes()) % 1000;
-        let part = |time: Duration| now + time * place as u32 / 1000;
+        let offset = rapidhash::v3::rapidhash_v3(me.name.as_bytes()) % 1000;
+        let phase = |time: Duration| now + time * offset as u32 / 1000;
         let mut member = Self {
             due: Due {
-                beat: now,
-                report: part(timings.report),
-                digest: part(timings.digest),
-                far: part(timings.relay_interval),
+                heartbeat: now,
+                report: phase(timings.report),
+                digest: phase(timings.digest),
+                relay: phase(timings.relay_interval),
                 sync: now,
-                repeat: now,
+                renew: now,
             },
             me,
             timings,
             state: HostState::Starting,
-            beat: 0,
+            heartbeat: 0,
             refuted: 0,
             revision: 0,
-            announce: false,
-            table: Table::default(),
-            words: Words::default(),
+            announce_revision: false,
+            table: HostTable::default(),
+            rumors: RumorStore::default(),
             domains: BTreeMap::new(),
             gone: BTreeSet::new(),
             topology: Topology::default(),
-            watched: BTreeMap::new(),
-            doubted: BTreeSet::new(),
-            direct: BTreeMap::new(),
-            silent: BTreeMap::new(),
+            watched_since: BTreeMap::new(),
+            suspected: BTreeSet::new(),
+            last_direct: BTreeMap::new(),
+            silence_reports: BTreeMap::new(),
             facts: Facts {
                 revision: 0,
                 pools: Vec::new(),
@@ -235,27 +235,27 @@
                 shares: Vec::new(),
                 leaving: Vec::new(),
             },
-            stamp: 0,
-            reported: 0,
-            quiet: 0,
+            facts_stamp: 0,
+            reported_stamp: 0,
+            unchanged_rounds: 0,
             newcomers: BTreeSet::new(),
             reports: BTreeMap::new(),
             digests: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            lowest_passed: BTreeMap::new(),
+            pending_digests: BTreeMap::new(),
+            relayed_lowest: BTreeMap::new(),
             digest_stamp: 0,
-            differs: BTreeMap::new(),
+            mismatch_since: BTreeMap::new(),
             last_tick: now,
-            asking: Some(now),
+            catching_up_since: Some(now),
             joined: false,
-            turn: place as usize,
+            next_peer: offset as usize,
             listed: false,
             superseded: None,
-            told: BTreeMap::new(),
-            live: BTreeMap::new(),
-            told_silent: BTreeSet::new(),
+            reported_states: BTreeMap::new(),
+            live_counts: BTreeMap::new(),
+            silent_domains: BTreeSet::new(),
         };
-        member.introduce_me(now);
+        member.update_own_entry(now);
         member
     }
 
@@ -264,7 +264,7 @@
     pub fn set_facts(&mut self, facts: Facts) {
         if facts != self.facts {
             self.facts = facts;
-            self.stamp += 1;
+            self.facts_stamp += 1;
         }
     }
 
@@ -272,9 +272,9 @@
     pub fn set_revision(&mut self, revision: u64) {
         if self.revision != revision {
             self.revision = revision;
-            self.announce = true;
+            self.announce_revision = true;
             // The heartbeat may be lost; the next report names it too.
-            self.stamp += 1;
+            self.facts_stamp += 1;
         }
     }
 
@@ -288,13 +288,13 @@
             .cloned()
             .partition(|host| host.name == self.me.name);
         for host in own {
-            self.other_me(host.incarnation, &mut out);
+            self.check_own_incarnation(host.incarnation, &mut out);
         }
-        self.table.list(&others, &self.me.domain, now);
-        self.introduce_me(now);
+        self.table.apply_listing(&others, &self.me.domain, now);
+        self.update_own_entry(now);
         self.listed = true;
         if self.table.hosts.len() == 1 {
-            self.heard_from_others(&mut out);
+            self.mark_caught_up(&mut out);
         }
         self.refresh(now, &mut out);
         out
@@ -305,14 +305,14 @@
         let mut out = Vec::new();
         if self.state != state {
             self.state = state;
-            self.say_self(now, &mut out);
-            self.introduce_me(now);
+            self.broadcast_own_state(now, &mut out);
+            self.update_own_entry(now);
             self.refresh(now, &mut out);
         }
         out
     }
 
-    fn introduce_me(&mut self, now: Duration) {
+    fn update_own_entry(&mut self, now: Duration) {
         let me = dunlinrock_schema::coord::SyncAsk {
             name: self.me.name.clone(),
             incarnation: self.me.incarnation,
@@ -330,9 +330,13 @@
     }
 
     /// How many hosts there are to watch a host; two are enough to decide.
-    fn watchers_of(&self, host: &Host) -> usize {
-        let inside = self.live.get(&host.domain).copied().unwrap_or_default();
-        inside.saturating_sub(1).min(WATCHERS)
+    fn watcher_count(&self, host: &Host) -> usize {
+        let live = self
+            .live_counts
+            .get(&host.domain)
+            .copied()
+            .unwrap_or_default();
+        live.saturating_sub(1).min(WATCHERS)
     }
 
     /// Notes another process under this host's name.
@@ -342,7 +346,7 @@
     /// stop, and the host is out of service until the clock is past the earlier start. A process that has
     /// not joined yet has only just started, so what is known of its name is of an earlier one. One that
     /// was paused and replaced had joined before.
-    fn other_me(&mut self, incarnation: u64, out: &mut Vec<Action>) {
+    fn check_own_incarnation(&mut self, incarnation: u64, out: &mut Vec<Action>) {
         if incarnation <= self.superseded.unwrap_or(self.me.incarnation) {
             return;
         }
@@ -354,8 +358,8 @@
         out.push(Action::CaughtUp(false));
     }
 
-    fn heard_from_others(&mut self, out: &mut Vec<Action>) {
-        if self.asking.take().is_some() && self.superseded.is_none() {
+    fn mark_caught_up(&mut self, out: &mut Vec<Action>) {
+        if self.catching_up_since.take().is_some() && self.superseded.is_none() {
             self.joined = true;
             out.push(Action::CaughtUp(true));
         }
--- a/crates/coord/src/member/receive.rs
+++ b/crates/coord/src/member/receive.rs
@@ -13,44 +13,45 @@
         let mut out = Vec::new();
         self.notice_pause(now, &mut out);
         match message {
-            Message::Beat(beat) => self.beat_came(now, beat, &mut out),
-            Message::Report(report) => self.report_came(now, report, &mut out),
+            Message::Beat(beat) => self.handle_heartbeat(now, beat, &mut out),
+            Message::Report(report) => self.handle_report(now, report, &mut out),
             Message::Digest(digest) => {
-                self.direct.insert(digest.domain.clone(), now);
-                self.heard.insert(digest.domain.clone(), digest.clone());
-                self.pass_lowest(digest, &mut out);
-                self.digest_came(now, digest, &mut out);
-                self.compare(now, &digest.by, digest.sum, &mut out);
+                self.last_direct.insert(digest.domain.clone(), now);
+                self.pending_digests
+                    .insert(digest.domain.clone(), digest.clone());
+                self.relay_changed_lowest(digest, &mut out);
+                self.handle_digest(now, digest, &mut out);
+                self.compare_checksum(now, &digest.by, digest.sum, &mut out);
             }
             Message::Far(far) => {
                 for digest in &far.digests {
-                    self.digest_came(now, digest, &mut out);
+                    self.handle_digest(now, digest, &mut out);
                 }
             }
             Message::Rumors(rumors) => {
-                self.rumors(now, &rumors.name, &rumors.rumors, &mut out);
+                self.handle_rumors(now, &rumors.name, &rumors.rumors, &mut out);
                 if rumors.sync {
-                    self.heard_from_others(&mut out);
+                    self.mark_caught_up(&mut out);
                 }
             }
-            Message::SyncAsk(ask) => self.sync_came(now, ask, &mut out),
+            Message::SyncAsk(ask) => self.handle_sync_ask(now, ask, &mut out),
             _ => {}
         }
         out
     }
 
-    fn beat_came(&mut self, now: Duration, beat: &Beat, out: &mut Vec<Action>) {
+    fn handle_heartbeat(&mut self, now: Duration, beat: &Beat, out: &mut Vec<Action>) {
         if beat.name == self.me.name {
-            self.other_me(beat.incarnation, out);
+            self.check_own_incarnation(beat.incarnation, out);
             return;
         }
-        self.table.beat(beat, now);
+        self.table.apply_heartbeat(beat, now);
         self.refresh_one(now, &beat.name, out);
-        self.revision_came(&beat.name, beat.revision, out);
-        self.compare(now, &beat.name, beat.sum, out);
+        self.notify_revision(&beat.name, beat.revision, out);
+        self.compare_checksum(now, &beat.name, beat.sum, out);
     }
 
-    fn report_came(&mut self, now: Duration, report: &Report, out: &mut Vec<Action>) {
+    fn handle_report(&mut self, now: Duration, report: &Report, out: &mut Vec<Action>) {
         let newer = self.reports.get(&report.name).is_none_or(|(old, _)| {
             (report.incarnation, report.stamp) >= (old.incarnation, old.stamp)
         });
@@ -58,12 +59,12 @@
             let entry = (report.clone(), now);
             self.reports.insert(report.name.clone(), entry);
             self.table
-                .revision(&report.name, report.incarnation, report.facts.revision);
-            self.revision_came(&report.name, report.facts.revision, out);
+                .apply_revision(&report.name, report.incarnation, report.facts.revision);
+            self.notify_revision(&report.name, report.facts.revision, out);
         }
     }
 
-    fn digest_came(&mut self, now: Duration, digest: &Digest, out: &mut Vec<Action>) {
+    fn handle_digest(&mut self, now: Duration, digest: &Digest, out: &mut Vec<Action>) {
         // A restarted host counts from the beginning.
         let newer = self.digests.get(&digest.domain).is_none_or(|(old, _)| {
             let place = |one: &Digest| (one.incarnation, one.stamp);
@@ -72,30 +73,30 @@
         if newer && digest.domain != self.me.domain {
             let entry = (digest.clone(), now);
             self.digests.insert(digest.domain.clone(), entry);
-            self.revision_came(&digest.by, digest.highest, out);
+            self.notify_revision(&digest.by, digest.highest, out);
         }
     }
 
     /// Passes a digest on at once where a whole domain has come to another revision: an operator
     /// waits to hear that an apply is in force everywhere.
-    fn pass_lowest(&mut self, digest: &Digest, out: &mut Vec<Action>) {
-        let last = self.lowest_passed.get(&digest.domain);
-        if last == Some(&digest.lowest) || !self.topology.passed.contains(&digest.domain) {
+    fn relay_changed_lowest(&mut self, digest: &Digest, out: &mut Vec<Action>) {
+        let last = self.relayed_lowest.get(&digest.domain);
+        if last == Some(&digest.lowest) || !self.topology.relayed.contains(&digest.domain) {
             return;
         }
-        self.lowest_passed
+        self.relayed_lowest
             .insert(digest.domain.clone(), digest.lowest);
         let far = Message::Far(Far {
             name: self.me.name.clone(),
             digests: vec![digest.clone()],
         });
-        out.extend(self.topology.near.iter().map(|name| Action::Send {
+        out.extend(self.topology.local_peers.iter().map(|name| Action::Send {
             to: name.clone(),
             message: far.clone(),
         }));
     }
 
-    fn revision_came(&self, peer: &Arc<str>, revision: u64, out: &mut Vec<Action>) {
+    fn notify_revision(&self, peer: &Arc<str>, revision: u64, out: &mut Vec<Action>) {
         if revision > self.revision {
             out.push(Action::PeerRevision {
                 peer: peer.clone(),
@@ -106,18 +107,24 @@
 
     /// Asks for words where another host's sum has differed for a while. A word that is on its way,
     /// or ends here a moment before it ends there, makes sums differ without any being missed.
-    fn compare(&mut self, now: Duration, from: &Arc<str>, sum: u64, out: &mut Vec<Action>) {
-        if sum == self.words.sum(now) {
-            self.differs.remove(from);
+    fn compare_checksum(
+        &mut self,
+        now: Duration,
+        from: &Arc<str>,
+        sum: u64,
+        out: &mut Vec<Action>,
+    ) {
+        if sum == self.rumors.sum(now) {
+            self.mismatch_since.remove(from);
             return;
         }
-        let since = *self.differs.entry(from.clone()).or_insert(now);
+        let since = *self.mismatch_since.entry(from.clone()).or_insert(now);
         if now >= since + self.timings.sync / 2 && now >= self.due.sync {
-            self.ask(now, from, out);
+            self.send_sync_ask(now, from, out);
         }
     }
 
-    pub(super) fn ask(&mut self, now: Duration, of: &Arc<str>, out: &mut Vec<Action>) {
+    pub(super) fn send_sync_ask(&mut self, now: Duration, of: &Arc<str>, out: &mut Vec<Action>) {
         self.due.sync = now + self.timings.sync;
         let ask = SyncAsk {
             name: self.me.name.clone(),
@@ -126,7 +133,7 @@
             domain: self.me.domain.clone(),
             callers: self.me.callers.clone(),
             peers: self.me.peers.clone(),
-            have: self.words.keys(),
+            have: self.rumors.keys(),
         };
         out.push(Action::Send {
             to: of.clone(),
@@ -134,9 +141,9 @@
         });
     }
 
-    fn sync_came(&mut self, now: Duration, ask: &SyncAsk, out: &mut Vec<Action>) {
+    fn handle_sync_ask(&mut self, now: Duration, ask: &SyncAsk, out: &mut Vec<Action>) {
         if ask.name == self.me.name {
-            self.other_me(ask.incarnation, out);
+            self.check_own_incarnation(ask.incarnation, out);
             return;
         }
         let known = self.table.hosts.get(&ask.name);
@@ -146,7 +153,7 @@
             self.refresh(now, out);
         }
         let have: BTreeSet<u64> = ask.have.iter().copied().collect();
-        let mut rumors = self.words.lacking(&have, now);
+        let mut rumors = self.rumors.missing_from(&have, now);
         if stale {
             rumors.extend(self.later_incarnation(&ask.name));
         }
--- /dev/null
+++ b/crates/coord/src/member/rumors.rs
@@ -0,0 +1,126 @@
+//! RumorStore that are on their way to all hosts.
+
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    time::Duration,
+};
+
+use dunlinrock_schema::coord::{Quarantine, Rumor, Word};
+use rapidhash::v3::rapidhash_v3;
+
+use crate::wire;
+
+/// Most words held at once: one for each of 2,400 hosts started together, and as many again.
+const MAX_RUMORS: usize = 4096;
+/// A quarantine with less time left than this is not passed on: it would end on arrival.
+const MIN_REMAINING: Duration = Duration::from_millis(200);
+
+/// A word, with the time at which it expires_at and the time until which it is remembered as ended.
+#[derive(Clone, Debug)]
+struct StoredRumor {
+    rumor: Rumor,
+    expires_at: Duration,
+    /// Longer than any other host passes it on, so that it does not come back as news.
+    forget_at: Duration,
+}
+
+/// The words that a host holds.
+#[derive(Clone, Debug, Default)]
+pub(super) struct RumorStore {
+    rumors: BTreeMap<u64, StoredRumor>,
+}
+
+impl RumorStore {
+    /// Takes a word; `false` for one that is known.
+    ///
+    /// A word carries the time it has left, so it expires_at at about the same time everywhere. If each
+    /// host counted a time of its own from when it heard of it, hosts that ask each other for what
+    /// they lack would hand an old word round for ever.
+    pub(super) fn insert(&mut self, rumor: &Rumor, now: Duration, retention: Duration) -> bool {
+        let key = key(&rumor.word);
+        let expires_at = now + Duration::from_millis(rumor.ttl_ms);
+        if let Some(stored) = self.rumors.get_mut(&key) {
+            // The same request killed another target: the word starts anew.
+            let extended = matches!(rumor.word, Word::Quarantine(_))
+                && expires_at > stored.expires_at + MIN_REMAINING * 5;
+            if extended {
+                stored.expires_at = expires_at;
+                stored.forget_at = expires_at + retention;
+            }
+            return extended;
+        }
+        if self.rumors.len() >= MAX_RUMORS {
+            return false;
+        }
+        let forget_at = expires_at + retention;
+        let rumor = rumor.clone();
+        self.rumors.insert(
+            key,
+            StoredRumor {
+                rumor,
+                expires_at,
+                forget_at,
+            },
+        );
+        true
+    }
+
+    pub(super) fn remove_expired(&mut self, now: Duration) {
+        self.rumors.retain(|_, stored| now < stored.forget_at);
+    }
+
+    /// A sum over the words that have not ended; two hosts with the same words have the same.
+    pub(super) fn sum(&self, now: Duration) -> u64 {
+        self.live(now).fold(0, |sum, (key, _)| sum ^ key)
+    }
+
+    /// Keys of all words, ended ones too.
+    pub(super) fn keys(&self) -> Vec<u64> {
+        self.rumors.keys().copied().collect()
+    }
+
+    /// RumorStore that a host with these keys lacks.
+    pub(super) fn missing_from(&self, have: &BTreeSet<u64>, now: Duration) -> Vec<Rumor> {
+        let lacks = |key: &u64| !have.contains(key);
+        let live = self.live(now).filter(|(key, _)| lacks(key));
+        live.map(|(_, stored)| with_remaining_ttl(stored, now))
+            .collect()
+    }
+
+    /// Quarantines in force, with the time that they have left.
+    pub(super) fn quarantines(&self, now: Duration) -> Vec<Quarantine> {
+        let live = self
+            .rumors
+            .values()
+            .filter(|stored| now < stored.expires_at);
+        live.filter_map(|stored| match with_remaining_ttl(stored, now).word {
+            Word::Quarantine(word) => Some(word),
+            _ => None,
+        })
+        .collect()
+    }
+
+    fn live(&self, now: Duration) -> impl Iterator<Item = (u64, &StoredRumor)> {
+        let live = move |stored: &&StoredRumor| now + MIN_REMAINING < stored.expires_at;
+        let pairs = self.rumors.iter().map(|(key, stored)| (*key, stored));
+        pairs.filter(move |(_, stored)| live(stored))
+    }
+}
+
+fn with_remaining_ttl(stored: &StoredRumor, now: Duration) -> Rumor {
+    let mut rumor = stored.rumor.clone();
+    rumor.ttl_ms = stored.expires_at.saturating_sub(now).as_millis() as u64;
+    if let Word::Quarantine(word) = &mut rumor.word {
+        word.ttl_ms = rumor.ttl_ms;
+    }
+    rumor
+}
+
+/// Names a word; the time left is no part of it.
+fn key(word: &Word) -> u64 {
+    let mut word = word.clone();
+    if let Word::Quarantine(word) = &mut word {
+        word.ttl_ms = 0;
+    }
+    rapidhash_v3(&wire::encode(&word))
+}
--- a/crates/coord/src/member/tick.rs
+++ b/crates/coord/src/member/tick.rs
@@ -8,13 +8,13 @@
 
 /// Most grants in one digest, so that its size is bounded; more take turns. With eight grants
 /// each, one host at 48 a domain sent 2.8 KB/s in passing digests on.
-const DIGEST_GRANTS: usize = 4;
+const MAX_DIGEST_GRANTS: usize = 4;
 /// A report without a change is sent every so many rounds, as the last one may be lost.
-const QUIET_ROUNDS: u32 = 4;
+const MAX_UNCHANGED_ROUNDS: u32 = 4;
 /// Looks for doubts to lapse within the time in which they do.
-const LAPSES: u32 = 6;
+const EXPIRY_CHECKS: u32 = 6;
 /// Times the `gone` silence after which a host that nobody answers counts as alone.
-const ALONE: u32 = 3;
+const ALONE_FACTOR: u32 = 3;
 
 impl Membership {
     /// Lets time pass. Call it at least once a heartbeat: a gap longer than the silence that makes
@@ -27,12 +27,12 @@
         self.notice_pause(now, &mut out);
         self.last_tick = now;
         self.catch_up(now, &mut out);
-        self.watch(now, &mut out);
-        self.watch_domains(now, &mut out);
-        self.send_beats(now, &mut out);
+        self.check_watched_hosts(now, &mut out);
+        self.check_domains(now, &mut out);
+        self.send_heartbeats(now, &mut out);
         self.send_reports(now, &mut out);
         self.send_digests(now, &mut out);
-        self.send_far(now, &mut out);
+        self.relay_digests(now, &mut out);
         out
     }
 
@@ -42,43 +42,45 @@
     pub(super) fn notice_pause(&mut self, now: Duration, out: &mut Vec<Action>) {
         if self.paused(now) {
             self.last_tick = now;
-            self.woke(now, out);
+            self.resume_after_pause(now, out);
         }
     }
 
     /// This host was paused: the silence was its own, and the world may have gone on without it.
-    fn woke(&mut self, now: Duration, out: &mut Vec<Action>) {
-        self.watched.values_mut().for_each(|since| *since = now);
-        self.direct.values_mut().for_each(|since| *since = now);
+    fn resume_after_pause(&mut self, now: Duration, out: &mut Vec<Action>) {
+        self.watched_since
+            .values_mut()
+            .for_each(|since| *since = now);
+        self.last_direct.values_mut().for_each(|since| *since = now);
         self.due.sync = now;
-        if self.asking.replace(now).is_none() {
+        if self.catching_up_since.replace(now).is_none() {
             out.push(Action::CaughtUp(false));
         }
     }
 
     fn catch_up(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let Some(since) = self.asking.filter(|_| self.listed) else {
+        let Some(since) = self.catching_up_since.filter(|_| self.listed) else {
             return;
         };
-        if now > since + self.timings.gone_after * ALONE {
+        if now > since + self.timings.gone_after * ALONE_FACTOR {
             // Nobody answers: the others are dead or cut off, and who can hear this host needs it.
-            self.heard_from_others(out);
+            self.mark_caught_up(out);
         } else if now >= self.due.sync {
-            let near = &self.topology.near;
-            let all: Vec<_> = near.iter().chain(&self.topology.partners).collect();
-            if let Some(name) = all.get(self.turn % all.len().max(1)) {
+            let local = &self.topology.local_peers;
+            let all: Vec<_> = local.iter().chain(&self.topology.remote_peers).collect();
+            if let Some(name) = all.get(self.next_peer % all.len().max(1)) {
                 let name = (*name).clone();
-                self.turn += 1;
-                self.ask(now, &name, out);
+                self.next_peer += 1;
+                self.send_sync_ask(now, &name, out);
             }
         }
     }
 
     /// Doubts watched hosts that are silent, and takes it back when they are heard.
-    fn watch(&mut self, now: Duration, out: &mut Vec<Action>) {
-        self.words.forget(now);
-        let mut words = Vec::new();
-        for (name, since) in &self.watched {
+    fn check_watched_hosts(&mut self, now: Duration, out: &mut Vec<Action>) {
+        self.rumors.remove_expired(now);
+        let mut states = Vec::new();
+        for (name, since) in &self.watched_since {
             let Some(host) = self.table.hosts.get(name) else {
                 continue;
             };
@@ -86,85 +88,94 @@
             // Said again at half the time after which others let it lapse.
             let turn = silence.as_millis() * 2 / self.timings.rumor_ttl.as_millis().max(1);
             if silence >= self.timings.gone_after {
-                words.push((name.clone(), (HostState::Gone, turn as u64)));
+                states.push((name.clone(), (HostState::Gone, turn as u64)));
             } else if silence >= self.timings.suspect_after {
-                words.push((name.clone(), (HostState::Suspect, 0)));
-            } else if self.doubted.contains(name) {
-                words.push((name.clone(), (host.reported_state, 0)));
+                states.push((name.clone(), (HostState::Suspect, 0)));
+            } else if self.suspected.contains(name) {
+                states.push((name.clone(), (host.reported_state, 0)));
             }
         }
-        for (name, word) in words {
-            if matches!(word.0, HostState::Suspect | HostState::Gone) {
-                self.doubted.insert(name.clone());
+        for (name, state) in states {
+            if matches!(state.0, HostState::Suspect | HostState::Gone) {
+                self.suspected.insert(name.clone());
             } else {
-                self.doubted.remove(&name);
+                self.suspected.remove(&name);
             }
-            self.say_other(now, &name, word, out);
+            self.broadcast_host_state(now, &name, state, out);
         }
-        self.repeat(now, out);
+        self.renew_and_expire(now, out);
     }
 
     /// Lets old doubts lapse, and says again that this host leaves.
-    fn repeat(&mut self, now: Duration, out: &mut Vec<Action>) {
-        if now < self.due.repeat {
+    fn renew_and_expire(&mut self, now: Duration, out: &mut Vec<Action>) {
+        if now < self.due.renew {
             return;
         }
-        self.due.repeat = now + self.timings.rumor_ttl / LAPSES;
-        for name in self.table.lapse(now, self.timings.rumor_ttl) {
+        self.due.renew = now + self.timings.rumor_ttl / EXPIRY_CHECKS;
+        for name in self.table.expire_suspicions(now, self.timings.rumor_ttl) {
             self.refresh_one(now, &name, out);
         }
-        let word = self.timings.rumor_ttl;
-        for voices in self.silent.values_mut() {
-            voices.retain(|_, voice| now < voice.said + word);
+        let ttl = self.timings.rumor_ttl;
+        for reports in self.silence_reports.values_mut() {
+            reports.retain(|_, report| now < report.reported_at + ttl);
         }
         self.refresh_silent(out);
         if self.state == HostState::Leaving {
-            self.say_self(now, out);
+            self.broadcast_own_state(now, out);
         }
     }
 
-    fn watch_domains(&mut self, now: Duration, out: &mut Vec<Action>) {
+    fn check_domains(&mut self, now: Duration, out: &mut Vec<Action>) {
         let expected = self.topology.expected.clone();
         for domain in &expected {
-            let heard = *self.direct.entry(domain.clone()).or_insert(now);
+            let heard = *self.last_direct.entry(domain.clone()).or_insert(now);
             let silent = now >= heard + self.timings.gone_after;
             let me = &self.me.name;
-            let said = self.silent.get(domain).and_then(|said| said.get(me));
-            let again = said.is_some_and(|voice| now >= voice.said + self.timings.rumor_ttl / 2);
-            if said.is_some_and(|voice| voice.silent) != silent || (silent && again) {
-                self.say_domain(now, domain, silent, out);
+            let own = self
+                .silence_reports
+                .get(domain)
+                .and_then(|reports| reports.get(me));
+            let renew =
+                own.is_some_and(|report| now >= report.reported_at + self.timings.rumor_ttl / 2);
+            if own.is_some_and(|report| report.silent) != silent || (silent && renew) {
+                self.broadcast_domain_state(now, domain, silent, out);
             }
         }
         // A host that no domain speaks to any more has no say on its silence.
         let stale: Vec<_> = self
-            .silent
+            .silence_reports
             .iter()
             .filter(|(domain, _)| !expected.contains(*domain))
-            .filter(|(_, said)| said.get(&self.me.name).is_some_and(|voice| voice.silent))
+            .filter(|(_, reports)| {
+                reports
+                    .get(&self.me.name)
+                    .is_some_and(|report| report.silent)
+            })
             .map(|(domain, _)| domain.clone())
             .collect();
         for domain in stale {
-            self.say_domain(now, &domain, false, out);
+            self.broadcast_domain_state(now, &domain, false, out);
         }
-        self.direct.retain(|domain, _| expected.contains(domain));
+        self.last_direct
+            .retain(|domain, _| expected.contains(domain));
     }
 
-    fn send_beats(&mut self, now: Duration, out: &mut Vec<Action>) {
-        if now < self.due.beat {
+    fn send_heartbeats(&mut self, now: Duration, out: &mut Vec<Action>) {
+        if now < self.due.heartbeat {
             return;
         }
-        self.due.beat = now + self.timings.heartbeat;
-        self.beat += 1;
+        self.due.heartbeat = now + self.timings.heartbeat;
+        self.heartbeat += 1;
         let beat = Beat {
             name: self.me.name.clone(),
             incarnation: self.me.incarnation,
-            beat: self.beat,
+            beat: self.heartbeat,
             state: self.state,
             revision: self.revision,
-            sum: self.words.sum(now),
+            sum: self.rumors.sum(now),
         };
-        let to = if std::mem::take(&mut self.announce) {
-            &self.topology.near
+        let to = if std::mem::take(&mut self.announce_revision) {
+            &self.topology.local_peers
         } else {
             &self.topology.watchers
         };
@@ -180,11 +191,12 @@
             return;
         }
         self.due.report = now + self.timings.report;
-        self.quiet += 1;
-        if self.stamp != self.reported || self.quiet >= QUIET_ROUNDS {
-            self.reported = self.stamp;
-            self.quiet = 0;
-            send(&self.topology.near, &self.make_report(false), out);
+        self.unchanged_rounds += 1;
+        if self.facts_stamp != self.reported_stamp || self.unchanged_rounds >= MAX_UNCHANGED_ROUNDS
+        {
+            self.reported_stamp = self.facts_stamp;
+            self.unchanged_rounds = 0;
+            send(&self.topology.local_peers, &self.make_report(false), out);
         }
     }
 
@@ -198,7 +210,7 @@
         Message::Report(Report {
             name: self.me.name.clone(),
             incarnation: self.me.incarnation,
-            stamp: self.stamp,
+            stamp: self.facts_stamp,
             facts,
         })
     }
@@ -208,19 +220,19 @@
             return;
         }
         self.due.digest = now + self.timings.digest;
-        if self.topology.partners.is_empty() {
+        if self.topology.remote_peers.is_empty() {
             return;
         }
         self.digest_stamp += 1;
         let plain = self.make_digest(now);
-        for partner in &self.topology.partners {
-            let region = self.table.hosts.get(partner).map(|host| &host.region);
+        for peer in &self.topology.remote_peers {
+            let region = self.table.hosts.get(peer).map(|host| &host.region);
             let digest = Digest {
                 grants: region.map_or_else(Vec::new, |region| self.grants_to(region)),
                 ..plain.clone()
             };
             out.push(Action::Send {
-                to: partner.clone(),
+                to: peer.clone(),
                 message: Message::Digest(digest),
             });
         }
@@ -228,7 +240,7 @@
 
     /// This domain as this host sees it.
     fn make_digest(&self, now: Duration) -> Digest {
-        let hosts: Vec<_> = self.inside().collect();
+        let hosts: Vec<_> = self.serving_local().collect();
         let pools = || {
             let others = hosts.iter().filter_map(|name| self.reports.get(*name));
             let others = others.flat_map(|(report, _)| &report.facts.pools);
@@ -246,15 +258,15 @@
             queued: pools().map(|pool| pool.queued).sum(),
             busy: pools().map(|pool| pool.busy).sum(),
             slots: pools().map(|pool| pool.slots).sum(),
-            sum: self.words.sum(now),
+            sum: self.rumors.sum(now),
             grants: Vec::new(),
         }
     }
 
     /// Hosts of this domain that serve.
-    fn inside(&self) -> impl Iterator<Item = &Arc<str>> {
-        let near = self.topology.near.iter().chain([&self.me.name]);
-        near.filter(|name| self.state_of(name) == HostState::Serving)
+    fn serving_local(&self) -> impl Iterator<Item = &Arc<str>> {
+        let local = self.topology.local_peers.iter().chain([&self.me.name]);
+        local.filter(|name| self.state_of(name) == HostState::Serving)
     }
 
     /// Grants of this domain's hosts to a region, some at a time.
@@ -265,31 +277,31 @@
             .flat_map(|facts| &facts.grants)
             .filter(|grant| *grant.region == *region)
             .collect();
-        let first = self.digest_stamp as usize * DIGEST_GRANTS % all.len().max(1);
+        let first = self.digest_stamp as usize * MAX_DIGEST_GRANTS % all.len().max(1);
         let turn = all
             .iter()
             .cycle()
             .skip(first)
-            .take(DIGEST_GRANTS.min(all.len()));
+            .take(MAX_DIGEST_GRANTS.min(all.len()));
         turn.map(|grant| (*grant).clone()).collect()
     }
 
     /// Passes the digests heard since the last round on within the domain.
-    fn send_far(&mut self, now: Duration, out: &mut Vec<Action>) {
-        if now < self.due.far {
+    fn relay_digests(&mut self, now: Duration, out: &mut Vec<Action>) {
+        if now < self.due.relay {
             return;
         }
-        self.due.far = now + self.timings.relay_interval;
-        let mut heard = std::mem::take(&mut self.heard);
-        heard.retain(|domain, _| self.topology.passed.contains(domain));
-        if heard.is_empty() {
+        self.due.relay = now + self.timings.relay_interval;
+        let mut digests = std::mem::take(&mut self.pending_digests);
+        digests.retain(|domain, _| self.topology.relayed.contains(domain));
+        if digests.is_empty() {
             return;
         }
         let far = Far {
             name: self.me.name.clone(),
-            digests: heard.into_values().collect(),
+            digests: digests.into_values().collect(),
         };
-        send(&self.topology.near, &Message::Far(far), out);
+        send(&self.topology.local_peers, &Message::Far(far), out);
     }
 }
 
--- a/crates/coord/src/member/view.rs
+++ b/crates/coord/src/member/view.rs
@@ -20,7 +20,7 @@
     /// Whether this host may take work up: another host has answered since its start or its last
     /// pause (or there is none), and no later incarnation of it is known.
     pub fn caught_up(&self) -> bool {
-        self.asking.is_none() && self.superseded.is_none()
+        self.catching_up_since.is_none() && self.superseded.is_none()
     }
 
     /// As [`Membership::caught_up`], for one moment: also `false` right after a pause that no tick
@@ -47,7 +47,7 @@
     pub fn state_of(&self, name: &str) -> HostState {
         match self.table.hosts.get(name) {
             Some(_) if *name == *self.me.name => self.state,
-            Some(host) => host.state(self.watchers_of(host)),
+            Some(host) => host.state(self.watcher_count(host)),
             None => HostState::Gone,
         }
     }
@@ -60,7 +60,7 @@
     /// Hosts that serve, in domains that are heard, with their failure domains.
     pub fn serving(&self) -> BTreeMap<Arc<str>, Arc<str>> {
         let mut out = self.with_state(|state| state == HostState::Serving);
-        out.retain(|_, domain| !self.told_silent.contains(domain));
+        out.retain(|_, domain| !self.silent_domains.contains(domain));
         out
     }
 
@@ -75,7 +75,7 @@
 
     /// Whether nothing is heard from a failure domain.
     pub fn is_domain_silent(&self, domain: &str) -> bool {
-        self.told_silent.contains(domain)
+        self.silent_domains.contains(domain)
     }
 
     /// What a host of this domain last reported, and when that came.
@@ -90,7 +90,7 @@
 
     /// Requests and targets in quarantine, with the time they have left.
     pub fn quarantines(&self, now: Duration) -> Vec<Quarantine> {
-        self.words.quarantines(now)
+        self.rumors.quarantines(now)
     }
 
     /// The lowest revision in force on any live host of any domain that is heard, for an operator
@@ -104,7 +104,7 @@
             .domains
             .keys()
             .filter(|domain| **domain != self.me.domain);
-        let heard = others.filter(|domain| !self.told_silent.contains(*domain));
+        let heard = others.filter(|domain| !self.silent_domains.contains(*domain));
         heard
             .map(|domain| self.digests.get(domain).map(|(digest, _)| digest.lowest))
             .try_fold(inside, |least, lowest| Some(least.min(lowest?)))
@@ -113,8 +113,9 @@
     /// Revisions in force on the serving hosts of this domain; 0 for one that has not said.
     pub(super) fn revisions(&self) -> impl Iterator<Item = u64> {
         let serving = |name: &&Arc<str>| self.state_of(name) == HostState::Serving;
-        let near = self.topology.near.iter().filter(serving);
-        near.filter_map(|name| Some(self.table.hosts.get(name)?.revision))
+        let local = self.topology.local_peers.iter().filter(serving);
+        local
+            .filter_map(|name| Some(self.table.hosts.get(name)?.revision))
             .chain([self.revision])
     }
 }
