--- a/crates/coord/src/follow/mod.rs
+++ b/crates/coord/src/follow/mod.rs
@@ -1,9 +1,10 @@
-//! A host's copy of the configuration: the highest revision it has seen, whole, never an older one.
+//! A host's snapshot of the configuration: complete, and never replaced by an older revision.
 //!
-//! Roots and pieces come from the store or from peers, late, doubled and out of order. A root that
-//! is newer than the copy becomes the goal; the pieces that the copy lacks are fetched, and only
-//! with all of them at hand does the copy switch. An older root is ignored, whoever sends it: a
-//! host that went back would steer by a drain or a cap that the operators have already replaced.
+//! Roots and pieces come from the store or from peers; they may be late, duplicated or out of
+//! order. A root newer than the snapshot becomes pending and its missing pieces are fetched; the
+//! snapshot is replaced only when all of them are present. An older root is ignored, whichever
+//! source sends it: a host that went back would apply a drain or a cap that the operators have
+//! already replaced.
 //!
 //! ```
 //! use std::time::Duration;
@@ -19,10 +20,10 @@
 //! let mut follower = Follower::open(Timings::default());
 //! assert!(!follower.ready());
 //! let peer = Source::Peer("h2".into());
-//! let asks = follower.handle_root(Duration::ZERO, peer.clone(), root);
-//! assert!(matches!(asks[0], Action::FetchPieces { .. }));
-//! let switch = follower.handle_pieces(Duration::ZERO, &peer, split.pieces.into_values().collect());
-//! assert!(matches!(switch[0], Action::Update(_)));
+//! let actions = follower.handle_root(Duration::ZERO, peer.clone(), root);
+//! assert!(matches!(actions[0], Action::FetchPieces { .. }));
+//! let actions = follower.handle_pieces(Duration::ZERO, &peer, split.pieces.into_values().collect());
+//! assert!(matches!(actions[0], Action::Update(_)));
 //! assert_eq!(follower.revision(), 7);
 //! ```
 
@@ -37,10 +38,10 @@
 pub use self::snapshot::Snapshot;
 use crate::pieces::{Diff, Hash};
 
-/// Pieces asked for at once: under 230 KB in an answer, at most 1.8 KB each.
+/// Maximum number of pieces in one request: at most 1.8 KB each, so the response is under 230 KB.
 pub const ASK_PIECES: usize = 128;
 
-/// Where roots and pieces come from.
+/// Source of roots and pieces.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// The platform's store.
@@ -49,15 +50,15 @@
     Peer(Arc<str>),
 }
 
-/// Times of a follower.
+/// Timings of a follower.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timings {
-    /// Wait for an answer before another source is asked.
+    /// Time without a response after which another source is asked.
     pub retry: Duration,
-    /// Wait after word of a newer revision before it is asked for: it is most likely on its way
-    /// down the [spread tree](crate::relay).
+    /// Delay before a newer revision of a peer is fetched: it is most likely on its way down the
+    /// [distribution tree](crate::relay).
     pub hint_delay: Duration,
-    /// Time between two looks at a source when nothing is heard.
+    /// Interval at which an upstream is asked for a newer root.
     pub poll: Duration,
 }
 
@@ -71,59 +72,59 @@
     }
 }
 
-/// What the caller does for a follower.
+/// Action for the caller of a follower.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Read the root, or ask a peer for a newer one than `revision`.
+    /// Read the root, or ask a peer for a root newer than `revision`.
     FetchRoot {
-        /// Whom.
+        /// Source to read from.
         from: Source,
-        /// Revision that is held; 0 for none.
+        /// Revision of the snapshot; 0 if there is none.
         revision: u64,
     },
     /// Read pieces, or ask a peer for them.
     FetchPieces {
-        /// Whom.
+        /// Source to read from.
         from: Source,
-        /// Which.
+        /// Hashes of the pieces.
         hashes: Vec<Hash>,
     },
-    /// A newer configuration is whole; put it in force.
+    /// A newer configuration is complete; apply it.
     Update(Update),
 }
 
 /// A step from one revision to a later one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
-    /// Revision held before; 0 for none.
+    /// Revision of the previous snapshot; 0 if there was none.
     pub old_revision: u64,
-    /// The apply now in force.
+    /// Entry of the apply that is now active.
     pub entry: Entry,
-    /// What changed; its leaves can be read from [`Update::removed`] and [`Follower::snapshot`].
+    /// Changed leaves; their content is in [`Update::removed`] and [`Follower::snapshot`].
     pub diff: Diff,
-    /// The pieces that the copy dropped, for [`patch`](crate::pieces::patch).
+    /// Pieces that the snapshot no longer contains, for [`patch`](crate::pieces::patch).
     pub removed: crate::pieces::Pieces,
 }
 
-/// A host's copy and its way to the next.
+/// State machine that keeps a host's snapshot up to date.
 #[derive(Clone, Debug)]
 pub struct Follower {
     timings: Timings,
-    /// Whole, and never replaced by an older one.
+    /// Complete, and never replaced by an older one.
     snapshot: Option<Snapshot>,
     pending: Option<PendingSnapshot>,
-    /// Whom to ask for a root, best first.
+    /// Sources to ask for a root, preferred first.
     upstreams: Vec<Source>,
-    /// Index of the upstream to ask next.
+    /// Round-robin index of the upstream to ask next.
     next_upstream: usize,
-    /// Word of a newer revision, with the time at which it is asked for.
+    /// Newer revision of a peer, with the time at which it is fetched.
     peer_hint: Option<(u64, Source, Duration)>,
-    /// Time of the next look at an upstream.
+    /// Time of the next request to an upstream.
     next_poll: Duration,
 }
 
 impl Follower {
-    /// Begins without a copy: the host is not ready until it has one.
+    /// Creates a follower without a snapshot: the host is not ready until it has one.
     pub fn open(timings: Timings) -> Self {
         Self {
             timings,
@@ -136,24 +137,25 @@
         }
     }
 
-    /// Whether there is a copy to steer by.
+    /// Returns whether there is a snapshot.
     pub fn ready(&self) -> bool {
         self.snapshot.is_some()
     }
 
-    /// Revision of the copy; 0 for none.
+    /// Returns the revision of the snapshot; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.snapshot
             .as_ref()
             .map_or(0, |snapshot| snapshot.root.now.revision)
     }
 
-    /// The copy.
+    /// Returns the snapshot.
     pub fn snapshot(&self) -> Option<&Snapshot> {
         self.snapshot.as_ref()
     }
 
-    /// Sets whom to ask for a root, best first, as [`relay::role`](crate::relay::role) gives them.
+    /// Sets the sources to ask for a root, preferred first, as computed by
+    /// [`relay::role`](crate::relay::role).
     pub fn set_upstreams(&mut self, upstreams: Vec<Source>) {
         if self.upstreams != upstreams {
             self.upstreams = upstreams;
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Takes a root.
+    /// Handles a root from a source.
     pub fn handle_root(&mut self, now: Duration, from: Source, root: Root) -> Vec<Action> {
         let revision = root.now.revision;
         if revision <= self.revision() {
@@ -178,7 +180,7 @@
         self.advance(now)
     }
 
-    /// Takes a root with pieces that came along.
+    /// Handles a root that comes with pieces.
     pub fn handle_root_give(&mut self, now: Duration, from: Source, give: RootGive) -> Vec<Action> {
         if give.root.now.revision <= self.revision() {
             return Vec::new();
@@ -200,7 +202,7 @@
         self.handle_root(now, from, give.root)
     }
 
-    /// Takes the answer to an ask for pieces; what the source does not hold is left out.
+    /// Handles the response to a request for pieces; it omits pieces that the source does not have.
     pub fn handle_pieces(
         &mut self,
         now: Duration,
@@ -214,7 +216,7 @@
         self.advance(now)
     }
 
-    /// Notes that a source did not answer.
+    /// Handles a source's failure to respond.
     pub fn handle_failure(&mut self, now: Duration, from: &Source) -> Vec<Action> {
         if let Some(pending) = &mut self.pending {
             pending.handle_failure(from);
@@ -222,7 +224,7 @@
         self.advance(now)
     }
 
-    /// Takes word, from a heartbeat or a digest, that a peer holds a revision.
+    /// Handles the revision that a peer reported in a heartbeat or a digest.
     pub fn handle_peer_revision(&mut self, now: Duration, peer: &Arc<str>, revision: u64) {
         let known = self.peer_hint.as_ref().map_or(0, |(known, ..)| *known);
         if revision > self.revision().max(known) {
@@ -231,7 +233,7 @@
         }
     }
 
-    /// Lets time pass: asks again where answers are missing, looks at upstreams now and then.
+    /// Advances the time: retries requests without a response and polls the upstreams.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let mut out = Vec::new();
         if self
@@ -245,7 +247,8 @@
             if revision <= self.revision() {
                 self.peer_hint = None;
             } else if now >= due {
-                // Asked again at the same pace until it is held: the peer may be gone by now.
+                // Retried at a fixed interval until the revision is reached; the peer may be gone
+                // by now.
                 self.peer_hint = Some((revision, from.clone(), now + self.timings.retry));
                 out.push(self.fetch_root(from));
             }
@@ -300,12 +303,12 @@
         })]
     }
 
-    /// What to give to a host that holds `revision`: nothing where it is not behind.
+    /// Returns the root with recent pieces for a host at `revision`; `None` if it is not behind.
     pub fn root_since(&self, me: &Arc<str>, revision: u64) -> Option<RootGive> {
         self.snapshot.as_ref()?.root_since(me, revision)
     }
 
-    /// The pieces of an ask that are held.
+    /// Returns the requested pieces that the snapshot contains.
     pub fn pieces_for(&self, ask: &PieceAsk) -> Vec<Vec<u8>> {
         let Some(snapshot) = &self.snapshot else {
             return Vec::new();
--- a/crates/coord/src/follow/pending.rs
+++ b/crates/coord/src/follow/pending.rs
@@ -7,24 +7,24 @@
 use super::{ASK_PIECES, Source, snapshot::Snapshot};
 use crate::pieces::{Diff, Hash, Pieces, TreeError, diff};
 
-/// What a goal needs next.
+/// Next step towards a complete snapshot.
 pub(super) enum NextStep {
-    /// An answer that is under way.
+    /// A response is pending.
     Wait,
-    /// These pieces.
+    /// Fetch these pieces from a source.
     Fetch(Source, Vec<Hash>),
-    /// Nothing can come of it.
+    /// The root cannot be completed.
     Discard,
-    /// Nothing: all is there.
+    /// All pieces are present.
     Complete(Diff),
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct PendingSnapshot {
     pub(super) root: Root,
-    /// Pieces fetched; each under the hash of its bytes.
+    /// Pieces fetched so far, by the hash of their bytes.
     pub(super) fetched: Pieces,
-    /// Sources that said they hold it; the first is asked.
+    /// Sources that have this root; the first one is asked.
     sources: Vec<Source>,
     request: Option<PieceRequest>,
 }
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Takes an answer. A source that lacks what was asked goes to the end of the line.
+    /// Stores the pieces of a response. A source that lacks requested pieces becomes the last one
+    /// to ask.
     pub(super) fn handle_pieces(&mut self, from: &Source, pieces: Vec<Arc<[u8]>>) {
         self.store_pieces(pieces);
         let Some(request) = self.request.take_if(|request| request.from == *from) else {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Whether an answer is overdue; then another source is asked.
+    /// Returns whether a request must be sent: none is pending, or the pending one timed out.
     pub(super) fn is_overdue(&mut self, now: Duration) -> bool {
         match self.request.take_if(|request| now >= request.deadline) {
             Some(request) => {
--- a/crates/coord/src/follow/snapshot.rs
+++ b/crates/coord/src/follow/snapshot.rs
@@ -1,4 +1,4 @@
-//! A whole configuration, with what was new in its last few revisions.
+//! A complete configuration, with the pieces that were new in its last few revisions.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,19 +9,19 @@
 
 use crate::pieces::{Diff, Hash, Pieces, diff};
 
-/// Revisions for which the fresh pieces are remembered: at 4,500 changes a day, two minutes.
+/// Number of revisions whose new pieces are remembered: about two minutes at 4,500 changes a day.
 const RECENT_REVISIONS: usize = 8;
-/// Most bytes of pieces that are given along with a root; a host further behind asks for them.
+/// Maximum bytes of pieces sent along with a root; a host further behind requests them.
 const MAX_GIVE_BYTES: usize = 32 * 1024;
 
-/// A whole configuration in pieces.
+/// A complete configuration in pieces.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// The root that names it.
+    /// The root of the configuration.
     pub root: Root,
-    /// Its pieces, all of them and no others.
+    /// The pieces of the configuration, all of them and no others.
     pub pieces: Pieces,
-    /// Pieces that came with each of the last revisions.
+    /// Pieces that were new in each of the last revisions.
     recent_pieces: BTreeMap<u64, BTreeSet<Hash>>,
 }
 
@@ -49,12 +49,12 @@
 }
 
 impl Snapshot {
-    /// Hash of the topmost index piece.
+    /// Returns the hash of the topmost index piece.
     pub fn tree(&self) -> Option<Hash> {
         Hash::read(&self.root.now.tree)
     }
 
-    /// Goes to a later root; gives the pieces that are no longer needed.
+    /// Replaces the root by a later one; returns the pieces that are no longer needed.
     pub(super) fn advance_to(&mut self, root: Root, fetched: Pieces, forward: &Diff) -> Pieces {
         let from = self.tree();
         let to = Hash::read(&root.now.tree);
@@ -64,15 +64,16 @@
         let mut removed = Pieces::new();
         if let (Some(from), Some(to)) = (from, to) {
             let get = |hash: &Hash| self.pieces.get(hash).cloned();
-            // A leaf holds the names of its rows and an index piece those of its children, so no
-            // piece stands in two places, and what one place drops nobody else needs.
+            // A leaf contains the names of its rows and an index piece those of its children, so no
+            // piece is in two places of a tree, and a piece removed from one place is not needed in
+            // another.
             let backward = diff(Some(to), from, &get).unwrap_or_default();
             for hash in backward.new_pieces.difference(&forward.new_pieces) {
                 removed.extend(self.pieces.remove_entry(hash));
             }
         }
         let revision = root.now.revision;
-        // A first copy is all fresh, and far too much to be given along.
+        // All pieces of a first snapshot are new, far too many to send along.
         if self.root.now.revision > 0 {
             self.recent_pieces
                 .insert(revision, forward.new_pieces.clone());
@@ -84,7 +85,8 @@
         removed
     }
 
-    /// The root with the pieces that are new since `revision`, where those are few.
+    /// Returns the root with the pieces that are new since `revision`, without pieces if those
+    /// exceed [`MAX_GIVE_BYTES`].
     pub(super) fn root_since(&self, me: &Arc<str>, revision: u64) -> Option<RootGive> {
         if self.root.now.revision <= revision {
             return None;
--- a/crates/coord/src/lib.rs
+++ b/crates/coord/src/lib.rs
@@ -1,16 +1,18 @@
-//! Coordination parts without I/O: configuration spread, membership, leases.
+//! Coordination of hosts without I/O: configuration distribution, membership and leases.
 //!
-//! Each part is a plain struct: an input and a time come in, typed actions come out, and the caller
-//! performs them. A time is a `Duration` since an origin of the caller's choice, on a monotonic
-//! clock. Each part can be used without the rest:
+//! Each module is a sans-I/O state machine: the caller passes an input with the current time and
+//! performs the typed actions that are returned. A time is a `Duration` since an origin of the
+//! caller's choice, on a monotonic clock. The modules can be used independently:
 //!
-//! * [`pieces`]: a configuration as immutable pieces under the hashes of their content;
-//! * [`root`]: the one value that is moved by compare-and-swap, applies and sweeps over it;
-//! * [`follow`]: a host's copy of the configuration, which never goes back;
-//! * [`relay`]: which hosts watch the store, and how a change spreads from them;
-//! * [`member`]: who is there, corrected by heartbeats, and words that reach all hosts;
-//! * [`rendezvous`]: a choice of hosts for a key that all hosts make alike;
-//! * [`lease`]: a lease of the store with a fencing token;
+//! * [`pieces`]: a configuration as content-addressed, immutable pieces;
+//! * [`root`]: the one mutable value of the store, replaced by compare-and-swap; applies and
+//!   garbage collection;
+//! * [`follow`]: a host's snapshot of the configuration, which never goes back to an older
+//!   revision;
+//! * [`relay`]: which hosts watch the store, and the tree that distributes a change from them;
+//! * [`member`]: the hosts and their states, by heartbeats, and rumors that reach all hosts;
+//! * [`rendezvous`]: rendezvous hashing, so that all hosts choose the same hosts for a key;
+//! * [`lease`]: a lease in the store with a fencing token;
 //! * [`wire`]: encoding of messages.
 //!
 //! ```
--- a/crates/coord/src/member/changes.rs
+++ b/crates/coord/src/member/changes.rs
@@ -1,4 +1,4 @@
-//! What follows from a changed table: what the caller is told, and who speaks to whom.
+//! Updates derived from the host table: reported state changes and the topology.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,11 +10,11 @@
 
 use super::{Action, Membership, topology::topology};
 
-/// Times the `gone` silence after which a host that is not listed and not heard is forgotten.
+/// A host that is neither listed nor heard is removed after this many times `gone_after`.
 const FORGET_FACTOR: u32 = 20;
 
 impl Membership {
-    /// Tells the caller what changed, and works out anew who speaks to whom.
+    /// Reports all changes to the caller and recomputes the topology.
     pub(super) fn refresh(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.table
             .remove_stale(now, self.timings.gone_after * FORGET_FACTOR, &self.me.name);
@@ -41,8 +41,8 @@
         self.refresh_silent(out);
     }
 
-    /// As [`Membership::refresh`], where only one host may have changed. Most words change nothing
-    /// here, and at 2,400 hosts the whole costs milliseconds.
+    /// Like [`Membership::refresh`] where only one host may have changed. Most rumors change
+    /// nothing here, and a full refresh takes milliseconds at 2,400 hosts.
     pub(super) fn refresh_one(&mut self, now: Duration, name: &Arc<str>, out: &mut Vec<Action>) {
         let state = self.state_of(name);
         let incarnation = self
@@ -90,7 +90,7 @@
                 domains.entry(domain).or_default().insert(name.clone());
             }
         }
-        // The list is read every second and seldom brings anything new.
+        // The list is read every second and rarely changes anything.
         if domains == self.domains && gone == self.gone {
             return;
         }
@@ -104,7 +104,8 @@
         }
     }
 
-    /// A domain is silent when two hosts of this domain hear nothing from it, or the only one.
+    /// Recomputes the silent domains: a domain is silent when two hosts of this domain receive
+    /// nothing from it, or the only host of this domain does.
     pub(super) fn refresh_silent(&mut self, out: &mut Vec<Action>) {
         let needed = (self.topology.local_peers.len() + 1).min(2);
         let mut silent = BTreeSet::new();
--- a/crates/coord/src/member/config.rs
+++ b/crates/coord/src/member/config.rs
@@ -1,43 +1,45 @@
-//! Who a host is, and the times of its membership.
+//! Identity of a host and the timings of its membership.
 
 use std::{sync::Arc, time::Duration};
 
-/// The host itself.
+/// Identity of this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalMember {
-    /// Name.
+    /// Name of the host.
     pub name: Arc<str>,
     /// Incarnation; higher than that of any earlier process under this name.
     pub incarnation: u64,
-    /// Region.
+    /// Region of the host.
     pub region: Arc<str>,
-    /// Failure domain.
+    /// Failure domain of the host.
     pub domain: Arc<str>,
     /// Address for callers, as IP:PORT.
     pub callers: Arc<str>,
-    /// Address for hosts, as IP:PORT.
+    /// Address for other hosts, as IP:PORT.
     pub peers: Arc<str>,
 }
 
-/// Times of a membership; hosts of one deployment share them.
+/// Timings of a membership; all hosts of a deployment use the same.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timings {
-    /// Time between two heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// Silence after which a host is suspect; four heartbeats, of which any may be lost.
+    /// Time without a heartbeat after which a host is suspect; four heartbeats, of which any may be
+    /// lost.
     pub suspect_after: Duration,
-    /// Silence after which a host counts as gone.
+    /// Time without a heartbeat after which a host counts as gone.
     pub gone_after: Duration,
-    /// Time between two reports of facts that changed.
+    /// Interval between reports of changed facts.
     pub report: Duration,
-    /// Time between two digests to another domain.
+    /// Interval between digests to another domain.
     pub digest: Duration,
-    /// Time between two rounds in which digests are passed on within a domain.
+    /// Interval at which received digests are relayed within a domain.
     pub relay_interval: Duration,
-    /// Least time between two asks for missed words; half of it is the time for which another host's
-    /// words must differ before it is asked, as a word on its way makes them differ for a moment.
+    /// Minimum interval between requests for missed rumors. Half of it is the time for which
+    /// another host's rumors must differ before they are requested, as a rumor in transit makes
+    /// them differ for a moment.
     pub sync: Duration,
-    /// Time for which a word of a state is passed on.
+    /// Time for which a rumor about a state is relayed.
     pub rumor_ttl: Duration,
 }
 
--- a/crates/coord/src/member/dissemination.rs
+++ b/crates/coord/src/member/dissemination.rs
@@ -1,9 +1,9 @@
-//! Words: who passes them on to whom.
+//! Dissemination of rumors: broadcast by their origin, relayed by the other hosts.
 //!
-//! A word goes from its origin to all hosts of the origin's domain and to the partners it speaks
-//! to; from there each host passes it to its own partners in other domains, and each of those to
-//! its whole domain. That is three hops at any size, and a host sends a word at most once to each
-//! host of its domain. A word that got lost is noticed by the sum in heartbeats and digests.
+//! A rumor goes from its origin to all hosts of the origin's domain and to the origin's remote
+//! peers. From there each host relays it to its own remote peers, and each of those to its whole
+//! domain. That is three hops at any size, and a host sends a rumor at most once to each host of
+//! its domain. A lost rumor is detected by the checksum in heartbeats and digests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,18 +13,18 @@
 
 use super::{Action, Membership};
 
-/// Beat of a host that was never heard; the first that it sends is the one after.
+/// Heartbeat number of a host that was never heard; the first heartbeat has the next number.
 const NO_HEARTBEAT: u64 = 0;
 
 impl Membership {
-    /// Says to all hosts that a request or target is to be refused or avoided.
+    /// Broadcasts to all hosts that a request or target is to be refused or avoided.
     pub fn broadcast(&mut self, now: Duration, word: Quarantine) -> Vec<Action> {
         let mut out = Vec::new();
         self.originate(now, Word::Quarantine(word), &mut out);
         out
     }
 
-    /// Says this host's own state with a beat that refutes earlier doubts.
+    /// Broadcasts this host's own state with a heartbeat number that refutes earlier suspicions.
     pub(super) fn broadcast_own_state(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.heartbeat += 1;
         self.refuted = self.heartbeat;
@@ -39,7 +39,7 @@
         self.originate(now, Word::State(word), out);
     }
 
-    /// Says of a watched host that it is silent, or that it is heard again.
+    /// Broadcasts that a watched host is silent, or that it is heard again.
     pub(super) fn broadcast_host_state(
         &mut self,
         now: Duration,
@@ -61,7 +61,7 @@
         self.originate(now, Word::State(word), out);
     }
 
-    /// Says to this domain whether another is heard.
+    /// Broadcasts within this domain whether another domain is heard.
     pub(super) fn broadcast_domain_state(
         &mut self,
         now: Duration,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes words from another host and passes on those that are news.
+    /// Handles rumors from another host and relays the new ones.
     pub(super) fn handle_rumors(
         &mut self,
         now: Duration,
@@ -120,7 +120,8 @@
         }
     }
 
-    /// A domain's silence is each domain's own finding and stays inside.
+    /// Relays rumors to other domains, except those about silent domains: each domain determines
+    /// that for itself.
     fn send_to_remote_peers(&self, rumors: &[Rumor], out: &mut Vec<Action>) {
         let far = |rumor: &&Rumor| !matches!(rumor.word, Word::Domain(_));
         let rumors: Vec<Rumor> = rumors.iter().filter(far).cloned().collect();
@@ -143,12 +144,12 @@
         }));
     }
 
-    /// Puts a word into effect here; `false` for one that is known.
+    /// Applies a rumor; returns `false` if it is already known.
     fn apply_rumor(&mut self, now: Duration, rumor: &Rumor, out: &mut Vec<Action>) -> bool {
         if !self.rumors.insert(rumor, now, self.timings.rumor_ttl) {
             return false;
         }
-        // A word that comes late lapses with those that came in time.
+        // A rumor that arrives late expires together with those that arrived in time.
         let remaining = Duration::from_millis(rumor.ttl_ms);
         let reported_at = now.saturating_sub(self.timings.rumor_ttl.saturating_sub(remaining));
         match &rumor.word {
@@ -172,13 +173,14 @@
         true
     }
 
-    /// Others doubt this host: it refutes them, or learns that it was replaced.
+    /// Handles a rumor about this host: refutes a suspicion, or detects that the process was
+    /// replaced.
     fn handle_own_state(&mut self, now: Duration, word: &StateWord, out: &mut Vec<Action>) {
         self.check_own_incarnation(word.incarnation, out);
         let suspected = word.by != self.me.name && word.incarnation == self.me.incarnation;
-        // A doubt from before the last answer needs no other one, but for that of a host that never
-        // heard this one: hosts that started since have not got the last answer either, and take
-        // the doubt. Left without an answer, it would stay with them for good.
+        // A suspicion older than the last refutation needs no other one, except when its author
+        // never heard this host: hosts that started since have not received the last refutation
+        // either, and accept the suspicion. Without an answer they would keep it permanently.
         let needed = word.beat >= self.refuted || word.beat == NO_HEARTBEAT;
         if suspected && needed && self.superseded.is_none() {
             self.heartbeat = self.heartbeat.max(word.beat);
--- a/crates/coord/src/member/hosts.rs
+++ b/crates/coord/src/member/hosts.rs
@@ -1,4 +1,4 @@
-//! The hosts that are known, with their states.
+//! Table of the known hosts and their states.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,52 +11,52 @@
     store::Listed,
 };
 
-/// One host.
+/// A known host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
-    /// Incarnation; never falls.
+    /// Incarnation; never decreases.
     pub incarnation: u64,
-    /// Region; empty while only a heartbeat is known of it.
+    /// Region; empty while the host is known only by a heartbeat.
     pub region: Arc<str>,
-    /// Failure domain; empty while only a heartbeat is known of it.
+    /// Failure domain; empty while the host is known only by a heartbeat.
     pub domain: Arc<str>,
     /// Address for callers.
     pub callers: Arc<str>,
-    /// Address for hosts.
+    /// Address for other hosts.
     pub peers: Arc<str>,
-    /// Highest beat heard of, by anyone; never falls within an incarnation.
+    /// Highest heartbeat number that any host has received; never decreases within an incarnation.
     pub heartbeat: u64,
-    /// Configuration revision that it last named.
+    /// Configuration revision that the host last reported.
     pub revision: u64,
-    /// Whether the platform lists it.
+    /// Whether the platform lists the host.
     pub listed: bool,
-    /// What it last said of itself.
+    /// State that the host last reported of itself.
     pub reported_state: HostState,
-    /// What hosts that do not hear it said last.
+    /// Suspicions by the host that raised them.
     ///
-    /// A suspicion lapses unless it is said again. The word that takes it back may be lost while this
-    /// host is cut off, and the host that is doubted may never hear of it.
+    /// A suspicion expires unless it is renewed. The rumor that withdraws it may be lost during a
+    /// partition, and the suspected host may never receive the suspicion.
     suspicions: BTreeMap<Arc<str>, Suspicion>,
-    /// Whether it stands in this host's domain, and so is heard by some.
+    /// Whether the host is in this host's domain, so that some hosts here receive its heartbeats.
     is_local: bool,
-    /// Time of the last sign of it, or of its first appearance.
+    /// Time of the last heartbeat or message from the host, or of its first appearance.
     pub(super) heard: Duration,
 }
 
-/// A host's word that it does not hear another.
+/// The claim of a watcher that it does not receive another host's heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Suspicion {
-    /// Last beat that it heard, and whether for long it has heard none.
+    /// Last heartbeat number that the watcher received, and whether the host is suspect or gone.
     claim: (u64, HostState),
-    /// When it last said so.
+    /// Time of the last renewal.
     reported_at: Duration,
 }
 
 impl Host {
-    /// Its state, as far as this host knows.
+    /// Returns the state as far as this host knows it.
     ///
-    /// It is gone when two hosts say so: a single one may have lost its own link. Where only one
-    /// host watches it, that one decides.
+    /// A host is gone when two watchers claim so: a single watcher may have lost its own link. If
+    /// only one host watches it, that one decides.
     pub fn state(&self, watchers: usize) -> HostState {
         let gone = self
             .suspicions
@@ -80,8 +80,8 @@
         self.heard = now;
     }
 
-    /// The state of a new incarnation. Hosts of other domains are not heard: one that is known
-    /// serves, unless a word says otherwise.
+    /// Initial state of a new incarnation. Hosts of other domains send no heartbeats here, so a
+    /// known one counts as serving unless a rumor says otherwise.
     fn initial_state(&self) -> HostState {
         if self.is_local {
             HostState::Starting
@@ -90,18 +90,18 @@
         }
     }
 
-    /// Learns where it stands.
-    fn set_location(&mut self, region: &Arc<str>, domain: &Arc<str>, mine: &str) {
+    /// Sets the region and the domain.
+    fn set_location(&mut self, region: &Arc<str>, domain: &Arc<str>, own_domain: &str) {
         let unknown = self.domain.is_empty();
         self.region = region.clone();
         self.domain = domain.clone();
-        self.is_local = **domain == *mine;
+        self.is_local = **domain == *own_domain;
         if unknown && self.reported_state == HostState::Starting {
             self.reported_state = self.initial_state();
         }
     }
 
-    /// Takes a sign of life; `false` for an old one.
+    /// Records a heartbeat; returns `false` for an outdated one.
     fn note_heartbeat(&mut self, incarnation: u64, beat: u64, now: Duration) -> bool {
         if incarnation < self.incarnation
             || (incarnation == self.incarnation && beat < self.heartbeat)
@@ -112,8 +112,9 @@
             self.reset(incarnation, now);
         }
         if beat > self.heartbeat {
-            // A newer beat refutes the suspicions of those who heard only older ones. Not all suspicions:
-            // words come in any order, and an old sign of life may follow the word of its end.
+            // A newer heartbeat refutes the suspicions of watchers that received only older ones.
+            // Later suspicions stay: rumors arrive in any order, and an old heartbeat may follow
+            // the rumor that the host is gone.
             self.suspicions
                 .retain(|_, suspicion| suspicion.claim.0 >= beat);
             self.heard = now;
@@ -123,16 +124,16 @@
     }
 }
 
-/// The known hosts, this one included.
+/// The known hosts, including this one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HostTable {
     pub(super) hosts: BTreeMap<Arc<str>, Host>,
 }
 
 impl HostTable {
-    /// Takes the platform's list. It lags: it adds hosts and addresses, and it never makes a host
-    /// that was heard since go back. A host that it no longer names is kept while it is heard.
-    pub(super) fn apply_listing(&mut self, listed: &[Listed], mine: &str, now: Duration) {
+    /// Applies the platform's list. The list lags: it adds hosts and addresses, and never reverts a
+    /// host that was heard since. A host that is no longer listed stays while it is heard.
+    pub(super) fn apply_listing(&mut self, listed: &[Listed], own_domain: &str, now: Duration) {
         let names: BTreeSet<_> = listed.iter().map(|host| &host.name).collect();
         for (name, host) in &mut self.hosts {
             host.listed = names.contains(name);
@@ -146,7 +147,7 @@
                 continue;
             }
             if new.incarnation > host.incarnation || host.domain.is_empty() {
-                host.set_location(&new.region, &new.domain, mine);
+                host.set_location(&new.region, &new.domain, own_domain);
                 if new.incarnation > host.incarnation {
                     host.reset(new.incarnation, now);
                 }
@@ -160,7 +161,7 @@
         }
     }
 
-    pub(super) fn introduce(&mut self, ask: &SyncAsk, mine: &str, now: Duration) {
+    pub(super) fn introduce(&mut self, ask: &SyncAsk, own_domain: &str, now: Duration) {
         let host = self
             .hosts
             .entry(ask.name.clone())
@@ -168,7 +169,7 @@
         if ask.incarnation < host.incarnation {
             return;
         }
-        host.set_location(&ask.region, &ask.domain, mine);
+        host.set_location(&ask.region, &ask.domain, own_domain);
         if ask.incarnation > host.incarnation {
             host.reset(ask.incarnation, now);
         }
@@ -182,7 +183,7 @@
             .hosts
             .entry(beat.name.clone())
             .or_insert_with(|| unknown_host(now));
-        // Heartbeats come from this domain only.
+        // Heartbeats are sent only within a domain.
         host.is_local = true;
         if host.note_heartbeat(beat.incarnation, beat.beat, now) {
             host.reported_state = merge_state(host.reported_state, beat.state);
@@ -197,7 +198,8 @@
         }
     }
 
-    /// Takes word of a state that was said at `said`. Returns whether it was news.
+    /// Applies a rumor about a state that was reported at `reported_at`. Returns whether the host
+    /// changed.
     pub(super) fn apply_state_rumor(
         &mut self,
         word: &StateWord,
@@ -214,13 +216,13 @@
                 host.reported_state = merge_state(host.reported_state, word.state);
             }
         } else if !matches!(word.state, HostState::Suspect | HostState::Gone) {
-            // One that watches it hears it again.
+            // A watcher receives heartbeats of the host again.
             if host.note_heartbeat(word.incarnation, word.beat, now) {
                 host.reported_state = merge_state(host.reported_state, word.state);
             }
         } else if word.incarnation == host.incarnation && word.beat >= host.heartbeat {
-            // Words come in any order. An older suspicion that came after the word that the host is
-            // gone would take that word back, and nobody would say it again.
+            // Rumors arrive in any order. An older suspicion that arrives after the claim that the
+            // host is gone must not replace it: the claim would not be sent again.
             let new = Suspicion {
                 claim: (word.beat, word.state),
                 reported_at,
@@ -234,7 +236,7 @@
         *host != old
     }
 
-    /// Drops suspicions that were not said again; gives the hosts concerned.
+    /// Drops suspicions that were not renewed; returns the hosts concerned.
     pub(super) fn expire_suspicions(&mut self, now: Duration, after: Duration) -> Vec<Arc<str>> {
         let mut out = Vec::new();
         for (name, host) in &mut self.hosts {
@@ -255,8 +257,8 @@
     }
 }
 
-/// A host that said that it leaves does not come back in the same incarnation, whatever arrives
-/// late.
+/// Merges a reported state. A leaving host does not serve again in the same incarnation, whatever
+/// arrives late.
 fn merge_state(old: HostState, new: HostState) -> HostState {
     match (old, new) {
         (HostState::Gone, _) => HostState::Gone,
--- a/crates/coord/src/member/mod.rs
+++ b/crates/coord/src/member/mod.rs
@@ -1,19 +1,19 @@
-//! Who is there: the platform's lagging list, corrected by heartbeats between hosts.
+//! Membership of hosts: the platform's lagging list, corrected by heartbeats between hosts.
 //!
-//! Answers the load of a fleet that cannot hear from all: at 2,400 hosts a heartbeat from each to
-//! each would cost megabytes a second. Each host is watched by [`WATCHERS`] others of its domain;
-//! what changes (a host that leaves, falls silent, or is heard again; a request that kills
-//! targets) travels as a *word* that reaches all hosts in three hops. Inside a domain hosts report
-//! their facts to each other; between domains two speakers send a digest.
+//! At 2,400 hosts a heartbeat from each host to each other would cost megabytes a second. So each
+//! host is watched by only [`WATCHERS`] others of its domain. A change (a host leaves, is silent,
+//! or is heard again; a request kills targets) is broadcast as a *rumor* that reaches all hosts in
+//! three hops. Within a domain hosts report their facts to each other; between domains two gateways
+//! send a digest.
 //!
-//! * A restart is another incarnation; a higher one supersedes the lower.
-//! * A doubt names the last beat that was heard. A later beat refutes it, so a host that was only
-//!   slow is back at once, and late words do no harm.
-//! * Two watchers must agree that a host is gone. Leaving is said by the host itself and needs no
-//!   silence, so it spreads in three hops instead of after a timeout.
-//! * A host whose own ticks have a gap was paused: it may have been superseded, and its view is
-//!   old. [`Membership::caught_up`] is `false` until another host has answered it, and it doubts
-//!   nobody for a silence that was its own.
+//! * A restarted process has a new incarnation; a higher incarnation supersedes a lower one.
+//! * A suspicion names the last heartbeat that was received. A later heartbeat refutes it, so a
+//!   host that was only slow recovers at once and late rumors do no harm.
+//! * Two watchers must agree that a host is gone. A host announces by itself that it leaves, so
+//!   this takes three hops instead of a timeout.
+//! * A gap between a host's own ticks means that its process was paused: it may have been
+//!   superseded and its view is outdated. [`Membership::caught_up`] is `false` until another host
+//!   has replied, and the host suspects no other host for the time of its own pause.
 //!
 //! ```
 //! use std::time::Duration;
@@ -62,131 +62,135 @@
 };
 use self::{hosts::HostTable, rumors::RumorStore, topology::Topology};
 
-/// What the caller does for a membership, or learns from it.
+/// Action for the caller, or a change to report to it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message to a host, at the address in [`Membership::hosts`].
     Send {
-        /// Whom.
+        /// Name of the receiving host.
         to: Arc<str>,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// A host's state or incarnation is another one.
+    /// The state or the incarnation of a host changed.
     HostChanged {
-        /// Which host.
+        /// Name of the host.
         name: Arc<str>,
-        /// Its incarnation.
+        /// Incarnation of the host.
         incarnation: u64,
-        /// Its state.
+        /// State of the host.
         state: HostState,
     },
-    /// Nothing is heard from a failure domain, or something again.
+    /// A failure domain became silent, or is heard again.
     DomainSilent {
-        /// Which.
+        /// Name of the domain.
         domain: Arc<str>,
         /// Whether it is silent.
         silent: bool,
     },
     /// A request or target that every host refuses or avoids for a time.
     Quarantined(Quarantine),
-    /// A host holds this configuration revision; for [`follow`](crate::follow).
+    /// A host has this configuration revision; input for [`follow`](crate::follow).
     PeerRevision {
-        /// Which host.
+        /// Name of the host.
         peer: Arc<str>,
         /// The revision.
         revision: u64,
     },
     /// [`Membership::caught_up`] changed.
     CaughtUp(bool),
-    /// A later incarnation of this host is there; this process must stop.
+    /// A later incarnation of this host exists; this process must stop.
     Superseded {
         /// The later incarnation.
         incarnation: u64,
     },
-    /// An earlier process of this name had a higher incarnation; this one must begin anew above it.
+    /// An earlier process of this name had a higher incarnation; this one must restart with a
+    /// higher one.
     HigherIncarnation {
-        /// The earlier process's.
+        /// Incarnation of the earlier process.
         incarnation: u64,
     },
 }
 
-/// A membership of one host.
+/// The view that one host has of all hosts.
 #[derive(Clone, Debug)]
 pub struct Membership {
     me: LocalMember,
     timings: Timings,
     state: HostState,
-    /// Counts up with each heartbeat and each refuted doubt.
+    /// Number of the last heartbeat; also increases with each refuted suspicion.
     heartbeat: u64,
-    /// Beat with which the last doubt was refuted; doubts of earlier ones need no answer.
+    /// Heartbeat number with which the last suspicion was refuted; suspicions about earlier numbers
+    /// need no answer.
     refuted: u64,
     revision: u64,
-    /// Whether the next heartbeat goes to the whole domain, as the revision is another one.
+    /// Whether the next heartbeat goes to the whole domain because the revision changed.
     announce_revision: bool,
     table: HostTable,
     rumors: RumorStore,
-    /// Hosts that are not gone, by domain; the topology follows from them.
+    /// Hosts that are not gone, by domain; the topology is derived from them.
     domains: BTreeMap<Arc<str>, BTreeSet<Arc<str>>>,
-    /// Hosts of this domain that are gone and not forgotten.
+    /// Hosts of this domain that are gone and still in the table.
     gone: BTreeSet<Arc<str>>,
     topology: Topology,
-    /// Since when each watched host is waited for.
+    /// Time since when a heartbeat of each watched host is expected.
     watched_since: BTreeMap<Arc<str>, Duration>,
-    /// Watched hosts that this host doubts.
+    /// Watched hosts that this host suspects.
     suspected: BTreeSet<Arc<str>>,
-    /// When each domain that speaks to this host was last heard, or first waited for.
+    /// Time of the last message from each domain that sends to this host, or since when one is
+    /// expected.
     last_direct: BTreeMap<Arc<str>, Duration>,
-    /// Which hosts of this domain do not hear another domain, with the number of their word.
+    /// Reports of the hosts of this domain that receive nothing from another domain, by that
+    /// domain.
     silence_reports: BTreeMap<Arc<str>, SilenceReports>,
     facts: Facts,
-    /// Counts up with each change of the facts.
+    /// Increases with each change of the facts.
     facts_stamp: u64,
-    /// Stamp of the last report sent, and reports since the last that was sent without a change.
+    /// Stamp of the last report sent, and rounds since the last report.
     reported_stamp: u64,
     unchanged_rounds: u32,
-    /// Hosts that have not had a report yet.
+    /// Hosts that have not received a report yet.
     newcomers: BTreeSet<Arc<str>>,
     reports: BTreeMap<Arc<str>, (Report, Duration)>,
     digests: BTreeMap<Arc<str>, (Digest, Duration)>,
-    /// Digests heard directly and not passed on yet.
+    /// Digests received directly and not relayed yet.
     pending_digests: BTreeMap<Arc<str>, Digest>,
-    /// Lowest revision of each domain as last passed on within this one.
+    /// Lowest revision of each domain as last relayed within this one.
     relayed_lowest: BTreeMap<Arc<str>, u64>,
     digest_stamp: u64,
-    /// Since when the words of each host that was heard differ from this host's.
+    /// Time since when the rumors of another host differ from those of this host.
     mismatch_since: BTreeMap<Arc<str>, Duration>,
     due: Due,
     last_tick: Duration,
-    /// Since when other hosts are asked; `None` once one has answered.
+    /// Time since when this host is catching up; `None` once another host has replied.
     catching_up_since: Option<Duration>,
     /// Whether this host has ever caught up.
     joined: bool,
-    /// Counts up with each ask, to ask others in turn; begins at a place of the host's own, as hosts
-    /// started together would all ask the same one.
+    /// Round-robin index of the host to ask next; starts at an offset by name, as hosts that start
+    /// together would otherwise all ask the same host.
     next_peer: usize,
     listed: bool,
     superseded: Option<u64>,
-    /// States as last told to the caller.
+    /// States as last reported to the caller.
     reported_states: BTreeMap<Arc<str>, (u64, HostState)>,
-    /// Hosts of each domain that are not gone, as last told.
+    /// Number of hosts of each domain that are not gone, as last reported.
     live_counts: BTreeMap<Arc<str>, usize>,
     silent_domains: BTreeSet<Arc<str>>,
 }
 
-/// What hosts said of a domain's silence.
+/// Reports on the silence of one domain, by the reporting host.
 type SilenceReports = BTreeMap<Arc<str>, SilenceReport>;
 
-/// What one host last said of a domain's silence; it lapses unless it is said again.
+/// Last report of one host on the silence of a domain; expires unless it is renewed.
 #[derive(Clone, Copy, Debug, Default)]
 struct SilenceReport {
-    /// Number of its word.
+    /// Heartbeat number of the report.
     beat: u64,
     silent: bool,
     reported_at: Duration,
 }
 
-/// When things are next done.
+/// Times at which the periodic actions are due.
 #[derive(Clone, Copy, Debug, Default)]
 struct Due {
     heartbeat: Duration,
@@ -198,8 +202,8 @@
 }
 
 impl Membership {
-    /// Begins as a starting host that knows nobody. Each host's rounds begin at a place of their
-    /// own, so that hosts started together do not send together.
+    /// Creates the membership of a starting host that knows no other host. The periodic actions
+    /// start at an offset by name, so that hosts that start together do not send together.
     pub fn open(me: LocalMember, timings: Timings, now: Duration) -> Self {
         let offset = rapidhash::v3::rapidhash_v3(me.name.as_bytes()) % 1000;
         let phase = |time: Duration| now + time * offset as u32 / 1000;
@@ -259,8 +263,8 @@
         member
     }
 
-    /// Sets what this host reports to its domain; sent with the next round where it changed. The
-    /// revision in it is that of [`Membership::set_revision`].
+    /// Sets the facts that this host reports to its domain; sent in the next round if they changed.
+    /// Their revision is replaced by that of [`Membership::set_revision`].
     pub fn set_facts(&mut self, facts: Facts) {
         if facts != self.facts {
             self.facts = facts;
@@ -268,17 +272,17 @@
         }
     }
 
-    /// Sets the configuration revision in force here; the next heartbeat tells the whole domain.
+    /// Sets the active configuration revision; the next heartbeat sends it to the whole domain.
     pub fn set_revision(&mut self, revision: u64) {
         if self.revision != revision {
             self.revision = revision;
             self.announce_revision = true;
-            // The heartbeat may be lost; the next report names it too.
+            // The heartbeat may be lost; the next report contains the revision too.
             self.facts_stamp += 1;
         }
     }
 
-    /// Takes the platform's list.
+    /// Handles the platform's list of hosts.
     pub fn handle_listing(&mut self, now: Duration, listing: &Listing) -> Vec<Action> {
         let mut out = Vec::new();
         self.notice_pause(now, &mut out);
@@ -300,7 +304,7 @@
         out
     }
 
-    /// Changes this host's own state, and says so to all.
+    /// Changes this host's own state and broadcasts it.
     pub fn set_state(&mut self, now: Duration, state: HostState) -> Vec<Action> {
         let mut out = Vec::new();
         if self.state != state {
@@ -329,7 +333,8 @@
         }
     }
 
-    /// How many hosts there are to watch a host; two are enough to decide.
+    /// Returns the number of live watchers of a host, at most [`WATCHERS`]; two are enough to
+    /// decide.
     fn watcher_count(&self, host: &Host) -> usize {
         let live = self
             .live_counts
@@ -339,13 +344,14 @@
         live.saturating_sub(1).min(WATCHERS)
     }
 
-    /// Notes another process under this host's name.
+    /// Handles the incarnation of another process under this host's name.
     ///
-    /// Incarnations come from the time of day. Where it was set back, or stood ahead when the earlier
-    /// process started, the later one has the lower number: all others take it for the old one, tell it to
-    /// stop, and the host is out of service until the clock is past the earlier start. A process that has
-    /// not joined yet has only just started, so what is known of its name is of an earlier one. One that
-    /// was paused and replaced had joined before.
+    /// Incarnations are derived from the wall clock. If the clock was set back, or was ahead when
+    /// the earlier process started, the later process has the lower number: all other hosts take it
+    /// for the old one and tell it to stop, and the host is out of service until the clock passes
+    /// the earlier start. A process that has not joined yet has only just started, so a higher
+    /// number belongs to an earlier process. A process that was paused and replaced had joined
+    /// before.
     fn check_own_incarnation(&mut self, incarnation: u64, out: &mut Vec<Action>) {
         if incarnation <= self.superseded.unwrap_or(self.me.incarnation) {
             return;
--- a/crates/coord/src/member/receive.rs
+++ b/crates/coord/src/member/receive.rs
@@ -1,4 +1,4 @@
-//! Messages from other hosts.
+//! Handling of messages from other hosts.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -7,8 +7,7 @@
 use super::{Action, Membership};
 
 impl Membership {
-    /// Takes a message from another host. Messages about the configuration are none of its
-    /// business and are ignored.
+    /// Handles a message from another host. Messages about the configuration are ignored.
     pub fn handle_message(&mut self, now: Duration, message: &Message) -> Vec<Action> {
         let mut out = Vec::new();
         self.notice_pause(now, &mut out);
@@ -65,10 +64,10 @@
     }
 
     fn handle_digest(&mut self, now: Duration, digest: &Digest, out: &mut Vec<Action>) {
-        // A restarted host counts from the beginning.
+        // A restarted host counts its digests from the beginning.
         let newer = self.digests.get(&digest.domain).is_none_or(|(old, _)| {
-            let place = |one: &Digest| (one.incarnation, one.stamp);
-            old.by != digest.by || place(old) < place(digest)
+            let order = |digest: &Digest| (digest.incarnation, digest.stamp);
+            old.by != digest.by || order(old) < order(digest)
         });
         if newer && digest.domain != self.me.domain {
             let entry = (digest.clone(), now);
@@ -77,8 +76,8 @@
         }
     }
 
-    /// Passes a digest on at once where a whole domain has come to another revision: an operator
-    /// waits to hear that an apply is in force everywhere.
+    /// Relays a digest at once if the lowest revision of its domain changed: an operator waits for
+    /// an apply to be active everywhere.
     fn relay_changed_lowest(&mut self, digest: &Digest, out: &mut Vec<Action>) {
         let last = self.relayed_lowest.get(&digest.domain);
         if last == Some(&digest.lowest) || !self.topology.relayed.contains(&digest.domain) {
@@ -105,8 +104,9 @@
         }
     }
 
-    /// Asks for words where another host's sum has differed for a while. A word that is on its way,
-    /// or ends here a moment before it ends there, makes sums differ without any being missed.
+    /// Requests missing rumors if another host's checksum has differed for a while. A rumor in
+    /// transit, or one that expires here a moment before it expires there, makes checksums differ
+    /// although none is missing.
     fn compare_checksum(
         &mut self,
         now: Duration,
@@ -170,8 +170,8 @@
         });
     }
 
-    /// Word for a paused host that it was replaced. It was once said by the newer process, and
-    /// that word may have ended long ago.
+    /// Returns a rumor for a paused host that it was replaced. The newer process broadcast it once,
+    /// and that rumor may have expired long ago.
     fn later_incarnation(&self, name: &Arc<str>) -> Option<dunlinrock_schema::coord::Rumor> {
         let host = self.table.hosts.get(name)?;
         let word = dunlinrock_schema::coord::StateWord {
--- a/crates/coord/src/member/rumors.rs
+++ b/crates/coord/src/member/rumors.rs
@@ -1,4 +1,4 @@
-//! RumorStore that are on their way to all hosts.
+//! Store of the rumors that are being distributed to all hosts.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,37 +10,38 @@
 
 use crate::wire;
 
-/// Most words held at once: one for each of 2,400 hosts started together, and as many again.
+/// Maximum number of stored rumors: one for each of 2,400 hosts started together, and about as many
+/// again.
 const MAX_RUMORS: usize = 4096;
-/// A quarantine with less time left than this is not passed on: it would end on arrival.
+/// A quarantine with less remaining time than this is not relayed: it would expire on arrival.
 const MIN_REMAINING: Duration = Duration::from_millis(200);
 
-/// A word, with the time at which it expires_at and the time until which it is remembered as ended.
+/// A rumor with the time of its expiry and the time until which its key is remembered.
 #[derive(Clone, Debug)]
 struct StoredRumor {
     rumor: Rumor,
     expires_at: Duration,
-    /// Longer than any other host passes it on, so that it does not come back as news.
+    /// Later than any other host relays the rumor, so that it is not accepted as new again.
     forget_at: Duration,
 }
 
-/// The words that a host holds.
+/// Rumors of one host, by key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RumorStore {
     rumors: BTreeMap<u64, StoredRumor>,
 }
 
 impl RumorStore {
-    /// Takes a word; `false` for one that is known.
+    /// Stores a rumor; returns `false` if it is already known.
     ///
-    /// A word carries the time it has left, so it expires_at at about the same time everywhere. If each
-    /// host counted a time of its own from when it heard of it, hosts that ask each other for what
-    /// they lack would hand an old word round for ever.
+    /// A rumor carries its remaining time, so it expires at about the same time everywhere. If each
+    /// host counted the time from its own receipt, hosts that exchange missing rumors would relay
+    /// an old one endlessly.
     pub(super) fn insert(&mut self, rumor: &Rumor, now: Duration, retention: Duration) -> bool {
         let key = key(&rumor.word);
         let expires_at = now + Duration::from_millis(rumor.ttl_ms);
         if let Some(stored) = self.rumors.get_mut(&key) {
-            // The same request killed another target: the word starts anew.
+            // The same request killed another target: the quarantine starts again.
             let extended = matches!(rumor.word, Word::Quarantine(_))
                 && expires_at > stored.expires_at + MIN_REMAINING * 5;
             if extended {
@@ -69,17 +70,18 @@
         self.rumors.retain(|_, stored| now < stored.forget_at);
     }
 
-    /// A sum over the words that have not ended; two hosts with the same words have the same.
+    /// Returns a checksum of the rumors that have not expired; equal for two hosts with the same
+    /// rumors.
     pub(super) fn sum(&self, now: Duration) -> u64 {
         self.live(now).fold(0, |sum, (key, _)| sum ^ key)
     }
 
-    /// Keys of all words, ended ones too.
+    /// Returns the keys of all rumors, including expired ones.
     pub(super) fn keys(&self) -> Vec<u64> {
         self.rumors.keys().copied().collect()
     }
 
-    /// RumorStore that a host with these keys lacks.
+    /// Returns the rumors that a host with these keys lacks.
     pub(super) fn missing_from(&self, have: &BTreeSet<u64>, now: Duration) -> Vec<Rumor> {
         let lacks = |key: &u64| !have.contains(key);
         let live = self.live(now).filter(|(key, _)| lacks(key));
@@ -87,7 +89,7 @@
             .collect()
     }
 
-    /// Quarantines in force, with the time that they have left.
+    /// Returns the active quarantines with their remaining time.
     pub(super) fn quarantines(&self, now: Duration) -> Vec<Quarantine> {
         let live = self
             .rumors
@@ -116,7 +118,7 @@
     rumor
 }
 
-/// Names a word; the time left is no part of it.
+/// Returns the key of a rumor; the remaining time is not part of it.
 fn key(word: &Word) -> u64 {
     let mut word = word.clone();
     if let Word::Quarantine(word) = &mut word {
--- a/crates/coord/src/member/tick.rs
+++ b/crates/coord/src/member/tick.rs
@@ -1,4 +1,4 @@
-//! What a host does as time passes.
+//! Time-driven actions of a membership.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,19 +6,19 @@
 
 use super::{Action, Membership};
 
-/// Most grants in one digest, so that its size is bounded; more take turns. With eight grants
-/// each, one host at 48 a domain sent 2.8 KB/s in passing digests on.
+/// Maximum number of grants in one digest, which bounds its size; more are sent in rotation. With
+/// eight grants, one host in a domain of 48 sent 2.8 KB/s of relayed digests.
 const MAX_DIGEST_GRANTS: usize = 4;
-/// A report without a change is sent every so many rounds, as the last one may be lost.
+/// An unchanged report is sent again after this many rounds, as the last one may have been lost.
 const MAX_UNCHANGED_ROUNDS: u32 = 4;
-/// Looks for doubts to lapse within the time in which they do.
+/// Expired suspicions are looked for this many times within `rumor_ttl`.
 const EXPIRY_CHECKS: u32 = 6;
-/// Times the `gone` silence after which a host that nobody answers counts as alone.
+/// A host that receives no reply for this many times `gone_after` counts as alone.
 const ALONE_FACTOR: u32 = 3;
 
 impl Membership {
-    /// Lets time pass. Call it at least once a heartbeat: a gap longer than the silence that makes
-    /// a host suspect counts as a pause.
+    /// Advances the time. Must be called at least once per heartbeat interval: a gap longer than
+    /// [`Timings::suspect_after`](super::Timings::suspect_after) counts as a pause.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let mut out = Vec::new();
         if self.superseded.is_some() {
@@ -36,9 +36,9 @@
         out
     }
 
-    /// Looks for a gap in this host's own ticks. Each input does so before all else: after a pause
-    /// what waited in a socket may be read before the next tick, and must not be acted on by a view
-    /// that is as old as the pause.
+    /// Detects a gap between this host's own ticks. Each input checks this first: after a pause,
+    /// messages waiting in a socket may be read before the next tick, and must not be handled with
+    /// a view that is as old as the pause.
     pub(super) fn notice_pause(&mut self, now: Duration, out: &mut Vec<Action>) {
         if self.paused(now) {
             self.last_tick = now;
@@ -46,7 +46,8 @@
         }
     }
 
-    /// This host was paused: the silence was its own, and the world may have gone on without it.
+    /// Resets the timers after a pause of this host: the missing messages were due to the pause,
+    /// and the other hosts may have changed state.
     fn resume_after_pause(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.watched_since
             .values_mut()
@@ -63,7 +64,8 @@
             return;
         };
         if now > since + self.timings.gone_after * ALONE_FACTOR {
-            // Nobody answers: the others are dead or cut off, and who can hear this host needs it.
+            // No host replies: the others are gone or cut off, and whichever caller reaches this
+            // host needs it.
             self.mark_caught_up(out);
         } else if now >= self.due.sync {
             let local = &self.topology.local_peers;
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Doubts watched hosts that are silent, and takes it back when they are heard.
+    /// Suspects watched hosts that are silent, and withdraws the suspicion when they are heard.
     fn check_watched_hosts(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.rumors.remove_expired(now);
         let mut states = Vec::new();
@@ -85,10 +87,10 @@
                 continue;
             };
             let silence = now.saturating_sub(host.heard.max(*since));
-            // Said again at half the time after which others let it lapse.
-            let turn = silence.as_millis() * 2 / self.timings.rumor_ttl.as_millis().max(1);
+            // Renewed after half the time in which it expires at other hosts.
+            let renewals = silence.as_millis() * 2 / self.timings.rumor_ttl.as_millis().max(1);
             if silence >= self.timings.gone_after {
-                states.push((name.clone(), (HostState::Gone, turn as u64)));
+                states.push((name.clone(), (HostState::Gone, renewals as u64)));
             } else if silence >= self.timings.suspect_after {
                 states.push((name.clone(), (HostState::Suspect, 0)));
             } else if self.suspected.contains(name) {
@@ -106,7 +108,7 @@
         self.renew_and_expire(now, out);
     }
 
-    /// Lets old doubts lapse, and says again that this host leaves.
+    /// Drops expired suspicions, and renews the rumor that this host leaves.
     fn renew_and_expire(&mut self, now: Duration, out: &mut Vec<Action>) {
         if now < self.due.renew {
             return;
@@ -141,7 +143,8 @@
                 self.broadcast_domain_state(now, domain, silent, out);
             }
         }
-        // A host that no domain speaks to any more has no say on its silence.
+        // A host that no longer receives messages from a domain withdraws its report on the
+        // domain's silence.
         let stale: Vec<_> = self
             .silence_reports
             .iter()
@@ -200,7 +203,8 @@
         }
     }
 
-    /// Shares are a third of a report, and only a host that starts needs those of others.
+    /// Builds a report. Shares are a third of its size, and only a starting host needs those of
+    /// other hosts.
     fn make_report(&self, shares: bool) -> Message {
         let mut facts = self.facts.clone();
         facts.revision = self.revision;
@@ -238,7 +242,7 @@
         }
     }
 
-    /// This domain as this host sees it.
+    /// Summarizes this domain as this host sees it.
     fn make_digest(&self, now: Duration) -> Digest {
         let hosts: Vec<_> = self.serving_local().collect();
         let pools = || {
@@ -263,13 +267,13 @@
         }
     }
 
-    /// Hosts of this domain that serve.
+    /// Returns the serving hosts of this domain.
     fn serving_local(&self) -> impl Iterator<Item = &Arc<str>> {
         let local = self.topology.local_peers.iter().chain([&self.me.name]);
         local.filter(|name| self.state_of(name) == HostState::Serving)
     }
 
-    /// Grants of this domain's hosts to a region, some at a time.
+    /// Returns grants of this domain's hosts to a region, a few at a time in rotation.
     fn grants_to(&self, region: &str) -> Vec<Grant> {
         let reports = self.reports.values().map(|(report, _)| &report.facts);
         let all: Vec<&Grant> = reports
@@ -278,15 +282,15 @@
             .filter(|grant| *grant.region == *region)
             .collect();
         let first = self.digest_stamp as usize * MAX_DIGEST_GRANTS % all.len().max(1);
-        let turn = all
+        let selected = all
             .iter()
             .cycle()
             .skip(first)
             .take(MAX_DIGEST_GRANTS.min(all.len()));
-        turn.map(|grant| (*grant).clone()).collect()
+        selected.map(|grant| (*grant).clone()).collect()
     }
 
-    /// Passes the digests heard since the last round on within the domain.
+    /// Relays the digests received since the last round within the domain.
     fn relay_digests(&mut self, now: Duration, out: &mut Vec<Action>) {
         if now < self.due.relay {
             return;
--- a/crates/coord/src/member/topology.rs
+++ b/crates/coord/src/member/topology.rs
@@ -1,4 +1,4 @@
-//! Who sends what to whom, worked out alike by all hosts from the members they know.
+//! Who sends which messages to whom; all hosts compute the same from the members they know.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,39 +7,42 @@
 
 use crate::rendezvous;
 
-/// Hosts that watch one host by its heartbeats. All of a domain's 48 others would cost 6 KB/s sent
-/// and 6 received at four heartbeats a second; two must agree that a host is gone, and some may be down themselves.
+/// Number of hosts that watch the heartbeats of one host. With all 48 others of a domain a host
+/// would send 6 KB/s and receive 6 KB/s at four heartbeats a second; two must agree that a host is
+/// gone, and some may be down themselves.
 pub const WATCHERS: usize = 4;
-/// Hosts of a domain that speak to another domain; one may be down.
+/// Number of hosts of a domain that send digests to another domain; one may be down.
 pub const GATEWAYS: usize = 2;
 
-/// A host's part.
+/// The peers of one host, by their role.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Topology {
     /// The other hosts of its domain.
     pub(super) local_peers: Vec<Arc<str>>,
-    /// Hosts that it sends heartbeats to.
+    /// Hosts to which it sends heartbeats.
     pub(super) watchers: Vec<Arc<str>>,
-    /// Hosts whose heartbeats it waits for.
+    /// Hosts whose heartbeats it expects.
     pub(super) watched: BTreeSet<Arc<str>>,
-    /// Hosts of other domains that it speaks to.
+    /// Hosts of other domains to which it sends digests and rumors.
     pub(super) remote_peers: Vec<Arc<str>>,
-    /// Domains whose gateways speak to it.
+    /// Domains whose gateways send to it.
     pub(super) expected: BTreeSet<Arc<str>>,
-    /// Those of them whose digests it passes on; the second host that hears them keeps quiet.
+    /// Domains among them whose digests it relays; the second host that receives them does not.
     pub(super) relayed: BTreeSet<Arc<str>>,
 }
 
-/// Works out the part of `me`, given the live hosts by domain and those of its own that are gone.
+/// Computes the topology of `me` from the live hosts by domain and the hosts of its own domain that
+/// are gone.
 pub(super) fn topology(
     me: &Arc<str>,
-    mine: &Arc<str>,
+    own_domain: &Arc<str>,
     domains: &BTreeMap<Arc<str>, BTreeSet<Arc<str>>>,
     gone: &BTreeSet<Arc<str>>,
 ) -> Topology {
-    let mut local_hosts = domains.get(mine).cloned().unwrap_or_default();
+    let mut local_hosts = domains.get(own_domain).cloned().unwrap_or_default();
     local_hosts.insert(me.clone());
-    // Those that are gone are watched on: word of them must be said again while they are listed.
+    // Hosts that are gone are still watched: that they are gone must be renewed while they are
+    // listed.
     let watched = local_hosts
         .union(gone)
         .filter(|name| *name != me && watchers(name, &local_hosts).contains(me))
@@ -48,19 +51,20 @@
     let ranked: Vec<(&Arc<str>, Vec<&Arc<str>>)> = domains
         .iter()
         .filter(|(_, hosts)| !hosts.is_empty())
-        // Not the rank of the relays: they have their own part to send.
+        // A key of its own, so that the ranks differ from those of the relays, which send other
+        // traffic. It must stay the same, as all hosts must compute the same ranks.
         .map(|(domain, hosts)| (domain, rendezvous::rank(&format!("{domain} speaks"), hosts)))
         .collect();
     let mut remote_peers = Vec::new();
     let mut expected = BTreeSet::new();
     let mut relayed = BTreeSet::new();
-    let own = ranked.iter().position(|(domain, _)| *domain == mine);
+    let own = ranked.iter().position(|(domain, _)| *domain == own_domain);
     for (index, (domain, _)) in ranked.iter().enumerate() {
         let Some(own) = own.filter(|own| *own != index) else {
             continue;
         };
         for (gateway, peer) in gateway_pairs(&ranked, own, index) {
-            // A domain of one host is spoken to once.
+            // A domain with a single host is sent to once.
             if gateway == me && !remote_peers.contains(peer) {
                 remote_peers.push(peer.clone());
             }
@@ -96,10 +100,10 @@
         .collect()
 }
 
-/// The hosts of one domain that speak to another, each with the host it speaks to.
+/// Returns the gateways of one domain to another, each with the host it sends to.
 ///
-/// The place among the domains chooses the place among the hosts, so that speaking is shared out
-/// evenly; a free choice by rendezvous gave some hosts three times the bytes of others.
+/// The index of the domain selects the index of the host, which balances the load; a free choice by
+/// rendezvous hashing gave some hosts three times the bytes of others.
 fn gateway_pairs<'a>(
     ranked: &'a [(&Arc<str>, Vec<&'a Arc<str>>)],
     from: usize,
--- a/crates/coord/src/member/view.rs
+++ b/crates/coord/src/member/view.rs
@@ -1,4 +1,4 @@
-//! What a host knows of the others.
+//! Read access to the membership.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -7,24 +7,24 @@
 use super::{Host, LocalMember, Membership};
 
 impl Membership {
-    /// The host itself.
+    /// Returns the identity of this host.
     pub fn me(&self) -> &LocalMember {
         &self.me
     }
 
-    /// The host's own state.
+    /// Returns this host's own state.
     pub fn state(&self) -> HostState {
         self.state
     }
 
-    /// Whether this host may take work up: another host has answered since its start or its last
-    /// pause (or there is none), and no later incarnation of it is known.
+    /// Returns whether this host may accept work: another host has replied since its start or its
+    /// last pause (or there is none), and no later incarnation of it is known.
     pub fn caught_up(&self) -> bool {
         self.catching_up_since.is_none() && self.superseded.is_none()
     }
 
-    /// As [`Membership::caught_up`], for one moment: also `false` right after a pause that no tick
-    /// has noticed yet. Ask it before an act that must not come from a host that was replaced.
+    /// Like [`Membership::caught_up`], but also `false` right after a pause that no tick has
+    /// detected yet. Check it before an action that a replaced host must not take.
     pub fn caught_up_at(&self, now: Duration) -> bool {
         self.caught_up() && !self.paused(now)
     }
@@ -33,17 +33,17 @@
         now > self.last_tick + self.timings.suspect_after
     }
 
-    /// The later incarnation of this host, if there is one.
+    /// Returns the later incarnation of this host, if there is one.
     pub fn superseded(&self) -> Option<u64> {
         self.superseded
     }
 
-    /// All known hosts by name, this one included.
+    /// Returns all known hosts by name, including this one.
     pub fn hosts(&self) -> &BTreeMap<Arc<str>, Host> {
         &self.table.hosts
     }
 
-    /// State of a host; gone for one that is not known.
+    /// Returns the state of a host; [`HostState::Gone`] if it is not known.
     pub fn state_of(&self, name: &str) -> HostState {
         match self.table.hosts.get(name) {
             Some(_) if *name == *self.me.name => self.state,
@@ -52,12 +52,13 @@
         }
     }
 
-    /// Hosts that are there and stay, with their failure domains: for [`relay`](crate::relay).
+    /// Returns the hosts that are neither leaving nor gone, with their failure domains; input for
+    /// [`relay`](crate::relay).
     pub fn members(&self) -> BTreeMap<Arc<str>, Arc<str>> {
         self.with_state(|state| !matches!(state, HostState::Leaving | HostState::Gone))
     }
 
-    /// Hosts that serve, in domains that are heard, with their failure domains.
+    /// Returns the serving hosts of domains that are not silent, with their failure domains.
     pub fn serving(&self) -> BTreeMap<Arc<str>, Arc<str>> {
         let mut out = self.with_state(|state| state == HostState::Serving);
         out.retain(|_, domain| !self.silent_domains.contains(domain));
@@ -73,31 +74,30 @@
             .collect()
     }
 
-    /// Whether nothing is heard from a failure domain.
+    /// Returns whether nothing is received from a failure domain.
     pub fn is_domain_silent(&self, domain: &str) -> bool {
         self.silent_domains.contains(domain)
     }
 
-    /// What a host of this domain last reported, and when that came.
+    /// Returns the last report of a host of this domain and the time of its receipt.
     pub fn report(&self, name: &str) -> Option<(&Report, Duration)> {
         self.reports.get(name).map(|(report, at)| (report, *at))
     }
 
-    /// The last digest of another domain, and when it came.
+    /// Returns the last digest of another domain and the time of its receipt.
     pub fn digest(&self, domain: &str) -> Option<(&Digest, Duration)> {
         self.digests.get(domain).map(|(digest, at)| (digest, *at))
     }
 
-    /// Requests and targets in quarantine, with the time they have left.
+    /// Returns the requests and targets in quarantine with their remaining time.
     pub fn quarantines(&self, now: Duration) -> Vec<Quarantine> {
         self.rumors.quarantines(now)
     }
 
-    /// The lowest revision in force on any live host of any domain that is heard, for an operator
-    /// who waits for an apply; `None` while some domain has not been heard of.
+    /// Returns the lowest active revision over the live hosts of all domains that are not silent,
+    /// for an operator who waits for an apply; `None` while a domain has sent no digest.
     ///
-    /// It lags behind by up to the time between two rounds of digests, and never runs ahead of a
-    /// host that is known to serve.
+    /// It lags by up to one digest interval, and never runs ahead of a host that is known to serve.
     pub fn lowest_revision(&self) -> Option<u64> {
         let inside = self.revisions().min().unwrap_or(self.revision);
         let others = self
@@ -110,7 +110,8 @@
             .try_fold(inside, |least, lowest| Some(least.min(lowest?)))
     }
 
-    /// Revisions in force on the serving hosts of this domain; 0 for one that has not said.
+    /// Returns the active revisions of the serving hosts of this domain; 0 for one that has
+    /// reported none.
     pub(super) fn revisions(&self) -> impl Iterator<Item = u64> {
         let serving = |name: &&Arc<str>| self.state_of(name) == HostState::Serving;
         let local = self.topology.local_peers.iter().filter(serving);
