--- a/crates/coord/examples/slopes.rs
+++ b/crates/coord/examples/slopes.rs
@@ -16,7 +16,7 @@
 
 fn main() {
     println!(
-        "| domains | hosts a domain | hosts | store calls/s | sent B/s a host | sent and received B/s, busiest host | change, ms | word, ms | leave, ms |"
+        "| domains | hosts a domain | hosts | store calls/s | sent B/s a host | sent and received B/s, busiest host | change, ms | rumor, ms | leave, ms |"
     );
     println!("|---:|---:|---:|---:|---:|---:|---:|---:|---:|");
     let mut kinds = Vec::new();
