--- a/crates/coord/benches/coord.rs
+++ b/crates/coord/benches/coord.rs
@@ -1,4 +1,4 @@
-//! Wall time at full size: pieces of 760,000 client blocks, and a host among 2,401.
+//! Wall time at full size: pieces of 760,000 client blocks, and one host among 2,401.
 //!
 //! ```text
 //! cargo bench -p dunlinrock-coord --bench coord
--- a/crates/coord/examples/slopes.rs
+++ b/crates/coord/examples/slopes.rs
@@ -1,13 +1,13 @@
-//! Prints what hosts cost each other and the store, counted in virtual time.
+//! Prints the load that hosts put on each other and on the store, counted in virtual time.
 //!
 //! ```text
 //! cargo run --release -p dunlinrock-coord --example slopes
 //! cargo run --release -p dunlinrock-coord --example slopes -- 24 24    # domains, hosts a domain
 //! ```
 //!
-//! Each row drives that many hosts' state machines for a minute: every host reports changing
+//! Each row runs the state machines of that many hosts for a minute: every host reports changing
 //! facts, and the configuration changes every 19 s (4,500 a day). Bytes are those of the encoded
-//! messages, without the headers of the protocol that carries them.
+//! messages, without the headers of the transport protocol.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/crates/coord/tests/apply_model.rs
+++ b/crates/coord/tests/apply_model.rs
@@ -1,5 +1,5 @@
-//! Exhaustive search over the real `Apply` and `Sweep` against a store whose answers are lost,
-//! whose operations come late or twice, and on which operators race.
+//! Exhaustive search over the real `Apply` and `Sweep`, with a store whose replies may be lost and
+//! whose operations may take effect late or twice, and with racing operators.
 
 mod common;
 
@@ -21,17 +21,17 @@
 use dunlinrock_schema::config::Config;
 use pathfinding::prelude::bfs_reach;
 
-/// Late enough that every wait is over.
+/// After the end of every delay.
 const AFTER_ALL_WAITS: Duration = Duration::from_secs(1 << 30);
 
-/// How often each fault may strike.
+/// How often each fault may occur.
 #[derive(Clone, Copy, Debug)]
 struct Budget {
-    /// The operation takes effect and its answer is lost.
+    /// The operation takes effect and its reply is lost.
     lost: u32,
-    /// No answer comes, and the operation takes effect at any later time, or never.
+    /// There is no reply, and the operation takes effect at any later time, or never.
     late: u32,
-    /// The operation is answered and takes effect once more at any later time.
+    /// The operation gets a reply and takes effect once more at any later time.
     duplicated: u32,
     /// Other operators apply ten configurations in a row.
     bursts: u32,
@@ -47,17 +47,17 @@
 struct State {
     store: Store,
     actors: Vec<Actor>,
-    /// Operations that the store has not seen, by actor and number.
+    /// Operations that the store has not received, by actor and id.
     in_flight: BTreeMap<(usize, u64), StoreOp>,
-    /// Operations that may still take effect, and whose answers nobody hears.
+    /// Operations that may still take effect and whose replies are lost.
     late: Vec<StoreOp>,
     remaining: Budget,
-    /// What really happened: id of the apply of each revision, with its tree.
+    /// The actual history: id and tree of the apply of each revision.
     applied: BTreeMap<u64, (Arc<str>, Hash)>,
     finding: Option<String>,
 }
 
-/// A state that is equal to another when their dumps are.
+/// A state, compared by the hash of its debug output.
 #[derive(Clone)]
 struct Node {
     key: Hash,
@@ -106,7 +106,7 @@
     }
 }
 
-/// Applies at once, without faults.
+/// Runs an apply to its end without faults.
 fn apply_now(store: &mut Store, id: &str, split: Split) {
     let mut apply = Apply::open(request(id, None), split, limits());
     let mut ops = apply.poll(AFTER_ALL_WAITS);
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Notes a moved root, and that its revision has not fallen.
+    /// Records the entries of the current root, and checks that the revision did not decrease.
     fn record_root(&mut self) {
         let Some(root) = self.store.read() else {
             return;
@@ -257,7 +257,7 @@
         out
     }
 
-    /// Checks what must hold in every state.
+    /// Checks the invariants of every state.
     fn check(&mut self) {
         if self.finding.is_some() {
             return;
@@ -319,7 +319,7 @@
         }
     }
 
-    /// Without anything under way, every actor must have come to an end.
+    /// Without pending operations, every actor must have ended.
     fn stuck_actor(&self) -> Option<String> {
         if !self.in_flight.is_empty() {
             return None;
@@ -338,7 +338,7 @@
     apply.request().id.clone()
 }
 
-/// Searches all states; gives their number and the first finding.
+/// Searches all states; returns their number and the first finding.
 fn search(actors: Vec<Actor>, remaining: Budget) -> (usize, Option<String>) {
     let start = node(State::open(actors, remaining));
     let mut count = 0;
@@ -365,8 +365,8 @@
     vec![open("x", "0.5", bases[0]), open("y", "0.6", bases[1])]
 }
 
-/// With two lost answers, and a doubled operation beside, the search reaches 1,913,083 states and
-/// takes ten minutes; it found nothing more.
+/// With two lost replies and a duplicated operation as well, the search reaches 1,913,083 states
+/// and takes ten minutes; it found nothing more.
 const RACE: Budget = Budget {
     lost: 1,
     late: 1,
@@ -416,7 +416,7 @@
     assert!(states > 1_000, "{states}");
 }
 
-// The check itself must find what it is for: each switched-on fault has to be seen.
+// The search itself must detect what it is for: each injected fault has to be found.
 #[test]
 fn the_search_detects_each_injected_fault() {
     for fault in [Fault::LostIsFailed, Fault::LostIsDone, Fault::Rebase] {
--- a/crates/coord/tests/common/fleet.rs
+++ b/crates/coord/tests/common/fleet.rs
@@ -1,6 +1,6 @@
-//! A few hosts' state machines driven in virtual time: messages with delays, counted in bytes.
+//! A fleet of hosts driven in virtual time: messages with delays, counted in bytes.
 //!
-//! Holds nothing of the behaviour under test; faults are switched on by fields.
+//! Contains none of the behaviour under test; faults are set by fields.
 #![allow(dead_code)]
 
 use std::{
@@ -26,7 +26,7 @@
 
 /// Time between two ticks of a host.
 pub(crate) const TICK: Duration = Duration::from_millis(50);
-/// Time after which a waiting watch is asked anew.
+/// Time after which a pending watch is repeated.
 const WATCH: Duration = Duration::from_secs(10);
 
 /// One host.
@@ -34,19 +34,19 @@
     pub(crate) member: Membership,
     pub(crate) follower: Follower,
     pub(crate) dead: bool,
-    /// Neither ticks nor reads; what is sent to it waits.
+    /// Neither ticks nor reads; messages to it are queued.
     pub(crate) paused: bool,
     inbox: Vec<Message>,
-    /// What its membership told it.
+    /// Actions that its membership reported.
     pub(crate) log: Vec<(Duration, member::Action)>,
-    /// Revisions put in force, with their times.
+    /// Revisions that became active, with their times.
     pub(crate) updates: Vec<(Duration, u64)>,
     role: Option<relay::RelayRole>,
     watch_due: Duration,
     watched_version: u64,
     pub(crate) sent: u64,
     pub(crate) received: u64,
-    /// Bytes sent and received by kind.
+    /// Bytes sent and received by kind of message.
     pub(crate) kinds: BTreeMap<&'static str, (u64, u64)>,
 }
 
@@ -65,21 +65,21 @@
     },
 }
 
-/// The hosts, what is between them, and the store.
+/// The hosts, the network between them, and the store.
 pub(crate) struct Fleet {
     pub(crate) now: Duration,
     pub(crate) nodes: BTreeMap<Arc<str>, Node>,
     pub(crate) listing: Listing,
     pub(crate) store: Store,
     pub(crate) store_down: bool,
-    /// Time until the store answers.
+    /// Time until the store replies.
     pub(crate) store_delay: Duration,
     pub(crate) store_calls: u64,
-    /// Domains between which nothing passes: those in the set and those outside.
+    /// Domains that are partitioned from all others; nothing passes between the two sides.
     pub(crate) partitioned: BTreeSet<Arc<str>>,
-    /// Part of the messages that are lost, of 1.
+    /// Fraction of the messages that are lost.
     pub(crate) loss: f64,
-    /// Messages and bytes by kind.
+    /// Number and bytes of messages by kind.
     pub(crate) counts: BTreeMap<&'static str, (u64, u64)>,
     timings: member::Timings,
     events: BTreeMap<(Duration, u64), Event>,
@@ -107,7 +107,7 @@
 }
 
 impl Fleet {
-    /// Starts hosts in domains, two domains a region; all are listed at once.
+    /// Starts hosts in domains, two domains per region; all are listed at once.
     pub(crate) fn open(domains: usize, hosts: usize, seed: u64) -> Self {
         Self::open_with(domains, hosts, seed, member::Timings::default())
     }
@@ -195,7 +195,7 @@
         });
     }
 
-    /// Has every running host read the platform's list.
+    /// Passes the platform's list to every running host.
     pub(crate) fn send_listing(&mut self) {
         let (now, listing) = (self.now, self.listing.clone());
         for name in self.running() {
@@ -204,7 +204,7 @@
         }
     }
 
-    /// The store stands outside of what is cut off.
+    /// Returns whether a host reaches the store, which is outside of the partitioned domains.
     fn reaches_store(&self, name: &str) -> bool {
         let domain = &self.nodes[name].member.me().domain;
         !self.store_down && !self.partitioned.contains(domain)
@@ -222,7 +222,7 @@
         self.nodes.get_mut(name).expect("a known host")
     }
 
-    /// Lets one host do something, and performs what comes of it.
+    /// Calls one host's membership and performs the resulting actions.
     pub(crate) fn act(
         &mut self,
         name: &str,
@@ -233,12 +233,12 @@
         self.perform(&Arc::from(name), actions);
     }
 
-    /// Wakes a paused host: it reads what was sent meanwhile, then ticks.
+    /// Resumes a paused host: it ticks, then reads the queued messages.
     pub(crate) fn resume(&mut self, name: &str) {
         let node = self.node(name);
         node.paused = false;
         let inbox = std::mem::take(&mut node.inbox);
-        // The clock is looked at first: a message may not make a host act on its old view.
+        // The tick comes first: a message must not make a host act on its old view.
         self.tick_host(&Arc::from(name));
         for message in inbox {
             self.deliver(&Arc::from(name), &message);
@@ -282,7 +282,7 @@
         self.watch(name);
     }
 
-    /// A waiting watch of the root: it answers at once on a change, else it waits.
+    /// A blocking watch of the root: it returns at once on a change, otherwise it waits.
     fn watch(&mut self, name: &Arc<str>) {
         let (now, down) = (self.now, !self.reaches_store(name));
         let version = self.store.root.as_ref().map_or(0, |(_, version)| *version);
@@ -512,7 +512,7 @@
         assert!(apply.outcome().is_some());
     }
 
-    /// Forgets what was counted so far.
+    /// Resets all counters.
     pub(crate) fn reset_counts(&mut self) {
         self.counts.clear();
         self.store_calls = 0;
@@ -522,7 +522,7 @@
         }
     }
 
-    /// States in which running hosts see a host.
+    /// Returns the states in which running hosts see a host.
     pub(crate) fn observed_states(&self, name: &str) -> BTreeSet<HostState> {
         let others = self
             .nodes
@@ -531,7 +531,7 @@
         others.map(|(_, node)| node.member.state_of(name)).collect()
     }
 
-    /// Runs until a condition holds; gives the time that took, or `None` after `most`.
+    /// Runs until a condition holds; returns the time that took, or `None` after `limit`.
     pub(crate) fn until(
         &mut self,
         limit: Duration,
--- a/crates/coord/tests/common/mod.rs
+++ b/crates/coord/tests/common/mod.rs
@@ -51,7 +51,7 @@
     config
 }
 
-/// Rules of a service, with a spread over three regions.
+/// Rules of a service, with a traffic split over three regions.
 pub(crate) fn rules(service: usize) -> Service {
     let region = |index: usize| format!("region-{:02}", (service + index) % 22);
     let text = format!(
@@ -77,7 +77,7 @@
     serde_json::from_str(&text).unwrap()
 }
 
-/// Blocks of /24, spread unevenly over the addresses.
+/// Blocks of /24, distributed unevenly over the addresses.
 pub(crate) fn client_blocks(count: usize) -> BTreeMap<Arc<str>, Arc<str>> {
     let regions: Vec<Arc<str>> = (0..22).map(|n| format!("region-{n:02}").into()).collect();
     (0..count as u32)
--- a/crates/coord/tests/common/slopes.rs
+++ b/crates/coord/tests/common/slopes.rs
@@ -1,4 +1,4 @@
-//! What hosts cost each other and the store, counted in virtual time.
+//! Load that hosts put on each other and on the store, counted in virtual time.
 #![allow(dead_code)]
 
 use std::{collections::BTreeMap, fmt, time::Duration};
@@ -25,7 +25,7 @@
     pub(crate) change: Duration,
     pub(crate) rumor: Duration,
     pub(crate) leave: Duration,
-    /// Bytes sent a second and host, by kind.
+    /// Bytes sent a second per host, by kind of message.
     pub(crate) by_kind: BTreeMap<&'static str, f64>,
 }
 
@@ -64,11 +64,11 @@
     measure_in(&mut fleet)
 }
 
-/// As [`measure`], keeping the fleet.
+/// Like [`measure`], without consuming the fleet.
 pub(crate) fn measure_in(fleet: &mut Fleet) -> Row {
     let mut config = config(740, 22, 20_000);
     fleet.apply("first", pieces::split(&config));
-    // The words of the start have ended by then.
+    // The rumors of the start have expired by then.
     fleet.run(Duration::from_secs(70));
     assert!(fleet.nodes.values().all(|node| node.follower.ready()));
     fleet.reset_counts();
--- a/crates/coord/tests/common/store.rs
+++ b/crates/coord/tests/common/store.rs
@@ -1,4 +1,4 @@
-//! A store of one value moved by compare-and-swap and of pieces, with one version counter.
+//! A store of one value replaced by compare-and-swap and of pieces, with one version counter.
 #![allow(dead_code)]
 
 use std::{collections::BTreeMap, sync::Arc};
@@ -9,7 +9,7 @@
 };
 use dunlinrock_schema::coord::Root;
 
-/// The store's content.
+/// The content of the store.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Store {
     pub(crate) root: Option<(Arc<[u8]>, Version)>,
@@ -18,7 +18,7 @@
 }
 
 impl Store {
-    /// Carries an operation out.
+    /// Runs an operation.
     pub(crate) fn run(&mut self, op: &StoreOp) -> StoreReply {
         match op {
             StoreOp::ReadRoot => StoreReply::Root(
@@ -59,19 +59,19 @@
         }
     }
 
-    /// The root, read.
+    /// Returns the decoded root.
     pub(crate) fn read(&self) -> Option<Root> {
         self.root
             .as_ref()
             .and_then(|(bytes, _)| root::decode(bytes))
     }
 
-    /// Revision in force; 0 for none.
+    /// Returns the active revision; 0 if there is none.
     pub(crate) fn revision(&self) -> u64 {
         self.read().map_or(0, |root| root.now.revision)
     }
 
-    /// The pieces without their versions.
+    /// Returns the pieces without their versions.
     pub(crate) fn bytes(&self) -> Pieces {
         self.pieces
             .iter()
--- a/crates/coord/tests/follow.rs
+++ b/crates/coord/tests/follow.rs
@@ -1,4 +1,5 @@
-//! The follower: never back, whole or nothing, whatever order roots and pieces come in.
+//! The follower never goes back and never has a partial snapshot, in whatever order roots and
+//! pieces arrive.
 
 mod common;
 
@@ -50,8 +51,9 @@
     (configs, roots, store.bytes())
 }
 
-// Roots and pieces come late, doubled, out of order, some never, from sources that lack some. At
-// each moment the copy is one of the configurations, whole, and no older than the one before.
+// Roots and pieces arrive late, duplicated, out of order or never, from sources that lack some. At
+// each moment the snapshot must be one of the configurations, complete, and no older than the one
+// before.
 #[test]
 fn random_orders_and_losses_never_revert_and_never_give_a_partial_snapshot() {
     let (configs, roots, all) = history(12);
@@ -125,7 +127,8 @@
     assert!(updated.len() > 6, "{updated:?}");
 }
 
-// The store has been down since before this host started. It must still become ready, from peers.
+// The store has been unavailable since before this host started. The host must become ready from
+// peers.
 #[test]
 fn a_host_that_starts_with_the_store_down_learns_the_configuration_from_peers() {
     let mut fleet = Fleet::open(6, 2, 3);
@@ -144,8 +147,8 @@
     assert!(ready.unwrap() <= ms(5000), "{ready:?}");
 }
 
-// One region cannot reach the store's answers: a whole domain is new, all its hosts start at once
-// with the store down. They learn from relays of other domains.
+// A partition from the store: a whole domain is new, and all its hosts start at once while the
+// store is unavailable. They must get the configuration from relays of other domains.
 #[test]
 fn a_domain_that_starts_completely_with_the_store_down_learns_from_other_domains() {
     let mut fleet = Fleet::open(6, 2, 3);
@@ -164,7 +167,8 @@
     assert!(ready.unwrap() <= ms(10_000), "{ready:?}");
 }
 
-// A message down the tree is lost. The host hears in a heartbeat that others are ahead, and asks.
+// A message down the tree is lost. The host learns from a heartbeat that others have a newer
+// revision, and fetches it.
 #[test]
 fn a_change_reaches_all_hosts_within_seventeen_seconds_with_a_fifth_of_messages_lost() {
     let mut fleet = Fleet::open(6, 12, 5);
--- a/crates/coord/tests/late_suspicion.rs
+++ b/crates/coord/tests/late_suspicion.rs
@@ -1,4 +1,4 @@
-//! Words about a dead host that arrive out of order.
+//! Rumors about a dead host that arrive out of order.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// The beat that others heard last of the dead host.
+/// Number of the last heartbeat that other hosts received from the dead host.
 const LAST: u64 = 20;
 
 fn rumor(by: &str, state: HostState) -> Rumor {
@@ -62,7 +62,7 @@
     member
 }
 
-/// What a host that has just started makes of the words that it is given.
+/// State of the dead host after a just started host received the rumors.
 fn state_after(rumors: Vec<Rumor>) -> HostState {
     let mut member = open();
     let rumors = Rumors {
@@ -74,11 +74,11 @@
     member.state_of("dead")
 }
 
-// Callers see: requests handed to a host that is long dead, for as long as its peer is down too.
-// Order: a host of a domain dies; the others doubt it, and then say that it is gone; a new host
-// starts there and asks for the words it missed, which come in no order. The older doubt, taken
-// last, stood in place of the later word, so that the new host counted a dead one among those who
-// must agree, and never took the next host that died for gone.
+// Guards against requests sent to a host that is long gone. A host of a domain dies; the others
+// suspect it and then claim that it is gone; a new host of the domain requests the rumors it
+// missed, which arrive in any order. An older suspicion that arrived last replaced the later claim.
+// The new host then counted the dead one among the watchers that must agree, and never took the
+// next host that died for gone.
 #[test]
 fn a_late_suspicion_does_not_replace_the_claim_that_a_host_is_gone() {
     let (suspect, gone) = (HostState::Suspect, HostState::Gone);
@@ -96,9 +96,9 @@
     assert_eq!(state_after(late), gone);
 }
 
-// As above, with another word: the host's own, that it serves, from long before its death. A new
-// host that takes it last has heard no beat before, and must not take it for a sign of life after
-// the last beat that the others heard.
+// As above, with another rumor: the host's own, that it serves, from long before its death. A new
+// host that receives it last has received no heartbeat, and must not take it for one later than the
+// last heartbeat that the others received.
 #[test]
 fn an_old_heartbeat_does_not_refute_that_a_host_is_gone() {
     let (serving, gone) = (HostState::Serving, HostState::Gone);
@@ -108,7 +108,7 @@
         rumor_at("dead", serving, 3),
     ];
     assert_eq!(state_after(late), gone);
-    // One beat after the last that was heard refutes both.
+    // A heartbeat with the number after the last one refutes both claims.
     let alive = vec![
         rumor("one", gone),
         rumor("two", gone),
@@ -117,10 +117,11 @@
     assert_eq!(state_after(alive), serving);
 }
 
-// The operators see: a host that serves, as suspect, at hosts that started lately, for good. Order:
-// it has said of itself that it serves; a new host of its domain has not heard it yet and doubts
-// it, naming no beat; a new host elsewhere has not heard it either and takes the doubt. The host
-// must answer also a doubt from before its last word: those who started since have not got that.
+// Guards against a serving host that stays suspect on recently started hosts. It broadcast that it
+// serves; a new host of its domain has not received that and suspects it without a heartbeat
+// number; a new host elsewhere has not received it either and accepts the suspicion. The host must
+// also refute a suspicion older than its last broadcast, as hosts that started since have not
+// received that.
 #[test]
 fn a_host_refutes_the_suspicion_of_one_that_never_heard_it() {
     let mut member = open();
--- a/crates/coord/tests/lease.rs
+++ b/crates/coord/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: at no moment do two hosts hold a token, and tokens only grow.
+//! Leases: two hosts never hold a token at the same time, and tokens only increase.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -39,8 +39,8 @@
     }
 }
 
-// The holder is paused for longer than its lease; another takes it. The first wakes, still believes
-// that it holds it, and must not be given a token.
+// The holder is paused for longer than its lease, and another host takes the lease. When the first
+// holder resumes, it still has the lease in its state, and must not get a token.
 #[test]
 fn a_paused_holder_has_no_token_when_it_resumes_and_the_next_one_is_higher() {
     let mut store = Store::default();
@@ -64,7 +64,7 @@
     assert_eq!(first.token(now), None);
 }
 
-// The renewal took effect and its answer was lost. The holder may count from before it sent that
+// The renewal took effect and its reply was lost. The holder may count from before it sent that
 // renewal, not from when it read the value back.
 #[test]
 fn a_renewal_whose_reply_was_lost_holds_from_before_it_was_sent() {
@@ -98,8 +98,8 @@
     assert_eq!(second.token(ms(700)), Some(2));
 }
 
-// Pauses, lost answers, late writes and a store that is away, in random order over three hosts
-// whose clocks differ by up to 5 %: no moment has two holders, and no token is given to two.
+// Pauses, lost replies, late writes and an unavailable store in random order, over three hosts
+// whose clocks differ by up to 5 %: there are never two holders, and no token is given to two.
 #[test]
 fn random_pauses_and_losses_never_give_two_holders() {
     let mut changes = 0;
--- a/crates/coord/tests/member.rs
+++ b/crates/coord/tests/member.rs
@@ -1,4 +1,5 @@
-//! Membership in virtual time: who is seen how, how fast, and what a paused host may do.
+//! Membership in virtual time: how hosts see each other, how fast changes arrive, and what a paused
+//! host may do.
 
 mod common;
 
@@ -40,8 +41,8 @@
     }
 }
 
-// A look-up must not name a dead host for long. The host dies without a word; those that watch it
-// miss its heartbeats, doubt it after one second and agree after three that it is gone.
+// A look-up must not name a dead host for long. The host dies without a broadcast; its watchers
+// receive no heartbeats, suspect it after one second and agree after three that it is gone.
 #[test]
 fn a_dead_host_is_gone_everywhere_within_five_seconds() {
     for (domains, hosts) in [(6, 2), (8, 12)] {
@@ -77,9 +78,9 @@
     );
 }
 
-// Two callers of one key could be sent to two processes of one name. The host restarts at once, so
-// nobody has missed it yet; the new incarnation is known by its own word, and late messages of the
-// old one change nothing.
+// Guards against two callers of one key being sent to two processes of one name. The host restarts
+// at once, before any host has missed it; its own broadcast makes the new incarnation known, and
+// late messages of the old one change nothing.
 #[test]
 fn a_restart_supersedes_the_old_incarnation_everywhere() {
     let mut fleet = settled(6, 2);
@@ -104,9 +105,9 @@
     }
 }
 
-// A paused host wakes and believes it still owns its targets. Its own ticks show the gap, so it is
-// not caught up until another host has answered; it also doubts none of the others for a silence
-// that was its own.
+// A paused host resumes with the state that it still owns its targets. The gap between its own
+// ticks shows the pause, so it is not caught up until another host has replied; it also suspects no
+// other host for the time of its own pause.
 #[test]
 fn a_resumed_host_is_not_caught_up_before_another_has_replied() {
     let mut fleet = settled(6, 2);
@@ -131,8 +132,8 @@
     );
 }
 
-// After a pause the first thing a host reads may be a message that waited, before any tick. It must
-// neither act in that moment nor take the message for the answer that it has to wait for.
+// After a pause a host may read a waiting message before its first tick. It must neither act on it
+// nor take it for the reply that it has to wait for.
 #[test]
 fn a_message_read_before_the_first_tick_after_a_pause_does_not_hide_the_pause() {
     let mut fleet = settled(6, 2);
@@ -154,8 +155,8 @@
     assert!(!member.caught_up());
 }
 
-// The process was replaced while it was paused. When it wakes, it must not act under the name that
-// another process has by now, however long ago that was said.
+// The process was replaced while it was paused. When it resumes, it must not act under the name
+// that another process has now, however long ago that was broadcast.
 #[test]
 fn a_paused_host_that_was_replaced_finds_itself_superseded() {
     let mut fleet = settled(6, 2);
@@ -194,9 +195,10 @@
     );
 }
 
-// The operators see: a restarted host that stays out of service. The clock of its machine stood ahead when
-// the earlier process started and is right again, or was set back since: the later process has the lower
-// number, and all others take it for the earlier one. It has only just started, and must not stop for that.
+// Guards against a restarted host that stays out of service. The machine's clock was ahead when the
+// earlier process started and is right again, or was set back since: the later process has the
+// lower number, and all others take it for the earlier one. It has only just started, and must not
+// stop because of that.
 #[test]
 fn a_restarted_host_whose_clock_was_set_back_restarts_with_a_higher_incarnation() {
     let mut fleet = settled(6, 2);
@@ -223,8 +225,8 @@
     );
 }
 
-// A region is cut off for minutes, then reached again. Each side sees the other's domains silent
-// and keeps its own; afterwards all is as before, without a restart.
+// A region is partitioned for minutes, then reachable again. Each side sees the other's domains as
+// silent and keeps its own; afterwards all hosts serve again without a restart.
 #[test]
 fn a_region_partitioned_for_minutes_is_silent_and_recovers() {
     let mut fleet = settled(6, 2);
@@ -248,7 +250,7 @@
     }
 }
 
-// Hosts of a lost region all die at once: nobody inside is left to say so.
+// All hosts of a lost region die at once, so none is left to broadcast it.
 #[test]
 fn a_lost_region_is_silent_to_all_others_within_four_seconds() {
     let mut fleet = settled(8, 6);
@@ -287,8 +289,9 @@
     }
 }
 
-// Word of a killing request must reach every host within three seconds, also when one message in
-// five is lost: the sums in heartbeats and digests show what is missing.
+// The quarantine of a request that kills targets must reach every host within three seconds, even
+// if one message in five is lost: the checksums in heartbeats and digests show that rumors are
+// missing.
 #[test]
 fn a_quarantine_reaches_all_hosts_within_three_seconds_with_a_fifth_of_messages_lost() {
     for loss in [0.0, 0.2] {
@@ -318,7 +321,7 @@
     }
 }
 
-// One host's link is bad in one direction: a single watcher hears nothing from a healthy host and
+// One host's link fails in one direction: a single watcher receives nothing from a healthy host and
 // must not have it declared gone.
 #[test]
 fn one_watcher_alone_cannot_have_a_healthy_host_declared_gone() {
@@ -340,8 +343,8 @@
     }
 }
 
-// An operator waits for an apply. The answer that it is in force everywhere must not come while a
-// live host still steers by the old file, and must come soon after the last one has it.
+// An operator waits for an apply. It must not be reported as active everywhere while a live host
+// still uses the old configuration, and must be reported soon after the last host has the new one.
 #[test]
 fn the_lowest_revision_never_runs_ahead_of_a_live_host_and_follows_soon() {
     let mut fleet = Fleet::open(6, 4, 7);
@@ -374,9 +377,9 @@
     }
 }
 
-// A host was suspect when a region was cut off, and was heard again meanwhile. The word that takes
-// the doubt back never reaches the region, and has ended when it could. The region must not shun a
-// healthy host for good: a doubt that is not said again lapses.
+// A host was suspect when a region was partitioned, and was heard again meanwhile. The rumor that
+// withdraws the suspicion never reaches the region, and has expired when it could. The region must
+// not avoid a healthy host permanently: a suspicion that is not renewed expires.
 #[test]
 fn a_suspicion_whose_withdrawal_was_missed_expires() {
     let mut fleet = settled(6, 2);
@@ -397,8 +400,8 @@
     );
 }
 
-// A host is dead for long and the list still names it. Its doubts lapse unless they are said again,
-// so those that watch it go on saying so.
+// A host has been dead for long and the list still names it. Suspicions expire unless they are
+// renewed, so its watchers must keep renewing them.
 #[test]
 fn a_dead_host_that_stays_on_the_list_stays_gone() {
     let mut fleet = settled(6, 2);
@@ -411,8 +414,8 @@
     }
 }
 
-// A restarted host counts its digests from the beginning. If they were taken for old ones, its
-// domain would look for ever as it did before the restart.
+// A restarted host counts its digests from the beginning. If they were taken for old ones, the view
+// of its domain would stay as before the restart.
 #[test]
 fn digests_of_a_restarted_host_count() {
     let mut fleet = Fleet::open(3, 1, 7);
--- a/crates/coord/tests/member_chaos.rs
+++ b/crates/coord/tests/member_chaos.rs
@@ -1,4 +1,5 @@
-//! Random deaths, restarts, pauses, cuts and losses; afterwards all hosts agree again.
+//! Random deaths, restarts, pauses, partitions and message losses; afterwards all hosts agree
+//! again.
 
 mod common;
 
@@ -19,7 +20,7 @@
     Duration::from_millis(time)
 }
 
-/// Revisions and incarnations that a host has shown, which must not fall.
+/// Revisions and incarnations that a process has reported, which must not decrease.
 type Observed = BTreeMap<(Arc<str>, Arc<str>), u64>;
 
 fn check(fleet: &Fleet, started: &BTreeMap<Arc<str>, u64>, observed: &mut Observed, seed: u64) {
@@ -64,7 +65,7 @@
     fleet.list(domain, host, *incarnation);
 }
 
-/// Heals everything and lets the hosts settle.
+/// Ends all faults and lets the hosts settle.
 fn heal(fleet: &mut Fleet, started: &mut BTreeMap<Arc<str>, u64>) {
     fleet.partitioned.clear();
     fleet.loss = 0.0;
@@ -82,13 +83,13 @@
     }
 }
 
-// A closing with everything going wrong at once: hosts die, are replaced, hang and wake, domains
-// are cut off, messages are lost. While it lasts no view of an incarnation and no revision falls;
-// once it is over all hosts see all others serve, have caught up and hold the newest revision.
+// Many faults at once: hosts die, are replaced, pause and resume, domains are partitioned, messages
+// are lost. Meanwhile no known incarnation and no revision decreases; afterwards all hosts see all
+// others as serving, are caught up and have the newest revision.
 #[test]
 fn after_random_faults_all_hosts_agree_again_and_nothing_fell_meanwhile() {
     let mut config = config(6, 3, 300);
-    // 0, 1, 12 and 52 each showed a fault.
+    // Seeds 0, 1, 12 and 52 have each found a fault.
     for seed in (0..16).chain([52]) {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut fleet = Fleet::open(DOMAINS, HOSTS, seed);
--- a/crates/coord/tests/member_size.rs
+++ b/crates/coord/tests/member_size.rs
@@ -1,4 +1,4 @@
-//! A word at full size: 49 domains of 49 hosts, hop by hop.
+//! A rumor at full size: 49 domains of 49 hosts, hop by hop.
 
 mod common;
 
@@ -52,9 +52,9 @@
     })
 }
 
-// Every host must refuse a request that kills targets within three seconds of the second death,
-// with 2,401 hosts. Each host's own machine is asked whom it passes the word to; the hops are
-// counted, and the bytes.
+// With 2,401 hosts, every host must refuse a request that kills targets within three seconds of the
+// second death. Each host's own membership decides to which hosts it relays the rumor; the test
+// counts the hops and the bytes.
 #[test]
 fn a_rumor_reaches_2401_hosts_in_three_hops() {
     let listing = listing();
--- a/crates/coord/tests/pieces.rs
+++ b/crates/coord/tests/pieces.rs
@@ -1,4 +1,4 @@
-//! A configuration in pieces: whole or nothing, and little moves with a change.
+//! A configuration in pieces: joined completely or not at all, and a change transfers little.
 
 mod common;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Small configurations with odd names, odd blocks and services that nobody defined.
+/// Small configurations with unusual names and blocks, and services without a definition.
 fn configs() -> impl Strategy<Value = Config> {
     let block = prop_oneof![
         "[0-9]{1,3}\\.[0-9]{1,3}\\.0\\.0/[0-9]{1,2}",
@@ -83,8 +83,8 @@
     runner.run(&(configs(), configs()), check).unwrap();
 }
 
-// A host that has all pieces but one would serve a configuration that no operator wrote. It must
-// get nothing instead, and be told which piece to fetch.
+// A host that has all pieces but one must not get a partial configuration, which no operator wrote.
+// The error must name the piece to fetch.
 #[test]
 fn a_join_with_any_piece_missing_gives_nothing() {
     let split = pieces::split(&config(40, 3, 600));
@@ -117,7 +117,7 @@
     assert_eq!(Hash::read(&[1, 2]), None);
 }
 
-/// Bytes of the fresh pieces between two configurations, with their number.
+/// Bytes and number of the new pieces between two configurations.
 fn transferred(old: &Config, new: &Config) -> (usize, usize) {
     let (one, two) = (pieces::split(old), pieces::split(new));
     let all: Pieces = one.pieces.into_iter().chain(two.pieces).collect();
--- a/crates/coord/tests/rendezvous.rs
+++ b/crates/coord/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous choice and the relays' plan.
+//! Rendezvous hashing and the relay roles.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -52,7 +52,7 @@
     assert!(choose("k", Vec::<String>::new(), 5).is_empty());
 }
 
-/// Members of `domains` domains of `hosts` hosts.
+/// Members of `domains` domains with `hosts` hosts each.
 fn members(domains: usize, hosts: usize) -> BTreeMap<Arc<str>, Arc<str>> {
     let pairs = (0..domains).flat_map(|d| (0..hosts).map(move |h| (d, h)));
     pairs
@@ -65,8 +65,8 @@
         .collect()
 }
 
-// A change must reach every host of a domain from the relays: no host may be left out of the tree,
-// and none may have to send to more than the fan-out.
+// A change must reach every host of a domain from the relays: no host may be missing from the tree,
+// and none may send to more hosts than the fan-out.
 #[test]
 fn every_host_of_a_domain_is_reached_in_three_hops_at_full_size() {
     let members = members(49, 49);
--- a/crates/coord/tests/slopes.rs
+++ b/crates/coord/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! Bounds on what hosts cost each other and the store.
+//! Bounds on the load that hosts put on each other and on the store.
 
 mod common;
 
@@ -9,7 +9,7 @@
     slopes::{Row, measure},
 };
 
-/// Bytes a second that control may cost a host, sent and received together.
+/// Limit of the bytes a second for coordination, sent and received together by one host.
 const MAX_BYTES_PER_S: f64 = 11_000.0;
 
 fn check(row: &Row) {
@@ -21,7 +21,7 @@
 }
 
 // The store's rates grow more slowly than the fleet: with the same domains, four times the hosts
-// must not cost one call more.
+// must not cost one more call.
 #[test]
 fn store_calls_follow_the_domains_and_not_the_hosts() {
     let few = measure(Fleet::open(4, 6, 1));
