--- a/crates/coord/src/follow/mod.rs
+++ b/crates/coord/src/follow/mod.rs
@@ -188,13 +188,11 @@
         let pieces = give.pieces.into_iter().map(Arc::from).collect();
         let mut pending = self.pending.take();
         match &mut pending {
-            Some(old) if old.root.now.revision >= give.root.now.revision => {
-                old.store_pieces(pieces);
-            }
+            Some(old) if old.root.now.revision >= give.root.now.revision => old.insert(pieces),
             other => {
                 let fetched = other.take().map(|old| old.fetched).unwrap_or_default();
                 let mut new = PendingSnapshot::open(give.root.clone(), from.clone(), fetched);
-                new.store_pieces(pieces);
+                new.insert(pieces);
                 *other = Some(new);
             }
         }
--- a/crates/coord/src/follow/pending.rs
+++ b/crates/coord/src/follow/pending.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    pub(super) fn store_pieces(&mut self, pieces: Vec<Arc<[u8]>>) {
+    pub(super) fn insert(&mut self, pieces: Vec<Arc<[u8]>>) {
         for bytes in pieces {
             self.fetched.insert(Hash::of(&bytes), bytes);
         }
@@ -61,7 +61,7 @@
     /// Stores the pieces of a response. A source that lacks requested pieces becomes the last one
     /// to ask.
     pub(super) fn handle_pieces(&mut self, from: &Source, pieces: Vec<Arc<[u8]>>) {
-        self.store_pieces(pieces);
+        self.insert(pieces);
         let Some(request) = self.request.take_if(|request| request.from == *from) else {
             return;
         };
