--- a/crates/config/src/config/draft.rs
+++ b/crates/config/src/config/draft.rs
@@ -25,7 +25,7 @@
     /// For each section, the names that are defined, mistakes included, and the file they are in.
     names: BTreeMap<&'static str, BTreeMap<Arc<str>, usize>>,
     /// Whether all files are TOML, so that all names are known.
-    pub(super) complete: bool,
+    pub(super) all_parsed: bool,
 }
 
 impl Draft {
@@ -34,11 +34,11 @@
             config: Config::default(),
             documents: Vec::new(),
             names: BTreeMap::new(),
-            complete: true,
+            all_parsed: true,
         };
         for file in files {
             let mut document = Document::read(&file.name, &file.text, schema::CONFIG, findings);
-            draft.complete &= document.parsed;
+            draft.all_parsed &= document.parsed;
             if let Some(part) = document.typed(findings) {
                 draft.merge(part);
             }
@@ -75,8 +75,8 @@
                         continue;
                     };
                     let there = self.documents[*first].locations.key(&[section, name]);
-                    findings.error(here.clone(), twice(section, name, &there));
-                    findings.error(there, twice(section, name, &here));
+                    findings.error(here.clone(), duplicate_name(section, name, &there));
+                    findings.error(there, duplicate_name(section, name, &here));
                 }
             }
         }
@@ -116,7 +116,7 @@
     }
 
     /// Whether a key is written out.
-    pub(super) fn writes(&self, path: &[&str]) -> bool {
+    pub(super) fn is_set(&self, path: &[&str]) -> bool {
         self.document(path).is_some_and(|d| d.locations.has(path))
     }
 
@@ -139,7 +139,7 @@
     }
 }
 
-fn twice(section: &str, name: &str, other: &Location) -> String {
+fn duplicate_name(section: &str, name: &str, other: &Location) -> String {
     let kind = section.trim_end_matches('s');
     format!("the {kind} `{name}` is defined at {other} too; keep one of them")
 }
--- a/crates/config/src/config/mod.rs
+++ b/crates/config/src/config/mod.rs
@@ -7,7 +7,7 @@
 mod blocks;
 mod draft;
 mod links;
-mod refs;
+mod references;
 mod services;
 mod spread;
 mod targets;
@@ -63,7 +63,7 @@
 pub fn check_files(files: &[ConfigFile]) -> CheckedConfig {
     let mut findings = Findings::default();
     let draft = Draft::open(files, &mut findings);
-    refs::check(&draft, &mut findings);
+    references::check(&draft, &mut findings);
     services::check(&draft, &mut findings);
     targets::check(&draft, &mut findings);
     links::check(&draft, &mut findings);
--- a/crates/config/src/config/refs.rs
+++ b/crates/config/src/config/references.rs
@@ -6,34 +6,34 @@
 use crate::{Findings, check::suggest};
 
 pub(super) fn check(draft: &Draft, findings: &mut Findings) {
-    if !draft.complete {
+    if !draft.all_parsed {
         return;
     }
     let config = &draft.config;
     for (name, domain) in &config.domains {
         let path = ["domains", name, "region"];
-        refer(draft, "regions", &domain.region, &path, findings);
+        check_reference(draft, "regions", &domain.region, &path, findings);
     }
     for (name, link) in &config.links {
         let path = ["links", name, "from"];
-        refer(draft, "regions", &link.from, &path, findings);
+        check_reference(draft, "regions", &link.from, &path, findings);
         let path = ["links", name, "to"];
-        refer(draft, "regions", &link.to, &path, findings);
+        check_reference(draft, "regions", &link.to, &path, findings);
     }
     for (name, target) in &config.targets {
         let path = ["targets", name, "service"];
-        refer(draft, "services", &target.service, &path, findings);
+        check_reference(draft, "services", &target.service, &path, findings);
         let path = ["targets", name, "domain"];
-        refer(draft, "domains", &target.domain, &path, findings);
+        check_reference(draft, "domains", &target.domain, &path, findings);
     }
     for (block, region) in &config.blocks {
-        refer(draft, "regions", region, &["blocks", block], findings);
+        check_reference(draft, "regions", region, &["blocks", block], findings);
     }
-    drains(draft, findings);
-    rows(draft, findings);
+    check_drains(draft, findings);
+    check_spreads(draft, findings);
 }
 
-fn drains(draft: &Draft, findings: &mut Findings) {
+fn check_drains(draft: &Draft, findings: &mut Findings) {
     for (name, drain) in &draft.config.drains {
         let section = match drain.kind {
             DrainKind::Target => "targets",
@@ -42,7 +42,7 @@
             // Hosts are not in the configuration: the platform lists them.
             DrainKind::Host => continue,
         };
-        refer(
+        check_reference(
             draft,
             section,
             &drain.name,
@@ -53,14 +53,14 @@
 }
 
 /// The regions that spreads name, as callers and as servers.
-fn rows(draft: &Draft, findings: &mut Findings) {
-    for (service, rules) in &draft.config.services {
-        for (callers, row) in &rules.spread {
+fn check_spreads(draft: &Draft, findings: &mut Findings) {
+    for (service, service_config) in &draft.config.services {
+        for (callers, shares) in &service_config.spread {
             let path = ["services", service, "spread", callers];
             if !draft.defines("regions", callers) {
                 unknown(draft, "regions", callers, draft.key(&path), findings);
             }
-            for region in row.keys() {
+            for region in shares.keys() {
                 if !draft.defines("regions", region) {
                     let path = ["services", service, "spread", callers, region];
                     unknown(draft, "regions", region, draft.key(&path), findings);
@@ -70,7 +70,13 @@
     }
 }
 
-fn refer(draft: &Draft, section: &str, name: &str, path: &[&str], findings: &mut Findings) {
+fn check_reference(
+    draft: &Draft,
+    section: &str,
+    name: &str,
+    path: &[&str],
+    findings: &mut Findings,
+) {
     if !draft.defines(section, name) {
         unknown(draft, section, name, draft.value(path), findings);
     }
--- a/crates/config/src/config/services.rs
+++ b/crates/config/src/config/services.rs
@@ -8,20 +8,20 @@
 use crate::Findings;
 
 /// Longest window of a cap, in milliseconds: a day. A longer one is a slip of units.
-const WINDOW_MAX_MS: u64 = 86_400_000;
+const MAX_WINDOW_MS: u64 = 86_400_000;
 /// Share from which a cap no longer holds a shift back.
-const WHOLE: f64 = 1.0;
+const FULL_SHARE: f64 = 1.0;
 /// Methods that HTTP defines as idempotent; others are run more than once at the operator's word.
 const IDEMPOTENT: [&str; 6] = ["GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"];
 
 pub(super) fn check(draft: &Draft, findings: &mut Findings) {
     for (name, service) in &draft.config.services {
-        times(draft, name, service, findings);
+        check_times(draft, name, service, findings);
         cap(draft, name, service, findings);
         methods(draft, name, service, findings);
         header(draft, name, service, findings);
         short_slots(draft, name, service, findings);
-        if draft.complete && draft.regions_of(name).is_empty() {
+        if draft.all_parsed && draft.regions_of(name).is_empty() {
             let location = draft.key(&["services", name]);
             findings.warning(
                 location,
@@ -31,11 +31,11 @@
     }
 }
 
-fn times(draft: &Draft, name: &str, service: &Service, findings: &mut Findings) {
+fn check_times(draft: &Draft, name: &str, service: &Service, findings: &mut Findings) {
     let deadline = service.deadline_ms.get();
     // The default is longer than many a deadline and then does no harm: the deadline comes first.
-    let written = draft.writes(&["services", name, "queue_ms"]);
-    if written && service.queue_ms > deadline {
+    let explicit = draft.is_set(&["services", name, "queue_ms"]);
+    if explicit && service.queue_ms > deadline {
         findings.error(
             draft.value(&["services", name, "queue_ms"]),
             format!(
@@ -67,16 +67,16 @@
 
 fn cap(draft: &Draft, name: &str, service: &Service, findings: &mut Findings) {
     let cap = &service.cap;
-    if cap.window_ms > WINDOW_MAX_MS {
+    if cap.window_ms > MAX_WINDOW_MS {
         findings.error(
             draft.value(&["services", name, "cap", "window_ms"]),
             format!(
-                "`window_ms` is {}; make it at most {WINDOW_MAX_MS}, a day",
+                "`window_ms` is {}; make it at most {MAX_WINDOW_MS}, a day",
                 cap.window_ms
             ),
         );
     }
-    if cap.share >= WHOLE {
+    if cap.share >= FULL_SHARE {
         findings.warning(
             draft.value(&["services", name, "cap", "share"]),
             "`share` of 1 lets all traffic move at once; the targets it moves to start with cold \
@@ -104,8 +104,8 @@
 
 fn header(draft: &Draft, name: &str, service: &Service, findings: &mut Findings) {
     let header = &service.caller_header;
-    let sound = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    if header.is_empty() || !header.bytes().all(sound) {
+    let valid = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    if header.is_empty() || !header.bytes().all(valid) {
         findings.error(
             draft.value(&["services", name, "caller_header"]),
             format!("`{header}` is not a header's name; use ASCII letters, digits, `-` and `_`"),
--- a/crates/config/src/config/spread.rs
+++ b/crates/config/src/config/spread.rs
@@ -9,12 +9,12 @@
 
 pub(super) fn check(draft: &Draft, findings: &mut Findings) {
     for (name, service) in &draft.config.services {
-        let served = draft.regions_of(name);
-        for (callers, row) in &service.spread {
+        let serving_regions = draft.regions_of(name);
+        for (callers, shares) in &service.spread {
             let path = ["services", name, "spread", callers];
             // A weight with a mistake is not in the row; it may be the one above 0.
-            let sound = row.len() == draft.count(&path);
-            if sound && row.values().all(|weight| *weight == 0.0) {
+            let valid = shares.len() == draft.count(&path);
+            if valid && shares.values().all(|weight| *weight == 0.0) {
                 findings.error(
                     draft.key(&path),
                     format!(
@@ -23,35 +23,35 @@
                     ),
                 );
             }
-            for (region, weight) in row {
+            for (region, weight) in shares {
                 if *weight > 0.0 {
-                    way(draft, name, callers, region, &served, findings);
+                    check_reachable(draft, name, callers, region, &serving_regions, findings);
                 }
             }
         }
-        if draft.complete {
-            unserved(draft, name, service, &served, findings);
+        if draft.all_parsed {
+            unserved(draft, name, service, &serving_regions, findings);
         }
     }
 }
 
 /// Whether callers of one region can be served by another at all.
-fn way(
+fn check_reachable(
     draft: &Draft,
     service: &str,
     callers: &Arc<str>,
     region: &Arc<str>,
-    served: &BTreeSet<&Arc<str>>,
+    serving_regions: &BTreeSet<&Arc<str>>,
     findings: &mut Findings,
 ) {
-    if !draft.complete || !draft.defines("regions", region) {
+    if !draft.all_parsed || !draft.defines("regions", region) {
         return;
     }
     let path = ["services", service, "spread", callers, region];
     // Where a target has mistakes, it may be the one that stands there.
-    let known = draft.names("targets").count() == draft.config.targets.len()
+    let all_valid = draft.names("targets").count() == draft.config.targets.len()
         && draft.names("domains").count() == draft.config.domains.len();
-    if known && !served.contains(region) {
+    if all_valid && !serving_regions.contains(region) {
         findings.error(
             draft.key(&path),
             format!(
@@ -59,8 +59,8 @@
             ),
         );
     }
-    let links = draft.names("links").count() == draft.config.links.len();
-    if links && callers != region && goal::link(&draft.config, callers, region).is_none() {
+    let links_valid = draft.names("links").count() == draft.config.links.len();
+    if links_valid && callers != region && goal::link(&draft.config, callers, region).is_none() {
         findings.error(
             draft.key(&path),
             format!(
@@ -75,12 +75,15 @@
     draft: &Draft,
     name: &str,
     service: &Service,
-    served: &BTreeSet<&Arc<str>>,
+    serving_regions: &BTreeSet<&Arc<str>>,
     findings: &mut Findings,
 ) {
     let callers: BTreeSet<&Arc<str>> = draft.config.blocks.values().collect();
     for region in callers {
-        if served.is_empty() || served.contains(region) || service.spread.contains_key(region) {
+        if serving_regions.is_empty()
+            || serving_regions.contains(region)
+            || service.spread.contains_key(region)
+        {
             continue;
         }
         findings.warning(
--- a/crates/config/src/config/targets.rs
+++ b/crates/config/src/config/targets.rs
@@ -7,7 +7,7 @@
 
 pub(super) fn check(draft: &Draft, findings: &mut Findings) {
     addresses(draft, findings);
-    if draft.complete {
+    if draft.all_parsed {
         empty_regions(draft, findings);
     }
 }
--- a/crates/config/src/goal/mod.rs
+++ b/crates/config/src/goal/mod.rs
@@ -77,12 +77,12 @@
 
 /// The row that the operator wrote for the callers of a region: itself alone where there is none.
 pub fn configured(config: &Config, service: &str, callers: &str) -> RegionShares {
-    let row = config
+    let shares = config
         .services
         .get(service)
         .and_then(|service| service.spread.get(callers));
-    match row {
-        Some(row) => normalize(row.clone()),
+    match shares {
+        Some(shares) => normalize(shares.clone()),
         None => RegionShares::from([(Arc::from(callers), 1.0)]),
     }
 }
@@ -106,35 +106,36 @@
 ) -> RegionShares {
     let mut slots = slots(config, service);
     slots.retain(|region, _| !lost.contains(region));
-    let part = |region: &Arc<str>| {
+    let available_fraction = |region: &Arc<str>| {
         slots
             .get(region)
             .map_or(0.0, |slots| slots.available_fraction())
     };
-    let mut row = configured(config, service, callers);
-    for (region, weight) in &mut row {
-        *weight *= part(region);
+    let mut shares = configured(config, service, callers);
+    for (region, weight) in &mut shares {
+        *weight *= available_fraction(region);
     }
-    let row = normalize(row);
-    if !row.is_empty() {
-        return row;
+    let shares = normalize(shares);
+    if !shares.is_empty() {
+        return shares;
     }
     let linked = |region: &str| region == callers || link(config, callers, region).is_some();
-    let left = slots.iter().filter(|(region, _)| linked(region));
+    let available = slots.iter().filter(|(region, _)| linked(region));
     normalize(
-        left.map(|(r, slots)| (r.clone(), slots.available as f64))
+        available
+            .map(|(r, slots)| (r.clone(), slots.available as f64))
             .collect(),
     )
 }
 
 /// Leaves out regions without weight and brings the sum to 1.
-pub fn normalize(mut row: RegionShares) -> RegionShares {
-    row.retain(|_, weight| weight.is_finite() && *weight > 0.0);
+pub fn normalize(mut shares: RegionShares) -> RegionShares {
+    shares.retain(|_, weight| weight.is_finite() && *weight > 0.0);
     // The largest weight goes out first: a sum of large weights would not be finite.
-    let most = row.values().copied().fold(0.0, f64::max);
-    row.values_mut().for_each(|weight| *weight /= most);
-    let sum: f64 = row.values().sum();
-    row.values_mut().for_each(|weight| *weight /= sum);
-    row.retain(|_, weight| *weight > 0.0);
-    row
+    let max = shares.values().copied().fold(0.0, f64::max);
+    shares.values_mut().for_each(|weight| *weight /= max);
+    let sum: f64 = shares.values().sum();
+    shares.values_mut().for_each(|weight| *weight /= sum);
+    shares.retain(|_, weight| *weight > 0.0);
+    shares
 }
--- a/crates/config/src/plan/mod.rs
+++ b/crates/config/src/plan/mod.rs
@@ -63,7 +63,7 @@
 }
 
 /// Most entries of one kind that are shown by name; blocks come in hundreds of thousands.
-const SHOWN: usize = 20;
+const MAX_SHOWN: usize = 20;
 
 impl fmt::Display for Plan {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -72,11 +72,15 @@
         }
         for kind in Kind::ALL {
             let of_kind: Vec<_> = self.entries.iter().filter(|e| e.kind == kind).collect();
-            for entry in of_kind.iter().take(SHOWN) {
+            for entry in of_kind.iter().take(MAX_SHOWN) {
                 writeln!(f, "{entry}")?;
             }
-            if of_kind.len() > SHOWN {
-                writeln!(f, "  ... and {} more of kind {kind}", of_kind.len() - SHOWN)?;
+            if of_kind.len() > MAX_SHOWN {
+                writeln!(
+                    f,
+                    "  ... and {} more of kind {kind}",
+                    of_kind.len() - MAX_SHOWN
+                )?;
             }
         }
         for (name, drain) in &self.drains_started {
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -71,11 +71,11 @@
     let Some(timing) = &settings.timing else {
         return;
     };
-    for (key, value, bound, than) in orders(timing) {
+    for (key, value, bound, other) in ordered_pairs(timing) {
         if value >= bound {
             findings.error(
                 locations.value(&["timing", key]),
-                format!("`{key}` is {value}; make it less than `{than}`, which is {bound}"),
+                format!("`{key}` is {value}; make it less than `{other}`, which is {bound}"),
             );
         }
     }
@@ -95,7 +95,7 @@
 }
 
 /// Pairs of times of which the first must be less than the second.
-fn orders(timing: &TimingSettings) -> [(&'static str, u64, u64, &'static str); 3] {
+fn ordered_pairs(timing: &TimingSettings) -> [(&'static str, u64, u64, &'static str); 3] {
     [
         (
             "heartbeat_ms",
@@ -135,7 +135,7 @@
 }
 
 /// Longest name.
-const NAME_MAX: usize = 64;
+const MAX_NAME_LEN: usize = 64;
 
 /// What is wrong with a name, if anything. Names travel in paths, headers and keys of the store,
 /// where other characters would have to be escaped.
@@ -143,8 +143,10 @@
     if name.is_empty() {
         return Some("is empty; give a name".to_owned());
     }
-    if name.len() > NAME_MAX {
-        return Some(format!("is longer than {NAME_MAX} characters; shorten it"));
+    if name.len() > MAX_NAME_LEN {
+        return Some(format!(
+            "is longer than {MAX_NAME_LEN} characters; shorten it"
+        ));
     }
     let bad = name
         .chars()
--- a/crates/fakes/src/list/mod.rs
+++ b/crates/fakes/src/host_list/mod.rs
@@ -11,7 +11,7 @@
 
 use dunlinrock_schema::store::{Listed, Listing};
 
-use crate::serve::{Door, Gate, Server};
+use crate::serve::{Listener, PortSwitch, Server};
 use state::State;
 
 /// Limits and delays of a list.
@@ -53,16 +53,16 @@
         let connections = options.connections;
         let shared = Arc::new(Shared {
             state: Mutex::new(State::open(options)),
-            gate: Gate::open(),
+            port_switch: PortSwitch::open(),
             origin: Instant::now(),
         });
         let served = Arc::clone(&shared);
         let handler = Arc::new(move |req| -> futures::future::BoxFuture<'static, _> {
-            Box::pin(http::answer(Arc::clone(&served), req))
+            Box::pin(http::handle(Arc::clone(&served), req))
         });
-        let door = Door::bind(addr, connections, shared.gate.clone(), handler)?;
-        let addr = door.addr()?;
-        let server = Server::spawn("fake-list", vec![door])?;
+        let listener = Listener::bind(addr, connections, shared.port_switch.clone(), handler)?;
+        let addr = listener.addr()?;
+        let server = Server::spawn("fake-list", vec![listener])?;
         Ok(Self {
             addr,
             shared,
@@ -77,12 +77,12 @@
 
     /// Refuses connections from now on.
     pub fn down(&self) {
-        self.shared.gate.turn(false);
+        self.shared.port_switch.set_and_wait(false);
     }
 
     /// Serves again; announcements sent meanwhile are missing.
     pub fn up(&self) {
-        self.shared.gate.turn(true);
+        self.shared.port_switch.set_and_wait(true);
     }
 
     /// Sets the lag of announcements to come.
@@ -127,7 +127,7 @@
 /// What the handle and the serving thread share.
 struct Shared {
     state: Mutex<State>,
-    gate: Gate,
+    port_switch: PortSwitch,
     origin: Instant,
 }
 
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -14,13 +14,13 @@
 //! They are written on `hyper` alone, without a router, since their faults (a connection closed
 //! without an answer, a body cut short, a port that refuses) are faults of the connection.
 
-mod answer;
-mod bucket;
-mod list;
+mod host_list;
+mod response;
 mod serve;
 mod store;
 mod target;
+mod token_bucket;
 
-pub use list::{List, ListOptions};
+pub use host_list::{List, ListOptions};
 pub use store::{OutageKind, Store, StoreOptions};
 pub use target::{Target, TargetOptions, TargetSpec, Targets, WorkTime};
--- a/crates/fakes/src/answer.rs
+++ b/crates/fakes/src/response.rs
@@ -10,16 +10,16 @@
 #[derive(Clone, Copy, Debug)]
 #[derive(thiserror::Error)]
 #[error("the connection is closed on purpose")]
-pub(crate) struct Closed;
+pub(crate) struct ConnectionAborted;
 
 /// Body of an answer; it may fail midway, which cuts the connection.
-pub(crate) type Body = BoxBody<Bytes, Closed>;
+pub(crate) type Body = BoxBody<Bytes, ConnectionAborted>;
 
 /// What a handler gives: an answer, or a closed connection.
-pub(crate) type Answer = Result<Response<Body>, Closed>;
+pub(crate) type HandlerResult = Result<Response<Body>, ConnectionAborted>;
 
 /// Gives a body that is sent whole.
-pub(crate) fn whole(bytes: impl Into<Bytes>) -> Body {
+pub(crate) fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed()
@@ -27,14 +27,14 @@
 
 /// Gives an answer with a short text.
 pub(crate) fn text(status: StatusCode, text: impl Into<String>) -> Response<Body> {
-    let mut res = Response::new(whole(text.into() + "\n"));
+    let mut res = Response::new(full_body(text.into() + "\n"));
     *res.status_mut() = status;
     res
 }
 
 /// Gives an answer without a body.
 pub(crate) fn empty(status: StatusCode) -> Response<Body> {
-    let mut res = Response::new(whole(Bytes::new()));
+    let mut res = Response::new(full_body(Bytes::new()));
     *res.status_mut() = status;
     res
 }
@@ -43,7 +43,7 @@
 pub(crate) fn json<T: Serialize>(value: &T) -> Response<Body> {
     match serde_json::to_vec(value) {
         Ok(bytes) => {
-            let mut res = Response::new(whole(bytes));
+            let mut res = Response::new(full_body(bytes));
             let kind = header::HeaderValue::from_static("application/json");
             res.headers_mut().insert(header::CONTENT_TYPE, kind);
             res
--- a/crates/fakes/src/store/mod.rs
+++ b/crates/fakes/src/store/mod.rs
@@ -16,7 +16,7 @@
 
 pub use options::{OutageKind, StoreOptions};
 
-use crate::serve::{Door, Gate, Server};
+use crate::serve::{Listener, PortSwitch, Server};
 use state::State;
 
 /// A running store.
@@ -39,11 +39,11 @@
         let shared = Arc::new(Shared::open(options));
         let served = Arc::clone(&shared);
         let handler = Arc::new(move |req| -> futures::future::BoxFuture<'static, _> {
-            Box::pin(http::answer(Arc::clone(&served), req))
+            Box::pin(http::handle(Arc::clone(&served), req))
         });
-        let door = Door::bind(addr, connections, shared.gate.clone(), handler)?;
-        let addr = door.addr()?;
-        let server = Server::spawn("fake-store", vec![door])?;
+        let listener = Listener::bind(addr, connections, shared.port_switch.clone(), handler)?;
+        let addr = listener.addr()?;
+        let server = Server::spawn("fake-store", vec![listener])?;
         Ok(Self {
             addr,
             shared,
@@ -60,14 +60,14 @@
     pub fn down(&self, down: OutageKind) {
         self.shared.down(down);
         if down == OutageKind::Refuse {
-            self.shared.gate.turn(false);
+            self.shared.port_switch.set_and_wait(false);
         }
     }
 
     /// Brings the store back; it holds what it held.
     pub fn up(&self) {
         self.shared.up();
-        self.shared.gate.turn(true);
+        self.shared.port_switch.set_and_wait(true);
     }
 
     /// Delays each answer. A read is delayed before it looks, a write after it took effect, so
@@ -78,20 +78,20 @@
 
     /// Lets the next `writes` writes take effect and closes their connections without an answer.
     pub fn drop_responses(&self, writes: u64) {
-        self.shared.lock().lose = writes;
+        self.shared.lock().drop_next = writes;
     }
 
     /// Lets writes of a key take effect and never answers them, until it is called with `None`;
     /// their connections stay open.
     pub fn withhold_responses(&self, key: Option<&str>) {
-        self.shared.lock().hold = key.map(Into::into);
+        self.shared.lock().withheld_key = key.map(Into::into);
     }
 
     /// Ends a lease at once, as if its holder had paused for longer than its time to live.
     pub fn expire_lease(&self, lease: u64) -> bool {
-        let lapsed = self.shared.lock().end_lease(lease);
+        let expired = self.shared.lock().end_lease(lease);
         self.shared.announce();
-        lapsed
+        expired
     }
 
     /// Sets new rate limits; the buckets start full.
@@ -129,7 +129,7 @@
     state: Mutex<State>,
     /// Raised after each change, to wake the watches.
     changed: watch::Sender<u64>,
-    gate: Gate,
+    port_switch: PortSwitch,
     origin: Instant,
 }
 
@@ -138,7 +138,7 @@
         Self {
             state: Mutex::new(State::open(options)),
             changed: watch::Sender::new(0),
-            gate: Gate::open(),
+            port_switch: PortSwitch::open(),
             origin: Instant::now(),
         }
     }
@@ -167,7 +167,7 @@
     fn down(&self, down: OutageKind) {
         self.lock().down = Some(down);
         if down == OutageKind::Refuse {
-            self.gate.set(false);
+            self.port_switch.set(false);
         }
         // Waiting watches look again, and end the way the store is down.
         self.announce();
@@ -175,6 +175,6 @@
 
     fn up(&self) {
         self.lock().down = None;
-        self.gate.set(true);
+        self.port_switch.set(true);
     }
 }
--- a/crates/fakes/src/store/state.rs
+++ b/crates/fakes/src/store/state.rs
@@ -6,7 +6,7 @@
 use dunlinrock_schema::store::{Key, Lease, StoreCounts};
 
 use super::{OutageKind, StoreOptions};
-use crate::bucket::Bucket;
+use crate::token_bucket::TokenBucket;
 
 /// A value with its version.
 #[derive(Clone, Debug)]
@@ -20,7 +20,7 @@
 
 /// A condition on a write, from `If-Match`.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Condition {
+pub(super) enum Precondition {
     /// No condition.
     Always,
     /// The key has this version; 0 stands for a key that does not exist.
@@ -35,15 +35,15 @@
     /// Last version or lease id given.
     last: u64,
     pub(super) options: StoreOptions,
-    pub(super) reads: Bucket,
-    pub(super) writes: Bucket,
+    pub(super) reads: TokenBucket,
+    pub(super) writes: TokenBucket,
     pub(super) counts: StoreCounts,
     pub(super) down: Option<OutageKind>,
     pub(super) delay: Duration,
     /// Writes whose answer will be dropped.
-    pub(super) lose: u64,
+    pub(super) drop_next: u64,
     /// Key whose writes get no answer, though their connections stay open.
-    pub(super) hold: Option<Arc<str>>,
+    pub(super) withheld_key: Option<Arc<str>>,
 }
 
 impl State {
@@ -52,20 +52,20 @@
             entries: BTreeMap::new(),
             leases: BTreeMap::new(),
             last: 0,
-            reads: Bucket::open(options.reads, options.burst, Duration::ZERO),
-            writes: Bucket::open(options.writes, options.burst, Duration::ZERO),
+            reads: TokenBucket::open(options.reads, options.burst, Duration::ZERO),
+            writes: TokenBucket::open(options.writes, options.burst, Duration::ZERO),
             options,
             counts: NO_COUNTS,
             down: None,
             delay: Duration::ZERO,
-            lose: 0,
-            hold: None,
+            drop_next: 0,
+            withheld_key: None,
         }
     }
 
     pub(super) fn set_limits(&mut self, options: StoreOptions, now: Duration) {
-        self.reads = Bucket::open(options.reads, options.burst, now);
-        self.writes = Bucket::open(options.writes, options.burst, now);
+        self.reads = TokenBucket::open(options.reads, options.burst, now);
+        self.writes = TokenBucket::open(options.writes, options.burst, now);
         self.options = options;
     }
 
@@ -108,10 +108,10 @@
     }
 
     /// Tells whether a condition holds for a key.
-    pub(super) fn holds(&self, key: &str, condition: Condition) -> bool {
-        match condition {
-            Condition::Always => true,
-            Condition::Version(v) => self.version(key) == v,
+    pub(super) fn holds(&self, key: &str, precondition: Precondition) -> bool {
+        match precondition {
+            Precondition::Always => true,
+            Precondition::Version(v) => self.version(key) == v,
         }
     }
 
