--- a/crates/fakes/src/target/http.rs
+++ b/crates/fakes/src/target/http.rs
@@ -92,7 +92,7 @@
 
 /// Gives the answer of a finished run, cut short where that is asked.
 fn run_response(shared: &Shared, head: &http::request::Parts, body_bytes: usize) -> Response<Body> {
-    let (filling, take_truncation) = {
+    let (filling, truncated) = {
         let mut state = shared.lock();
         (
             ".".repeat(state.options.padding_bytes),
@@ -111,7 +111,7 @@
     };
     let bytes = Bytes::from(serde_json::to_vec(&echo).unwrap_or_default());
     let size = HeaderValue::from(bytes.len());
-    let mut res = match take_truncation {
+    let mut res = match truncated {
         true => Response::new(truncated_body(bytes)),
         false => Response::new(full_body(bytes)),
     };
