--- a/crates/config/examples/pages.rs
+++ b/crates/config/examples/pages.rs
@@ -1,8 +1,8 @@
-//! Writes the pages on settings and configuration from the schemas.
+//! Generates the reference pages on settings and configuration from the schemas.
 //!
 //! ```text
 //! cargo run -p dunlinrock-config --example pages             # writes the pages
-//! cargo run -p dunlinrock-config --example pages -- --check  # fails where they differ
+//! cargo run -p dunlinrock-config --example pages -- --check  # fails if they differ
 //! ```
 
 use std::{env, fmt::Write, fs, path::Path};
@@ -11,7 +11,7 @@
 use dunlinrock_config::schema;
 use serde_json::Value;
 
-/// What stands above the tables of docs/SETTINGS.md.
+/// Text above the tables of docs/SETTINGS.md.
 const SETTINGS: &str = "\
 # Settings of a host
 
@@ -25,7 +25,7 @@
 than `epoch_ms`; names are ASCII letters, digits, `-` and `_`, at most 64.
 ";
 
-/// What stands above the tables of docs/EDGE.md.
+/// Text above the tables of docs/EDGE.md.
 const EDGE: &str = "\
 # Settings of an edge host
 
@@ -38,7 +38,7 @@
 `schema/edge.json` by `cargo run -p dunlinrock-config --example pages`.
 ";
 
-/// What stands above the tables of docs/CONFIG.md.
+/// Text above the tables of docs/CONFIG.md.
 const CONFIG: &str = "\
 # Configuration
 
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// The head, then a table for the file's root and one for each kind of entry.
+/// Returns a page: the head, a table for the file's root and one for each kind of entry.
 fn page(head: &str, schema: &Value) -> anyhow::Result<String> {
     let mut out = head.to_owned();
     section(&mut out, "The file", schema)?;
@@ -114,7 +114,7 @@
     Ok(out)
 }
 
-/// Notes the table behind a key, for a section of its own.
+/// Queues the table that a key refers to for a section of its own.
 fn push<'s>(todo: &mut Vec<(String, &'s Value)>, path: &str, rules: &'s Value) {
     if let Some(reference) = rules.get("$ref") {
         todo.push((path.to_owned(), reference));
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -1,7 +1,7 @@
-//! Holds a TOML document against a JSON Schema.
+//! Validates a TOML document against a JSON Schema.
 //!
-//! A file with a syntax error gives its syntax errors alone: what the parser recovers of it would
-//! give findings that vanish with the syntax error.
+//! For a file with syntax errors, only these are reported: findings in the recovered parts of the
+//! document could disappear when the syntax error is fixed.
 
 mod near;
 mod rules;
@@ -18,15 +18,14 @@
 
 pub(crate) use near::suggest;
 
-/// Checks `text`, read from the file `name`, against a JSON Schema and gives it as a `T`.
+/// Validates `text`, read from the file `name`, against a JSON Schema and deserializes it.
 ///
-/// Of JSON Schema, the keywords `$ref` into `definitions`, `type`, `properties`, `required`,
-/// `additionalProperties`, `items`, `enum`, `minimum`, `maximum` and the `format` `socket-address` are
-/// held.
+/// The supported JSON Schema keywords are `$ref` into `definitions`, `type`, `properties`, `required`,
+/// `additionalProperties`, `items`, `enum`, `minimum`, `maximum` and the `format` `socket-address`.
 ///
 /// # Errors
 ///
-/// All mistakes found, each with its place and its fix.
+/// Returns all findings, each with its location and a fix.
 pub fn check<T: DeserializeOwned>(name: &str, text: &str, schema: &str) -> Result<T, Findings> {
     let mut findings = Findings::default();
     let mut document = Document::read(name, text, schema, &mut findings);
@@ -37,19 +36,19 @@
     }
 }
 
-/// A document held against its schema.
+/// A document validated against its schema.
 pub(crate) struct Document {
-    /// What is well-formed of the document: entries of a map that have mistakes are left out, and
-    /// so is any table that lacks a key.
+    /// The valid parts of the document: invalid map entries and tables that lack a required key are
+    /// left out.
     value: Option<Value>,
-    /// Where things stand in it, those with mistakes included.
+    /// Locations of its keys and values, invalid ones included.
     pub(crate) locations: Locations,
-    /// Whether the text is TOML at all.
+    /// Whether the text is valid TOML.
     pub(crate) parsed: bool,
 }
 
 impl Document {
-    /// Reads a document; mistakes are added to `findings`.
+    /// Parses and validates a document and adds the findings to `findings`.
     pub(crate) fn read(name: &str, text: &str, schema: &str, findings: &mut Findings) -> Self {
         let mut locations = Locations::open(Source::open(name, text));
         let (table, errors) = DeTable::parse_recoverable(text);
@@ -68,7 +67,7 @@
             Err(error) => {
                 findings.error(
                     Location::file(name),
-                    format!("the schema is broken: {error}"),
+                    format!("the schema is invalid: {error}"),
                 );
                 None
             }
@@ -80,13 +79,13 @@
         }
     }
 
-    /// What is well-formed of the document, as a `T`; it can be taken once.
+    /// Deserializes the valid parts of the document. Returns `None` on any further call.
     pub(crate) fn typed<T: DeserializeOwned>(&mut self, findings: &mut Findings) -> Option<T> {
         let value = self.value.take()?;
         match serde_json::from_value(value) {
             Ok(value) => Some(value),
             Err(error) => {
-                // Only a schema that says less than the type behind it leads here.
+                // Reached only if the schema is less strict than the type.
                 findings.error(self.locations.key(&[]), format!("cannot be used: {error}"));
                 None
             }
--- a/crates/config/src/check/near.rs
+++ b/crates/config/src/check/near.rs
@@ -1,10 +1,10 @@
-//! Finds the name an author most likely meant.
+//! Suggests the name that was most likely meant by an unknown one.
 
-/// Fewest letters of a word that count as the start of a candidate.
+/// Minimum length of a word, in bytes, that matches as a prefix of a candidate.
 const MIN_PREFIX: usize = 3;
 
-/// The candidate nearest to `word`, where one is near enough to be a slip of the pen: at most a
-/// third of the word's letters away, or the one starts with the other. Beyond that a suggestion
+/// Returns the candidate nearest to `word` if `word` is likely a typo of it: the edit distance is at
+/// most a third of the word's letters, or one starts with the other. A suggestion farther away
 /// misleads more often than it helps.
 pub(crate) fn nearest<'a>(
     word: &str,
@@ -24,7 +24,7 @@
     shortest >= MIN_PREFIX && (candidate.starts_with(word) || word.starts_with(candidate))
 }
 
-/// The fix for an unknown word: the nearest candidate, or else all of them.
+/// Returns the fix for an unknown word: the nearest candidate, or a list of all.
 pub(crate) fn suggest<'a>(
     word: &str,
     candidates: impl IntoIterator<Item = &'a str> + Clone,
@@ -40,10 +40,10 @@
     format!("the {all} are {list}")
 }
 
-/// Longest list of names that a message shows.
+/// Maximum number of names in a message.
 const MAX_SHOWN: usize = 12;
 
-/// Names in backquotes, separated by commas; a long list is cut.
+/// Returns the names in backquotes, separated by commas; a long list is truncated.
 pub(crate) fn list<'a>(names: impl IntoIterator<Item = &'a str>) -> String {
     let mut out = String::new();
     for (n, name) in names.into_iter().enumerate() {
@@ -61,7 +61,8 @@
     out
 }
 
-/// Edit distance: letters inserted, left out, changed, or two neighbours swapped.
+/// Returns the edit distance: the number of insertions, deletions, substitutions and transpositions
+/// of adjacent letters.
 fn distance(a: &str, b: &str) -> usize {
     let a: Vec<char> = a.chars().collect();
     let b: Vec<char> = b.chars().collect();
--- a/crates/config/src/check/rules.rs
+++ b/crates/config/src/check/rules.rs
@@ -1,8 +1,8 @@
-//! A JSON Schema, read keyword by keyword.
+//! Access to the keywords of a JSON Schema.
 
 use serde_json::{Map, Value};
 
-/// What a schema says of one value.
+/// A node of a schema: the rules for one value.
 #[derive(Clone, Copy)]
 pub(super) struct SchemaNode<'s> {
     root: &'s Value,
@@ -18,7 +18,7 @@
         Self { node, ..self }.resolved()
     }
 
-    /// Follows references; one that leads nowhere permits anything.
+    /// Follows references. An unresolved reference permits any value.
     fn resolved(mut self) -> Self {
         while let Some(reference) = self.node.get("$ref").and_then(Value::as_str) {
             let pointer = reference.trim_start_matches('#');
@@ -46,7 +46,7 @@
         self.node.get("properties").and_then(Value::as_object)
     }
 
-    /// Names of the fixed keys, in the schema's order.
+    /// Returns the names of the fixed keys, in the schema's order.
     pub(super) fn keys(self) -> Vec<&'s str> {
         let keys = self.properties().into_iter().flat_map(Map::keys);
         keys.map(String::as_str).collect()
@@ -57,18 +57,18 @@
         list.into_iter().flatten().filter_map(Value::as_str)
     }
 
-    /// Rules of the fixed key `name`.
+    /// Returns the schema of the fixed key `name`.
     pub(super) fn property(self, name: &str) -> Option<Self> {
         self.properties()?.get(name).map(|node| self.at(node))
     }
 
-    /// Rules of the values of a map, whose keys are free.
+    /// Returns the schema of the values of a map, whose keys are free.
     pub(super) fn map_values(self) -> Option<Self> {
         let node = self.node.get("additionalProperties")?;
         node.is_object().then(|| self.at(node))
     }
 
-    /// Whether keys that are not listed are mistakes.
+    /// Returns whether unlisted keys are errors.
     pub(super) fn denies_unknown(self) -> bool {
         self.node.get("additionalProperties") == Some(&Value::Bool(false))
     }
@@ -77,7 +77,7 @@
         self.node.get("items").map(|node| self.at(node))
     }
 
-    /// The texts that an enumeration allows; empty where any text will do.
+    /// Returns the strings that an enumeration allows; empty if any string is valid.
     pub(super) fn choices(self) -> Vec<&'s str> {
         let list = self.node.get("enum").and_then(Value::as_array);
         list.into_iter()
@@ -86,7 +86,7 @@
             .collect()
     }
 
-    /// Whether a text is an address that a process can listen on or connect to.
+    /// Returns whether the string is an address that a process can listen on or connect to.
     pub(super) fn is_address(self) -> bool {
         self.node.get("format").and_then(Value::as_str) == Some("socket-address")
     }
--- a/crates/config/src/check/walk.rs
+++ b/crates/config/src/check/walk.rs
@@ -1,4 +1,4 @@
-//! Walks a TOML document and its schema side by side.
+//! Walks a TOML document together with its schema.
 
 use std::{borrow::Cow, sync::Arc};
 
@@ -18,7 +18,7 @@
     source::{Locations, Path},
 };
 
-/// Gives what is well-formed of `table` as JSON, and all mistakes as findings.
+/// Returns the valid parts of `table` as JSON and adds all errors to `findings`.
 pub(super) fn walk(
     schema: &Value,
     table: &Spanned<DeTable<'_>>,
@@ -36,7 +36,7 @@
 struct Walk<'w> {
     locations: &'w mut Locations,
     findings: &'w mut Findings,
-    /// Keys down to the value at hand.
+    /// Keys from the root down to the current value.
     path: Path,
 }
 
@@ -50,7 +50,7 @@
         self.locations.source().location(offset)
     }
 
-    /// `start` is where the table's own key stands.
+    /// Validates a table. `start` is the offset of the table's own key.
     fn table(
         &mut self,
         schema: SchemaNode<'_>,
@@ -68,7 +68,7 @@
                     None => complete = false,
                 }
             } else if let Some(inner) = schema.map_values() {
-                // A map's bad entry is left out, so that the others can be checked further.
+                // An invalid map entry is left out, so that the other entries can still be checked.
                 if let Some(value) = self.entry(inner, name, at, value) {
                     out.insert(name.to_owned(), value);
                 }
@@ -116,7 +116,7 @@
         value
     }
 
-    /// `key` is where the value's own key stands.
+    /// Validates a value. `key` is the offset of the value's own key.
     fn value(
         &mut self,
         schema: SchemaNode<'_>,
@@ -164,7 +164,7 @@
         if schema.is_address()
             && let Err(fault) = parse_address(text)
         {
-            // Still a text: what else is wrong with the whole is looked for as well.
+            // The value is still a string, so the checks that need the complete document go on.
             self.error(at, fault);
         }
         let choices = schema.choices();
@@ -220,7 +220,7 @@
     }
 }
 
-/// The value, where it fits 128 bits.
+/// Returns the value if it fits 128 bits.
 fn integer_value(integer: &DeInteger<'_>) -> Option<i128> {
     i128::from_str_radix(integer.as_str(), integer.radix()).ok()
 }
@@ -237,7 +237,7 @@
     }
 }
 
-/// What the rules want, in words.
+/// Describes the values that the schema permits.
 fn wanted(schema: SchemaNode<'_>) -> Cow<'static, str> {
     let number = match schema.kind() {
         "integer" => "a whole number",
@@ -255,7 +255,7 @@
     }
 }
 
-/// What a missing key's value may look like.
+/// Returns a placeholder for the value of a missing key.
 fn sample(schema: SchemaNode<'_>) -> &'static str {
     match schema.kind() {
         "integer" | "number" => "NUMBER",
--- a/crates/config/src/config/blocks.rs
+++ b/crates/config/src/config/blocks.rs
@@ -1,4 +1,4 @@
-//! Blocks of client addresses.
+//! Validation of address blocks of clients.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -14,7 +14,7 @@
         let Ok(net) = block.parse::<IpNet>() else {
             findings.error(
                 location(),
-                format!("`{block}` is not a block of addresses; write it like `10.16.0.0/16`"),
+                format!("`{block}` is not an address block; write it like `10.16.0.0/16`"),
             );
             continue;
         };
--- a/crates/config/src/config/draft.rs
+++ b/crates/config/src/config/draft.rs
@@ -1,4 +1,4 @@
-//! The files of a configuration put together, before it is known to be sound.
+//! The merged files of a configuration, before cross-file validation.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,21 +10,21 @@
 use super::ConfigFile;
 use crate::{Findings, Location, check::Document, schema, settings::name_fault};
 
-/// Sections whose entries have names of the operator's choice.
+/// Sections whose entries are named by the operator.
 const NAMED: [&str; 6] = [
     "services", "regions", "domains", "links", "targets", "drains",
 ];
-/// Section whose entries are named by a block of addresses.
+/// Section whose entries are keyed by an address block.
 pub(super) const BLOCKS: &str = "blocks";
 
-/// What is well-formed of all files.
+/// The valid entries of all files, with the locations of all entries.
 pub(super) struct Draft {
-    /// Union of the files, without the entries that have mistakes.
+    /// Union of the files, without invalid entries.
     pub(super) config: Config,
     documents: Vec<Document>,
-    /// For each section, the names that are defined, mistakes included, and the file they are in.
+    /// Defined names by section, those of invalid entries included, with the index of their file.
     names: BTreeMap<&'static str, BTreeMap<Arc<str>, usize>>,
-    /// Whether all files are TOML, so that all names are known.
+    /// Whether all files were parsed as TOML, which means that all names are known.
     pub(super) all_parsed: bool,
 }
 
@@ -58,7 +58,7 @@
         self.config.blocks.extend(part.blocks);
     }
 
-    /// Notes where each name is defined; one that is defined in two files is a finding in both.
+    /// Records the file that defines each name. A name defined in two files is a finding in both.
     fn index(&mut self, findings: &mut Findings) {
         for section in NAMED.into_iter().chain([BLOCKS]) {
             let names = self.names.entry(section).or_default();
@@ -82,19 +82,19 @@
         }
     }
 
-    /// Names defined in a section, those with mistakes included.
+    /// Returns the names defined in a section, those of invalid entries included.
     pub(super) fn names(&self, section: &str) -> impl Iterator<Item = &Arc<str>> + Clone {
         self.names.get(section).into_iter().flat_map(BTreeMap::keys)
     }
 
-    /// Whether a section defines a name, be it with mistakes.
+    /// Returns whether a section defines a name, even if its entry is invalid.
     pub(super) fn defines(&self, section: &str, name: &str) -> bool {
         self.names
             .get(section)
             .is_some_and(|names| names.contains_key(name))
     }
 
-    /// Place of the value under `path`: section, name, keys.
+    /// Returns the location of the value at `path`: section, name, keys.
     pub(super) fn value(&self, path: &[&str]) -> Location {
         self.document(path).map_or_else(
             || Location::file("configuration"),
@@ -102,7 +102,7 @@
         )
     }
 
-    /// Place of the key under `path`: section, name, keys.
+    /// Returns the location of the key at `path`: section, name, keys.
     pub(super) fn key(&self, path: &[&str]) -> Location {
         self.document(path).map_or_else(
             || Location::file("configuration"),
@@ -110,12 +110,12 @@
         )
     }
 
-    /// Number of keys written right under `path`, those with mistakes included.
+    /// Returns the number of keys directly under `path`, invalid ones included.
     pub(super) fn count(&self, path: &[&str]) -> usize {
         self.document(path).map_or(0, |d| d.locations.count(path))
     }
 
-    /// Whether a key is written out.
+    /// Returns whether a key is set in a file, as opposed to taken from its default.
     pub(super) fn is_set(&self, path: &[&str]) -> bool {
         self.document(path).is_some_and(|d| d.locations.has(path))
     }
@@ -128,7 +128,7 @@
         self.documents.get(*at)
     }
 
-    /// Regions in which a service has targets, drained or not.
+    /// Returns the regions in which a service has targets, drained or not.
     pub(super) fn regions_of(&self, service: &str) -> BTreeSet<&Arc<str>> {
         let targets = self.config.targets.values();
         targets
@@ -141,5 +141,5 @@
 
 fn duplicate_name(section: &str, name: &str, other: &Location) -> String {
     let kind = section.trim_end_matches('s');
-    format!("the {kind} `{name}` is defined at {other} too; keep one of them")
+    format!("the {kind} `{name}` is also defined at {other}; keep one of them")
 }
--- a/crates/config/src/config/links.rs
+++ b/crates/config/src/config/links.rs
@@ -1,4 +1,4 @@
-//! Links between regions.
+//! Validation of links between regions.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -24,7 +24,7 @@
         };
         let message = |other: &str| {
             format!(
-                "`{}` and `{}` are linked by `{other}` too; keep one link, it serves both directions",
+                "`{}` and `{}` are also linked by `{other}`; keep one link, it serves both directions",
                 pair.0, pair.1
             )
         };
@@ -33,7 +33,7 @@
     }
 }
 
-/// The two ends in a fixed order: a link serves both directions.
+/// Returns both ends in a fixed order, since a link serves both directions.
 fn ends<'a>(a: &'a Arc<str>, b: &'a Arc<str>) -> (&'a Arc<str>, &'a Arc<str>) {
     if a < b { (a, b) } else { (b, a) }
 }
--- a/crates/config/src/config/mod.rs
+++ b/crates/config/src/config/mod.rs
@@ -1,8 +1,8 @@
 //! An operator's configuration: the union of the files of one directory.
 //!
-//! How entries are split over files is the operator's choice; a name is defined in one file only.
-//! A file that is not TOML hides the names that it defines, so references are checked only when
-//! all files could be read: a finding must not vanish by mending another one.
+//! Operators split entries over files as they like; each name is defined in one file only. The names
+//! in a file that is not valid TOML are unknown, so references are checked only if all files were
+//! parsed. Otherwise fixing one finding would make others disappear.
 
 mod blocks;
 mod draft;
@@ -22,32 +22,33 @@
 /// One file of a configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ConfigFile {
-    /// Name, as findings show it.
+    /// Name as shown in findings.
     pub name: String,
-    /// Text, TOML.
+    /// Contents, as TOML text.
     pub text: String,
 }
 
-/// A configuration with all that was found in it.
+/// A configuration and the findings of its validation.
 #[derive(Clone, Debug)]
 pub struct CheckedConfig {
-    /// The configuration; absent where there are errors.
+    /// The configuration; `None` if there are errors.
     pub config: Option<Config>,
     /// Errors and warnings.
     pub findings: Findings,
 }
 
-/// Reads and checks all `*.toml` files of a directory.
+/// Reads and validates all `*.toml` files of a directory.
 ///
 /// # Errors
 ///
-/// All findings, warnings included, where at least one is an error.
+/// Returns all findings, warnings included, if at least one is an error.
 pub fn load_dir(path: &Path) -> Result<Config, Findings> {
     let checked = check_dir(path);
     checked.config.ok_or(checked.findings)
 }
 
-/// Reads and checks all `*.toml` files of a directory; gives warnings too where there is no error.
+/// Reads and validates all `*.toml` files of a directory. The result contains the warnings even if
+/// there are no errors.
 pub fn check_dir(path: &Path) -> CheckedConfig {
     let mut findings = Findings::default();
     let files = read_dir(path, &mut findings);
@@ -59,7 +60,7 @@
     checked
 }
 
-/// Checks files that are already read.
+/// Validates the contents of files that the caller has read.
 pub fn check_files(files: &[ConfigFile]) -> CheckedConfig {
     let mut findings = Findings::default();
     let draft = Draft::open(files, &mut findings);
@@ -73,7 +74,7 @@
     CheckedConfig { config, findings }
 }
 
-/// Reads the `*.toml` files of a directory in order of name.
+/// Reads the `*.toml` files of a directory, sorted by name.
 fn read_dir(path: &Path, findings: &mut Findings) -> Vec<ConfigFile> {
     let shown = path.display().to_string();
     let paths = match list(path) {
@@ -86,7 +87,7 @@
     if paths.is_empty() {
         findings.error(
             Location::file(&shown),
-            "holds no `*.toml` file; give the directory of the configuration",
+            "contains no `*.toml` file; give the directory of the configuration",
         );
     }
     let mut files = Vec::new();
--- a/crates/config/src/config/references.rs
+++ b/crates/config/src/config/references.rs
@@ -1,4 +1,4 @@
-//! Names that point at other entries.
+//! Validation of references between entries.
 
 use dunlinrock_schema::config::DrainKind;
 
@@ -39,7 +39,7 @@
             DrainKind::Target => "targets",
             DrainKind::Domain => "domains",
             DrainKind::Region => "regions",
-            // Hosts are not in the configuration: the platform lists them.
+            // Hosts are not in the configuration; they are in the platform's list of hosts.
             DrainKind::Host => continue,
         };
         check_reference(
@@ -52,7 +52,7 @@
     }
 }
 
-/// The regions that spreads name, as callers and as servers.
+/// Checks the regions that spreads refer to, both of callers and of targets.
 fn check_spreads(draft: &Draft, findings: &mut Findings) {
     for (service, service_config) in &draft.config.services {
         for (callers, shares) in &service_config.spread {
--- a/crates/config/src/config/services.rs
+++ b/crates/config/src/config/services.rs
@@ -1,4 +1,4 @@
-//! Rules of services that a schema cannot say.
+//! Validation of services beyond what the JSON Schema can express.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,12 @@
 use super::draft::Draft;
 use crate::Findings;
 
-/// Longest window of a cap, in milliseconds: a day. A longer one is a slip of units.
+/// Maximum window of a cap, in milliseconds: one day. A longer one is most likely a mistaken unit.
 const MAX_WINDOW_MS: u64 = 86_400_000;
-/// Share from which a cap no longer holds a shift back.
+/// Share from which a cap no longer limits a shift.
 const FULL_SHARE: f64 = 1.0;
-/// Methods that HTTP defines as idempotent; others are run more than once at the operator's word.
+/// Methods that HTTP defines as idempotent. Others are retried only if the operator lists them as
+/// repeatable, which is a warning.
 const IDEMPOTENT: [&str; 6] = ["GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"];
 
 pub(super) fn check(draft: &Draft, findings: &mut Findings) {
@@ -25,7 +26,7 @@
             let location = draft.key(&["services", name]);
             findings.warning(
                 location,
-                format!("service `{name}` has no targets; each request will be turned away"),
+                format!("service `{name}` has no targets; every request will be refused"),
             );
         }
     }
@@ -33,7 +34,7 @@
 
 fn check_times(draft: &Draft, name: &str, service: &Service, findings: &mut Findings) {
     let deadline = service.deadline_ms.get();
-    // The default is longer than many a deadline and then does no harm: the deadline comes first.
+    // The default may exceed the deadline without harm, since the deadline ends the wait first.
     let explicit = draft.is_set(&["services", name, "queue_ms"]);
     if explicit && service.queue_ms > deadline {
         findings.error(
@@ -58,7 +59,7 @@
             draft.value(&["services", name, "work_ms"]),
             format!(
                 "`work_ms` is {}, more than `deadline_ms`, which is {deadline}: most requests will \
-                 be turned away",
+                 be refused",
                 service.work_ms
             ),
         );
@@ -91,7 +92,7 @@
         if method.is_empty() || !method.bytes().all(|b| b.is_ascii_uppercase()) {
             findings.error(
                 location(),
-                format!("`{method}` is not a method of HTTP; write it like `GET`"),
+                format!("`{method}` is not an HTTP method; write it like `GET`"),
             );
         } else if !IDEMPOTENT.contains(&&**method) {
             findings.warning(
@@ -108,12 +109,12 @@
     if header.is_empty() || !header.bytes().all(valid) {
         findings.error(
             draft.value(&["services", name, "caller_header"]),
-            format!("`{header}` is not a header's name; use ASCII letters, digits, `-` and `_`"),
+            format!("`{header}` is not a header name; use ASCII letters, digits, `-` and `_`"),
         );
     }
 }
 
-/// In each domain, some slot must be left to long work: it would wait for ever.
+/// Checks that each domain keeps a slot for long requests, which would otherwise never run.
 fn short_slots(draft: &Draft, name: &str, service: &Service, findings: &mut Findings) {
     let mut slots: BTreeMap<&str, u64> = BTreeMap::new();
     for target in draft.config.targets.values() {
@@ -131,7 +132,7 @@
             draft.value(&["services", name, "short_slots"]),
             format!(
                 "`short_slots` is {}, which leaves none of the {fewest} slots in domain `{domain}` \
-                 to long work; lower it",
+                 for long requests; lower it",
                 service.short_slots
             ),
         );
--- a/crates/config/src/config/spread.rs
+++ b/crates/config/src/config/spread.rs
@@ -1,4 +1,4 @@
-//! How the traffic of a service is spread over regions.
+//! Validation of the spread of a service's traffic over regions.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -12,7 +12,7 @@
         let serving_regions = draft.regions_of(name);
         for (callers, shares) in &service.spread {
             let path = ["services", name, "spread", callers];
-            // A weight with a mistake is not in the row; it may be the one above 0.
+            // An invalid weight is missing from `shares`; it may be the one above 0.
             let valid = shares.len() == draft.count(&path);
             if valid && shares.values().all(|weight| *weight == 0.0) {
                 findings.error(
@@ -35,7 +35,7 @@
     }
 }
 
-/// Whether callers of one region can be served by another at all.
+/// Checks that callers of one region can be served by another.
 fn check_reachable(
     draft: &Draft,
     service: &str,
@@ -48,7 +48,7 @@
         return;
     }
     let path = ["services", service, "spread", callers, region];
-    // Where a target has mistakes, it may be the one that stands there.
+    // An invalid target or domain may be the one in this region.
     let all_valid = draft.names("targets").count() == draft.config.targets.len()
         && draft.names("domains").count() == draft.config.domains.len();
     if all_valid && !serving_regions.contains(region) {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Regions with callers that no region serves.
+/// Warns of regions with callers that no region serves.
 fn unserved(
     draft: &Draft,
     name: &str,
--- a/crates/config/src/config/targets.rs
+++ b/crates/config/src/config/targets.rs
@@ -1,4 +1,4 @@
-//! Addresses of targets, and domains and regions without any.
+//! Validation of target addresses and of regions without domains.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -28,7 +28,7 @@
         };
         let there = draft.value(&["targets", other, "address"]);
         let message = |other: &str| {
-            format!("`{address}` is the address of target `{other}` too; give each its own")
+            format!("`{address}` is also the address of target `{other}`; give each target its own")
         };
         findings.error(location, message(other));
         findings.error(there, message(name));
--- a/crates/config/src/finding/mod.rs
+++ b/crates/config/src/finding/mod.rs
@@ -1,8 +1,8 @@
-//! Mistakes of a document's author, collected with their places and reported together.
+//! Findings: errors and warnings in a document, with their locations.
 
 use std::{fmt, sync::Arc};
 
-/// How much a finding matters.
+/// Severity of a finding.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Level {
     /// The document cannot be used.
@@ -11,19 +11,19 @@
     Warning,
 }
 
-/// Where in a document something stands. Places order by file, then line, then column.
+/// A location in a document, ordered by file, then line, then column.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Location {
     /// Name of the file.
     pub file: Arc<str>,
-    /// Line, counted from 1; 0 where the finding is about the file as a whole.
+    /// Line, counted from 1; 0 for the file as a whole.
     pub line: u32,
-    /// Column in characters, counted from 1; 0 where `line` is.
+    /// Column in characters, counted from 1; 0 if `line` is 0.
     pub column: u32,
 }
 
 impl Location {
-    /// The place of a finding about a file as a whole.
+    /// Returns the location of a file as a whole.
     pub fn file(name: &str) -> Self {
         Self {
             file: name.into(),
@@ -42,12 +42,12 @@
     }
 }
 
-/// One mistake: where it is, what is wrong and how to mend it.
+/// An error or warning: its location, what is wrong and how to fix it.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Finding {
-    /// Where it stands.
+    /// Location in the document.
     pub location: Location,
-    /// How much it matters.
+    /// Severity.
     pub level: Level,
     /// What is wrong and the fix, on one line.
     pub message: String,
@@ -63,9 +63,9 @@
     }
 }
 
-/// The findings of one or more documents; displays one a line, in order of place.
+/// The findings of one or more documents, displayed one per line in order of location.
 ///
-/// Invariant: sorted, without doubles.
+/// Invariant: sorted, without duplicates.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Findings {
     list: Vec<Finding>,
@@ -93,34 +93,34 @@
         }
     }
 
-    /// Takes over all findings of `other`.
+    /// Adds all findings of `other`.
     pub fn extend(&mut self, other: Self) {
         self.list.extend(other.list);
         self.list.sort();
         self.list.dedup();
     }
 
-    /// Whether any finding is an error.
+    /// Returns whether any finding is an error.
     pub fn has_errors(&self) -> bool {
         self.errors().next().is_some()
     }
 
-    /// Whether there is no finding at all.
+    /// Returns whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// All findings in order of place.
+    /// Returns all findings in order of location.
     pub fn iter(&self) -> impl Iterator<Item = &Finding> {
         self.list.iter()
     }
 
-    /// The errors in order of place.
+    /// Returns the errors in order of location.
     pub fn errors(&self) -> impl Iterator<Item = &Finding> {
         self.list.iter().filter(|f| f.level == Level::Error)
     }
 
-    /// The warnings in order of place.
+    /// Returns the warnings in order of location.
     pub fn warnings(&self) -> impl Iterator<Item = &Finding> {
         self.list.iter().filter(|f| f.level == Level::Warning)
     }
--- a/crates/config/src/goal/mod.rs
+++ b/crates/config/src/goal/mod.rs
@@ -1,9 +1,9 @@
-//! Where a service's traffic is meant to go under a configuration.
+//! Computes the desired split: the shares of a service's traffic by serving region.
 //!
-//! The goal of a region's callers is the row that the operator wrote for them, less what drains
-//! take out: a region's weight counts by the part of the service's slots that is left in it. Where
-//! no weight of the row is left, the traffic is not turned away while other regions could take it:
-//! it goes to all linked regions that have slots left, in proportion to these slots.
+//! The desired split for the callers of one region is the spread that the operator configured for
+//! them, with each region's weight multiplied by the fraction of the service's slots there that is
+//! not drained. If no weight remains, the traffic is not refused while other regions could serve
+//! it: it goes to all linked regions with available slots, in proportion to these slots.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,21 +12,21 @@
 
 use dunlinrock_schema::config::{Config, DrainKind, Link, Target};
 
-/// Part of a cap's speed at which each host moves its shares. The rest is kept for what is not a
-/// host's own move, as `docs/decisions/shift.md` says.
+/// Fraction of a cap's rate at which each host shifts its traffic. The rest is reserved for changes
+/// that are not the host's own shift; see `docs/decisions/shift.md`.
 pub const CAP_FRACTION: f64 = 0.8;
 
-/// For each serving region its part of the traffic; the parts sum up to 1, or there are none.
+/// Share of the traffic by serving region; the shares sum to 1, or the map is empty.
 pub type RegionShares = BTreeMap<Arc<str>, f64>;
 
-/// The link between two regions.
+/// Returns the link between two regions, in either direction.
 pub fn link<'c>(config: &'c Config, a: &str, b: &str) -> Option<&'c Link> {
     let joins =
         |link: &&Link| (&*link.from == a && &*link.to == b) || (&*link.from == b && &*link.to == a);
     config.links.values().find(joins)
 }
 
-/// Whether a drain takes a target out, itself or with its domain or region.
+/// Returns whether a target is drained, by itself or with its domain or region.
 pub fn is_drained(config: &Config, name: &str, target: &Target) -> bool {
     let region = config.domains.get(&target.domain).map(|d| &*d.region);
     config.drains.values().any(|drain| match drain.kind {
@@ -42,12 +42,12 @@
 pub struct Slots {
     /// All slots.
     pub total: u64,
-    /// Slots that no drain takes out; at most `all`.
+    /// Slots that are not drained; at most `total`.
     pub available: u64,
 }
 
 impl Slots {
-    /// The part that is left, of 1.
+    /// Returns the fraction of the slots that is available, from 0 to 1.
     pub fn available_fraction(self) -> f64 {
         if self.total == 0 {
             return 0.0;
@@ -56,7 +56,7 @@
     }
 }
 
-/// A service's slots by region.
+/// Returns a service's slots by region.
 pub fn slots(config: &Config, service: &str) -> BTreeMap<Arc<str>, Slots> {
     let mut slots: BTreeMap<Arc<str>, Slots> = BTreeMap::new();
     for (name, target) in &config.targets {
@@ -75,7 +75,8 @@
     slots
 }
 
-/// The row that the operator wrote for the callers of a region: itself alone where there is none.
+/// Returns the shares that the operator configured for the callers of a region. Without a spread,
+/// all traffic stays in the callers' region.
 pub fn configured(config: &Config, service: &str, callers: &str) -> RegionShares {
     let shares = config
         .services
@@ -87,17 +88,17 @@
     }
 }
 
-/// The goal of a service's callers in one region.
+/// Returns the desired split of a service's traffic from the callers of one region.
 ///
-/// Empty where no region can serve them.
+/// It is empty if no region can serve them.
 pub fn desired_split(config: &Config, service: &str, callers: &str) -> RegionShares {
     desired_split_excluding(config, service, callers, &BTreeSet::new())
 }
 
-/// The goal of a service's callers in one region while some regions are lost: a lost region counts
-/// as one without slots.
+/// Returns the desired split of a service's traffic from the callers of one region, with the regions
+/// in `lost` treated as regions without slots.
 ///
-/// Empty where no region can serve them.
+/// It is empty if no region can serve them.
 pub fn desired_split_excluding(
     config: &Config,
     service: &str,
@@ -128,10 +129,10 @@
     )
 }
 
-/// Leaves out regions without weight and brings the sum to 1.
+/// Removes regions without weight and scales the rest to a sum of 1.
 pub fn normalize(mut shares: RegionShares) -> RegionShares {
     shares.retain(|_, weight| weight.is_finite() && *weight > 0.0);
-    // The largest weight goes out first: a sum of large weights would not be finite.
+    // Divides by the largest weight first: the sum of very large weights would not be finite.
     let max = shares.values().copied().fold(0.0, f64::max);
     shares.values_mut().for_each(|weight| *weight /= max);
     let sum: f64 = shares.values().sum();
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! Checked TOML documents: settings of a host and an operator's configuration.
+//! Parses and validates TOML documents: the settings of a host and an operator's configuration.
 //!
-//! Every mistake of a document is found in one go, each with its file, line and column, what is
-//! wrong and how to mend it.
+//! Validation reports all findings of a document together. Each has a file, line and column, says
+//! what is wrong and how to fix it.
 //!
 //! ```
 //! use dunlinrock_config::{check, schema};
@@ -19,10 +19,10 @@
 //! );
 //! ```
 //!
-//! * [`check`] holds any document against a JSON Schema.
+//! * [`check`] validates any document against a JSON Schema.
 //! * [`settings::load`] reads a host's settings.
 //! * [`config::load_dir`] reads an operator's configuration, the union of a directory's files.
-//! * [`plan`](plan::plan) says what would change between two configurations.
+//! * [`plan`](plan::plan) compares two configurations and returns what would change.
 
 mod check;
 pub mod config;
--- a/crates/config/src/plan/entries.rs
+++ b/crates/config/src/plan/entries.rs
@@ -26,7 +26,7 @@
 }
 
 impl Kind {
-    /// All kinds, in the order of a plan.
+    /// All kinds, in the order in which a plan lists them.
     pub const ALL: [Self; 7] = [
         Self::Service,
         Self::Region,
@@ -52,14 +52,14 @@
     }
 }
 
-/// What happens to an entry.
+/// Change of an entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// It is new.
+    /// The entry is new.
     Added,
-    /// It is no longer there.
+    /// The entry is removed.
     Removed,
-    /// It differs, in these keys; a block has none.
+    /// The entry differs in these keys; the list is empty for blocks, which have no keys.
     Changed(Vec<String>),
 }
 
@@ -68,9 +68,9 @@
 pub struct Entry {
     /// Kind of the entry.
     pub kind: Kind,
-    /// Its name.
+    /// Name of the entry.
     pub name: Arc<str>,
-    /// What happens to it.
+    /// Change of the entry.
     pub change: Change,
 }
 
@@ -126,7 +126,7 @@
     entries.sort_by(|a, b| (a.kind, &a.name).cmp(&(b.kind, &b.name)));
 }
 
-/// Keys in which two tables differ.
+/// Returns the keys in which two tables differ.
 fn differences<T: Serialize>(old: &T, new: &T) -> Vec<String> {
     let table = |entry: &T| match serde_json::to_value(entry) {
         Ok(Value::Object(table)) => table,
--- a/crates/config/src/plan/mod.rs
+++ b/crates/config/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! What would change between two configurations.
+//! Computes what would change between two configurations.
 
 mod entries;
 mod shifts;
@@ -9,37 +9,37 @@
 
 pub use entries::{Change, Entry, Kind};
 
-/// A move of a service's traffic from one region of callers.
+/// A shift of a service's traffic from the callers of one region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shift {
     /// The service.
     pub service: Arc<str>,
     /// Region of the callers.
     pub callers: Arc<str>,
-    /// Part of the callers' traffic that moves in all, of 1.
+    /// Total fraction of the callers' traffic that changes its serving region, from 0 to 1.
     pub fraction: f64,
-    /// Least windows of the cap that the move needs.
+    /// Minimum number of the cap's windows that the shift takes.
     pub min_windows: u64,
-    /// Time the move takes at the hosts' pace, which is below the cap's; longer where regions grant
-    /// too little headroom.
+    /// Duration of the shift at the hosts' rate, which is below the cap's. The shift takes longer
+    /// where regions grant too little headroom.
     pub duration: Duration,
 }
 
-/// What would change, which shifts start and which drains begin or end.
+/// Differences between two configurations and the shifts and drains that they cause.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     /// Entries that change, by kind and name.
     pub entries: Vec<Entry>,
     /// Shifts that start, by service and region of callers.
     pub shifts: Vec<Shift>,
-    /// Drains that begin, by name.
+    /// Drains that start, with their names.
     pub drains_started: Vec<(Arc<str>, Drain)>,
-    /// Drains that end, by name.
+    /// Drains that end, with their names.
     pub drains_ended: Vec<(Arc<str>, Drain)>,
 }
 
 impl Plan {
-    /// Whether nothing would change.
+    /// Returns whether nothing would change.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -62,7 +62,8 @@
     }
 }
 
-/// Most entries of one kind that are shown by name; blocks come in hundreds of thousands.
+/// Maximum number of entries of one kind that are listed; there can be hundreds of thousands of
+/// blocks.
 const MAX_SHOWN: usize = 20;
 
 impl fmt::Display for Plan {
--- a/crates/config/src/plan/shifts.rs
+++ b/crates/config/src/plan/shifts.rs
@@ -1,4 +1,4 @@
-//! Shifts of traffic that a change starts.
+//! Computes the traffic shifts that a change of configuration starts.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -7,13 +7,13 @@
 use super::Shift;
 use crate::goal::{CAP_FRACTION, RegionShares, desired_split};
 
-/// Part of the traffic below which a difference is rounding, not a shift.
+/// Fraction of the traffic below which a difference is a rounding error, not a shift.
 const EPSILON: f64 = 1e-9;
 
 pub(super) fn compare(old: &Config, new: &Config) -> Vec<Shift> {
     let mut shifts = Vec::new();
-    // The goal walks all targets: a plan costs services × regions × targets, a few thousand steps
-    // today, and is made by an operator's command only.
+    // `desired_split` walks all targets, so a plan costs services × regions × targets: a few thousand
+    // steps today, and only when an operator's command asks for it.
     for (name, service) in &new.services {
         if !old.services.contains_key(name) {
             continue;
@@ -38,12 +38,12 @@
         .collect()
 }
 
-/// Part of the traffic that changes its region between two rows.
+/// Returns the fraction of the traffic whose serving region differs between two splits.
 fn moved_fraction(before: &RegionShares, after: &RegionShares) -> f64 {
     let gain = |(region, share): (&Arc<str>, &f64)| {
         (share - before.get(region).copied().unwrap_or(0.0)).max(0.0)
     };
-    // With nobody serving before there is no traffic to move.
+    // If no region served before, there is no traffic to shift.
     if before.is_empty() {
         return 0.0;
     }
--- a/crates/config/src/schema/mod.rs
+++ b/crates/config/src/schema/mod.rs
@@ -1,4 +1,4 @@
-//! The schemas that documents are held against, as embedded text.
+//! The JSON Schemas that documents are validated against, embedded as text.
 
 /// JSON Schema of a host's settings.
 pub const SETTINGS: &str = include_str!("../../../../schema/settings.json");
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one host.
+//! Reading and validation of a host's settings.
 
 use std::{fs, net::SocketAddr, path::Path};
 
@@ -6,11 +6,11 @@
 
 use crate::{Findings, Location, check::Document, schema, source::Locations};
 
-/// Reads and checks the settings file at `path`.
+/// Reads and validates the settings file at `path`.
 ///
 /// # Errors
 ///
-/// All mistakes found; a file that cannot be read is one.
+/// Returns all findings. A file that cannot be read is a finding.
 pub fn load(path: &Path) -> Result<Settings, Findings> {
     let name = path.display().to_string();
     match fs::read_to_string(path) {
@@ -23,11 +23,11 @@
     }
 }
 
-/// Checks the text of a settings file named `name`.
+/// Validates the text of a settings file named `name`.
 ///
 /// # Errors
 ///
-/// All mistakes found.
+/// Returns all findings.
 pub fn check(name: &str, text: &str) -> Result<Settings, Findings> {
     let mut findings = Findings::default();
     let mut document = Document::read(name, text, schema::SETTINGS, &mut findings);
@@ -56,13 +56,13 @@
     }
 }
 
-/// The addresses themselves are checked with the document, so that a wrong one is named beside
-/// whatever else is wrong.
+/// Checks that the addresses differ. The schema validation checks their syntax, so that an invalid
+/// address is reported together with the other findings.
 fn addresses(settings: &Settings, locations: &Locations, findings: &mut Findings) {
     if settings.callers == settings.peers {
         findings.error(
             locations.value(&["peers"]),
-            "`peers` is the address of `callers` too; give it another port",
+            "`peers` has the same address as `callers`; give it another port",
         );
     }
 }
@@ -79,7 +79,7 @@
             );
         }
     }
-    // Two heartbeats must fit: a single one that is lost would make a healthy peer suspect.
+    // Two heartbeats must fit into `suspect_ms`, or one lost heartbeat makes a healthy peer suspect.
     if timing.heartbeat_ms.saturating_mul(2) > timing.suspect_ms
         && timing.heartbeat_ms < timing.suspect_ms
     {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Pairs of times of which the first must be less than the second.
+/// Returns pairs of settings in which the first must be less than the second.
 fn ordered_pairs(timing: &TimingSettings) -> [(&'static str, u64, u64, &'static str); 3] {
     [
         (
@@ -113,7 +113,7 @@
     ]
 }
 
-/// Reads an address that a process can listen on or connect to.
+/// Parses an address that a process can listen on or connect to.
 pub(crate) fn parse_address(text: &str) -> Result<SocketAddr, String> {
     let Ok(address) = text.parse::<SocketAddr>() else {
         return Err(format!(
@@ -134,11 +134,11 @@
     Ok(address)
 }
 
-/// Longest name.
+/// Maximum length of a name in bytes.
 const MAX_NAME_LEN: usize = 64;
 
-/// What is wrong with a name, if anything. Names travel in paths, headers and keys of the store,
-/// where other characters would have to be escaped.
+/// Returns what is wrong with a name, or `None` if it is valid. Names are used in paths, headers and
+/// store keys, where other characters would have to be escaped.
 pub(crate) fn name_fault(name: &str) -> Option<String> {
     if name.is_empty() {
         return Some("is empty; give a name".to_owned());
--- a/crates/config/src/source/mod.rs
+++ b/crates/config/src/source/mod.rs
@@ -1,4 +1,4 @@
-//! A document's text with the places in it.
+//! A document's text and the locations of its keys and values.
 
 use std::{collections::BTreeMap, ops::Range, sync::Arc};
 
@@ -7,7 +7,7 @@
 /// Keys from the root of a document down to a value.
 pub(crate) type Path = Vec<Arc<str>>;
 
-/// Text of a file, with the means to turn byte offsets into lines and columns.
+/// Text of a file with an index that maps byte offsets to lines and columns.
 #[derive(Clone, Debug)]
 pub(crate) struct Source {
     name: Arc<str>,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The place of a byte offset. An offset beyond the text gives its end.
+    /// Returns the location of a byte offset. An offset beyond the text maps to its end.
     pub(crate) fn location(&self, offset: usize) -> Location {
         let offset = offset.min(self.text.len());
         let line = self.lines.partition_point(|start| *start <= offset) - 1;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The text of a span, as its author wrote it.
+    /// Returns the source text of a span.
     pub(crate) fn slice(&self, span: Range<usize>) -> &str {
         self.text.get(span).unwrap_or_default()
     }
@@ -54,12 +54,12 @@
 
 /// Byte offsets of a document's keys and values.
 ///
-/// Offsets rather than places are held: a column costs a walk along its line, which would be
-/// quadratic for a long line with many values, and is needed for findings only.
+/// Stores offsets rather than locations: computing a column walks its line, which would be quadratic
+/// for a long line with many values, and columns are needed for findings only.
 #[derive(Clone, Debug)]
 pub(crate) struct Locations {
     source: Source,
-    /// By path: where the key stands, and where its value starts.
+    /// Offsets of the key and of the start of its value, by path.
     entries: BTreeMap<Path, (usize, usize)>,
 }
 
@@ -75,7 +75,7 @@
         self.entries.insert(path, (key, value));
     }
 
-    /// Place of the value at `path`; of its nearest table where it is not written out.
+    /// Returns the location of the value at `path`, or of its nearest table if it is not set.
     pub(crate) fn value(&self, path: &[&str]) -> Location {
         let path = owned(path);
         match self.entries.get(&path) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Place of the key at `path`; of its nearest table where it is not written out.
+    /// Returns the location of the key at `path`, or of its nearest table if it is not set.
     pub(crate) fn key(&self, path: &[&str]) -> Location {
         self.nearest(owned(path))
     }
@@ -99,7 +99,7 @@
         Location::file(&self.source.name)
     }
 
-    /// Names defined in a section, those with mistakes included.
+    /// Returns the names defined in a section, those of invalid entries included.
     pub(crate) fn names(&self, section: &str) -> impl Iterator<Item = &Arc<str>> {
         let section: Arc<str> = section.into();
         self.entries
@@ -109,12 +109,12 @@
             .map(|(path, _)| &path[1])
     }
 
-    /// Whether a key is written at `path`.
+    /// Returns whether a key is set at `path`.
     pub(crate) fn has(&self, path: &[&str]) -> bool {
         self.entries.contains_key(&owned(path))
     }
 
-    /// Number of keys written right under `path`, those with mistakes included.
+    /// Returns the number of keys directly under `path`, invalid ones included.
     pub(crate) fn count(&self, path: &[&str]) -> usize {
         let path = owned(path);
         let below = self.entries.range(path.clone()..);
--- a/crates/config/tests/no_input_panics.rs
+++ b/crates/config/tests/no_input_panics.rs
@@ -1,4 +1,4 @@
-//! Whatever is in a file, the checker ends with a result: an operator's slip must not end a host.
+//! Validation of any input returns a result: a mistake in an operator's file must not crash a host.
 
 use std::{fs, path::Path};
 
@@ -27,7 +27,7 @@
     fs::read_to_string(root.join(name)).unwrap()
 }
 
-/// Checks a text as everything it may be; each finding must have a place in it.
+/// Validates a text as settings and as a configuration; each finding must have a location in it.
 fn try_all(text: &str) -> Result<(), TestCaseError> {
     let _ = settings::check("host.toml", text);
     let _ = check::<Config>("all.toml", text, schema::CONFIG);
@@ -125,7 +125,7 @@
 
 #[test]
 fn plans_between_drained_examples() {
-    // Drains of any mix of domains and regions leave goals that sum up to 1 or are empty.
+    // With drains of any domains, desired splits sum to 1 or are empty.
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/tidepool");
     let old = config::load_dir(&root).unwrap();
     let names: Vec<_> = old.domains.keys().cloned().collect();
--- a/crates/config/tests/pages_match_schemas.rs
+++ b/crates/config/tests/pages_match_schemas.rs
@@ -1,10 +1,10 @@
-//! The pages on settings and configuration are those that the schemas give.
+//! The pages on settings and configuration match the schemas they are generated from.
 
 use std::process::Command;
 
 #[test]
 fn pages_do_not_drift() {
-    // The example is built with the tests; it stands beside this test's own directory.
+    // The example is built with the tests, in a directory beside this test's own.
     let program = std::env::current_exe().unwrap();
     let program = program.parent().and_then(std::path::Path::parent).unwrap();
     let output = Command::new(program.join("examples/pages"))
--- a/crates/config/tests/plan_says_what_changes.rs
+++ b/crates/config/tests/plan_says_what_changes.rs
@@ -1,4 +1,4 @@
-//! A plan names what changes, which shifts start and how long they take under their caps.
+//! A plan lists the changes, the shifts that start and how long they take under their caps.
 
 use std::path::Path;
 
--- a/crates/config/tests/schemas_use_known_keywords.rs
+++ b/crates/config/tests/schemas_use_known_keywords.rs
@@ -1,9 +1,9 @@
-//! The checker holds every keyword that the schemas use: one that it ignored would check nothing.
+//! The validator supports every keyword that the schemas use: an ignored keyword would check nothing.
 
 use dunlinrock_config::schema;
 use serde_json::Value;
 
-/// Keywords that the checker holds, and those that need no check.
+/// Keywords that the validator supports, and those that need no validation.
 const KNOWN: [&str; 14] = [
     "$schema",
     "$ref",
