--- a/crates/fakes/src/host_list/http.rs
+++ b/crates/fakes/src/host_list/http.rs
@@ -1,4 +1,4 @@
-//! The list's HTTP.
+//! HTTP interface of the list of hosts.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,10 +9,10 @@
 use super::Shared;
 use crate::response::{Body, HandlerResult, empty, json, number, read_body, text};
 
-/// Largest announcement, in bytes.
+/// Maximum size of an announcement, in bytes.
 const MAX_BODY_BYTES: usize = 4096;
 
-/// Answers one request.
+/// Handles one request.
 pub(super) async fn handle(shared: Arc<Shared>, req: Request<Incoming>) -> HandlerResult {
     let path = req.uri().path().to_owned();
     if let Some(control) = path.strip_prefix("/fake/") {
@@ -57,7 +57,7 @@
     empty(StatusCode::NO_CONTENT)
 }
 
-/// Turns a knob.
+/// Handles a fault control.
 fn handle_control(shared: &Shared, control: &str, uri: &Uri) -> Response<Body> {
     match control {
         "settle" => shared.lock().publish_pending(),
--- a/crates/fakes/src/host_list/mod.rs
+++ b/crates/fakes/src/host_list/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts, which lags.
+//! The platform's list of hosts, which shows changes after a delay.
 
 mod http;
 mod state;
@@ -14,19 +14,19 @@
 use crate::serve::{Listener, PortSwitch, Server};
 use state::State;
 
-/// Limits and delays of a list.
+/// Options of a list of hosts.
 #[derive(Clone, Debug)]
 pub struct ListOptions {
-    /// Time from an announcement to the moment the list shows it.
+    /// Time from an announcement until the list shows it.
     pub visibility_delay: Duration,
-    /// Time a host stays announced after its last announcement; the lag comes on top.
+    /// Time until an announcement expires. The list shows the host for `visibility_delay` longer.
     pub announcement_ttl: Duration,
-    /// Connections served at once.
+    /// Maximum number of connections served at once.
     pub connections: usize,
 }
 
 impl Default for ListOptions {
-    /// Shows a change after 2 s, and forgets a silent host after 15 s.
+    /// Shows a change after 2 s; announcements expire after 15 s.
     fn default() -> Self {
         Self {
             visibility_delay: Duration::from_secs(2),
@@ -36,7 +36,7 @@
     }
 }
 
-/// A running list.
+/// A fake of the platform's list of hosts that serves HTTP until it is dropped.
 pub struct List {
     addr: SocketAddr,
     shared: Arc<Shared>,
@@ -44,11 +44,11 @@
 }
 
 impl List {
-    /// Binds `addr` (`IP:PORT`; port 0 takes a free one) and serves on a thread of its own.
+    /// Binds `addr` (`IP:PORT`; port 0 selects a free port) and serves on its own thread.
     ///
     /// # Errors
     ///
-    /// Fails where the address cannot be bound or the thread cannot be started.
+    /// Fails if the address cannot be bound or the thread cannot be started.
     pub fn bind(addr: &str, options: ListOptions) -> anyhow::Result<Self> {
         let connections = options.connections;
         let shared = Arc::new(Shared {
@@ -70,61 +70,61 @@
         })
     }
 
-    /// Gives the address it serves.
+    /// Returns the address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Refuses connections from now on.
+    /// Closes the port: refuses new connections and closes existing ones.
     pub fn down(&self) {
         self.shared.port_switch.set_and_wait(false);
     }
 
-    /// Serves again; announcements sent meanwhile are missing.
+    /// Opens the port again. Announcements sent in the meantime are missing.
     pub fn up(&self) {
         self.shared.port_switch.set_and_wait(true);
     }
 
-    /// Sets the lag of announcements to come.
+    /// Sets the visibility delay of future changes.
     pub fn set_delay(&self, delay: Duration) {
         self.shared.lock().options.visibility_delay = delay;
     }
 
-    /// Shows every announcement made so far at once.
+    /// Makes all pending changes visible at once.
     pub fn publish_pending(&self) {
         self.shared.lock().publish_pending();
     }
 
-    /// Announces a host, as its own `PUT` would.
+    /// Announces a host, as a `PUT` by the host does.
     pub fn announce(&self, listed: Listed) {
         let now = self.shared.now();
         self.shared.lock().announce(listed, now);
     }
 
-    /// Takes a host's announcement back, as its own `DELETE` would.
+    /// Removes a host's announcement, as a `DELETE` by the host does.
     pub fn deregister(&self, name: &str) {
         let now = self.shared.now();
         self.shared.lock().deregister(name, now);
     }
 
-    /// Gives the list as a reader sees it now.
+    /// Returns the list as a reader sees it now.
     pub fn listing(&self) -> Listing {
         let now = self.shared.now();
         self.shared.lock().listing(now)
     }
 
-    /// Counts the reads of the list since the start.
+    /// Returns the number of reads of the list since the start.
     pub fn read_count(&self) -> u64 {
         self.shared.lock().reads
     }
 
-    /// Ends the list and closes its connections; a drop does the same.
+    /// Stops serving and closes all connections, as dropping the handle does.
     pub fn stop(mut self) {
         self.server.stop();
     }
 }
 
-/// What the handle and the serving thread share.
+/// State shared by the handle and the serving thread.
 struct Shared {
     state: Mutex<State>,
     port_switch: PortSwitch,
--- a/crates/fakes/src/host_list/state.rs
+++ b/crates/fakes/src/host_list/state.rs
@@ -1,4 +1,4 @@
-//! What a list holds, without clock or socket.
+//! State of a list of hosts, without clock or socket.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -10,17 +10,18 @@
 
 use super::ListOptions;
 
-/// One host: what readers see, and what they will see.
+/// One host: its entry that readers see now, and pending changes of it.
 #[derive(Default)]
 struct Host {
     visible: Option<Listed>,
-    /// Changes not shown yet, with the time each is due; times never fall.
+    /// Changes that are not visible yet, each with the time at which it becomes visible, in ascending
+    /// order.
     pending: VecDeque<(Duration, Option<Listed>)>,
-    /// Time at which the host counts as silent.
+    /// Time at which the last announcement expires.
     expires_at: Duration,
 }
 
-/// The whole list.
+/// State of the list.
 pub(super) struct State {
     hosts: BTreeMap<Arc<str>, Host>,
     pub(super) options: ListOptions,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Shows all that is pending.
+    /// Makes all pending changes visible.
     pub(super) fn publish_pending(&mut self) {
         for host in self.hosts.values_mut() {
             host.publish_due(Duration::MAX);
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Withdraws the hosts that fell silent; the lag counts from the moment they did.
+    /// Schedules the removal of hosts whose announcement expired; the visibility delay counts from the
+    /// expiry.
     fn expire(&mut self, now: Duration) {
         let lag = self.options.visibility_delay;
         for host in self.hosts.values_mut().filter(|h| h.expires_at <= now) {
@@ -82,7 +84,7 @@
 }
 
 impl Host {
-    /// Gives what readers will see when nothing is pending.
+    /// Returns the entry that readers see once all pending changes are visible.
     fn final_state(&self) -> Option<&Listed> {
         match self.pending.back() {
             Some((_, listed)) => listed.as_ref(),
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,18 +1,18 @@
-//! Small stand-ins for the platform: its store, its list of hosts, and targets.
+//! Small fakes of the platform: its key-value store, its list of hosts, and targets.
 //!
-//! Each is a running handle: it serves HTTP on a thread of its own until it is dropped, and its
-//! faults are switched on and off through methods of the handle or over HTTP under `/fake/`.
+//! Each fake is a handle that serves HTTP on its own thread until it is dropped. Its faults are set
+//! through methods of the handle or over HTTP under `/fake/`.
 //!
 //! ```
 //! use dunlinrock_fakes::{Store, StoreOptions};
 //!
 //! let store = Store::bind("127.0.0.1:0", StoreOptions::default()).unwrap();
-//! store.drop_responses(1); // the next write takes effect, and its answer is lost
+//! store.drop_responses(1); // the next write takes effect, and its response is lost
 //! assert_eq!(store.counts().writes, 0);
 //! ```
 //!
-//! They are written on `hyper` alone, without a router, since their faults (a connection closed
-//! without an answer, a body cut short, a port that refuses) are faults of the connection.
+//! The fakes use `hyper` directly, without a router, since their faults (a connection closed without
+//! a response, a truncated body, a refused connection) are faults of the connection.
 
 mod host_list;
 mod response;
--- a/crates/fakes/src/response.rs
+++ b/crates/fakes/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers, and reading of requests.
+//! Helpers that build responses and read requests.
 
 use bytes::Bytes;
 use http::{Request, Response, StatusCode, Uri, header};
@@ -6,40 +6,40 @@
 use hyper::body::Incoming;
 use serde::Serialize;
 
-/// The connection ends here, without an answer or in the middle of one.
+/// Error that closes the connection, before or in the middle of a response.
 #[derive(Clone, Copy, Debug)]
 #[derive(thiserror::Error)]
 #[error("the connection is closed on purpose")]
 pub(crate) struct ConnectionAborted;
 
-/// Body of an answer; it may fail midway, which cuts the connection.
+/// Body of a response. It may fail midway, which closes the connection.
 pub(crate) type Body = BoxBody<Bytes, ConnectionAborted>;
 
-/// What a handler gives: an answer, or a closed connection.
+/// Result of a handler: a response, or a closed connection.
 pub(crate) type HandlerResult = Result<Response<Body>, ConnectionAborted>;
 
-/// Gives a body that is sent whole.
+/// Returns a body that is sent completely.
 pub(crate) fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed()
 }
 
-/// Gives an answer with a short text.
+/// Returns a response with a short text.
 pub(crate) fn text(status: StatusCode, text: impl Into<String>) -> Response<Body> {
     let mut res = Response::new(full_body(text.into() + "\n"));
     *res.status_mut() = status;
     res
 }
 
-/// Gives an answer without a body.
+/// Returns a response without a body.
 pub(crate) fn empty(status: StatusCode) -> Response<Body> {
     let mut res = Response::new(full_body(Bytes::new()));
     *res.status_mut() = status;
     res
 }
 
-/// Gives `value` as JSON.
+/// Returns a response with `value` as JSON.
 pub(crate) fn json<T: Serialize>(value: &T) -> Response<Body> {
     match serde_json::to_vec(value) {
         Ok(bytes) => {
@@ -52,13 +52,13 @@
     }
 }
 
-/// Reads a request's body of at most `limit` bytes; `None` where it is larger or cut short.
+/// Reads a request's body of at most `limit` bytes. Returns `None` if it is larger or truncated.
 pub(crate) async fn read_body(req: Request<Incoming>, limit: usize) -> Option<Bytes> {
     let body = Limited::new(req.into_body(), limit).collect().await;
     Some(body.ok()?.to_bytes())
 }
 
-/// Finds a parameter of the query; its value is taken as it stands.
+/// Returns a parameter of the query, without percent-decoding its value.
 pub(crate) fn param<'a>(uri: &'a Uri, name: &str) -> Option<&'a str> {
     let pairs = uri.query()?.split('&');
     pairs
@@ -66,7 +66,7 @@
         .find_map(|(key, value)| (key == name).then_some(value))
 }
 
-/// Finds a parameter of the query and parses it.
+/// Returns a parameter of the query, parsed.
 pub(crate) fn number<T: std::str::FromStr>(uri: &Uri, name: &str) -> Option<T> {
     param(uri, name)?.parse().ok()
 }
--- a/crates/fakes/src/serve/mod.rs
+++ b/crates/fakes/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! Serving: a thread that answers on one or several listeners.
+//! A thread that serves HTTP on one or several listeners.
 
 mod port_switch;
 
@@ -24,14 +24,14 @@
 
 use crate::response::HandlerResult;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) type Handler =
     Arc<dyn Fn(Request<Incoming>) -> BoxFuture<'static, HandlerResult> + Send + Sync>;
 
-/// A listener with what answers on it.
+/// A listening socket with the handler of its requests.
 pub(crate) struct Listener {
     listener: TcpListener,
     port_switch: PortSwitch,
@@ -40,7 +40,7 @@
 }
 
 impl Listener {
-    /// Binds `addr`; at most `connections` are served at once, others are closed.
+    /// Binds `addr`. At most `connections` connections are served at once; others are closed.
     pub(crate) fn bind(
         addr: &str,
         connections: usize,
@@ -56,14 +56,14 @@
         })
     }
 
-    /// Gives the address bound.
+    /// Returns the bound address.
     pub(crate) fn addr(&self) -> anyhow::Result<SocketAddr> {
         Ok(self.listener.local_addr()?)
     }
 
-    /// Accepts while the gate is open, and refuses while it is shut.
+    /// Accepts connections while the switch is open and refuses them while it is closed.
     ///
-    /// A shut port stays bound, so that no other process takes it before it opens again.
+    /// A closed port stays bound so that no other process can take it before it opens again.
     async fn run(self) -> anyhow::Result<()> {
         let mut watcher = self.port_switch.subscribe();
         loop {
@@ -106,11 +106,11 @@
     }
 }
 
-/// Binds an address by its number and listens.
+/// Binds an address by an explicit port number and listens.
 ///
-/// A port that the system chose is let go when its socket stops listening, and a target that
-/// comes back would come back elsewhere. So a free port is found with one socket, and bound by
-/// its number with another before the first lets go.
+/// The system releases a port that it selected itself when the socket stops listening, so a target
+/// that is restarted would get another port. Therefore one socket finds a free port, and a second
+/// one binds it by its number before the first is closed.
 fn listen(addr: &str) -> anyhow::Result<TcpListener> {
     let probe_socket = bind(addr.parse()?)?;
     let addr = probe_socket.local_addr()?;
@@ -128,14 +128,15 @@
     Ok(socket)
 }
 
-/// Serves one connection until it ends or the gate cuts it.
+/// Serves one connection until it ends or the port is closed.
 async fn serve_connection(stream: TcpStream, port_switch: &PortSwitch, handler: Handler) {
-    // Without it small answers on a kept connection wait for the peer's delayed acknowledgement.
+    // Without TCP_NODELAY, small responses on a kept-alive connection wait for the peer's delayed
+    // acknowledgement.
     if stream.set_nodelay(true).is_err() {
         return;
     }
     let mut watcher = port_switch.subscribe();
-    // Accepted just as the port was shut: a port that refuses answers nobody.
+    // The connection was accepted just as the port closed; a closed port sends no response.
     if !watcher.is_open() {
         return;
     }
@@ -149,7 +150,7 @@
     }
 }
 
-/// A thread that serves doors until it is dropped.
+/// A thread that serves listeners until the handle is dropped.
 pub(crate) struct Server {
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
@@ -177,7 +178,7 @@
         })
     }
 
-    /// Ends the thread and closes all its connections.
+    /// Stops the thread and closes all its connections.
     pub(crate) fn stop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
--- a/crates/fakes/src/serve/port_switch.rs
+++ b/crates/fakes/src/serve/port_switch.rs
@@ -1,4 +1,4 @@
-//! Whether a port accepts, and the cutting of its connections.
+//! A switch that makes a port accept or refuse connections and closes existing ones.
 
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 
@@ -7,22 +7,22 @@
 #[derive(Clone, Copy, Debug)]
 struct SwitchState {
     open: bool,
-    /// Raised each time the port is shut; a connection lives within one epoch.
+    /// Incremented each time the port closes; a connection lasts for one epoch at most.
     epoch: u64,
 }
 
-/// What the serving thread has made of the switch.
+/// Actual state of a port, as set by the serving thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PortState {
-    /// It listens.
+    /// The port accepts connections.
     Open,
-    /// It refuses.
+    /// The port refuses connections.
     Closed,
-    /// It is let go.
+    /// The listener was dropped and the port is no longer bound.
     Released,
 }
 
-/// The switch of a port.
+/// The requested and the actual state of a port.
 #[derive(Clone, Debug)]
 pub(crate) struct PortSwitch {
     state: Arc<watch::Sender<SwitchState>>,
@@ -30,7 +30,7 @@
 }
 
 impl PortSwitch {
-    /// Opens a switch that lets connections in.
+    /// Returns a switch whose port accepts connections.
     pub(crate) fn open() -> Self {
         let state = SwitchState {
             open: true,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Lets connections in, or refuses them and cuts those there are.
+    /// Makes the port accept connections, or refuse new ones and close existing ones.
     pub(crate) fn set(&self, open: bool) {
         self.state.send_modify(|state| {
             state.open = open;
@@ -50,8 +50,10 @@
         });
     }
 
-    /// Does as [`Gate::set`] and waits until the port is so; never on the serving thread. Without
-    /// the wait, who connects right after could find the port as it was.
+    /// Calls [`PortSwitch::set`] and waits until the port has the requested state. Without the wait,
+    /// a connection made right afterwards could find the port in its previous state.
+    ///
+    /// Must not be called on the serving thread, which changes the state.
     pub(crate) fn set_and_wait(&self, open: bool) {
         self.set(open);
         let wanted = if open {
@@ -65,14 +67,14 @@
         drop(changed.wait_while(port, waits));
     }
 
-    /// Notes what the port is now.
+    /// Records the actual state of the port.
     pub(crate) fn set_state(&self, now: PortState) {
         let (port, changed) = &*self.port;
         *port.lock().unwrap_or_else(PoisonError::into_inner) = now;
         changed.notify_all();
     }
 
-    /// Follows the switch from now on.
+    /// Returns a watcher of the switch, which starts in the current epoch.
     pub(crate) fn subscribe(&self) -> PortWatcher {
         let states = self.state.subscribe();
         let epoch = states.borrow().epoch;
@@ -80,29 +82,29 @@
     }
 }
 
-/// Waits for changes of a [`Gate`].
+/// Waits for changes of a [`PortSwitch`].
 pub(crate) struct PortWatcher {
     states: watch::Receiver<SwitchState>,
     epoch: u64,
 }
 
 impl PortWatcher {
-    /// Tells whether connections are let in.
+    /// Returns whether the port is to accept connections.
     pub(crate) fn is_open(&self) -> bool {
         self.states.borrow().open
     }
 
-    /// Waits until connections are let in.
+    /// Waits until the port is to accept connections.
     pub(crate) async fn wait_open(&mut self) {
         let _ = self.states.wait_for(|state| state.open).await;
     }
 
-    /// Waits until connections are refused.
+    /// Waits until the port is to refuse connections.
     pub(crate) async fn wait_closed(&mut self) {
         let _ = self.states.wait_for(|state| !state.open).await;
     }
 
-    /// Waits until the connections that were there at the start are cut.
+    /// Waits until the epoch ends, which closes the connections made in it.
     pub(crate) async fn wait_disconnect(&mut self) {
         let epoch = self.epoch;
         let _ = self.states.wait_for(|state| state.epoch != epoch).await;
--- a/crates/fakes/src/store/http.rs
+++ b/crates/fakes/src/store/http.rs
@@ -1,4 +1,5 @@
-//! The store's HTTP, after RFC 9110 (conditions) and RFC 7240 (`Prefer: wait`).
+//! HTTP interface of the store, following RFC 9110 (conditional requests) and RFC 7240
+//! (`Prefer: wait`).
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,10 +22,10 @@
 /// Header that ties a key to a lease.
 const LEASE: &str = "store-lease";
 
-/// Longest time a watch may ask to wait.
+/// Maximum wait of a watch.
 const MAX_WAIT: Duration = Duration::from_secs(300);
 
-/// Answers one request.
+/// Handles one request.
 pub(super) async fn handle(shared: Arc<Shared>, req: Request<Incoming>) -> HandlerResult {
     let path = req.uri().path().to_owned();
     if let Some(control) = path.strip_prefix("/fake/") {
@@ -49,7 +50,7 @@
     }
 }
 
-/// Finds the fault in force and counts the call as failed.
+/// Returns the active outage, if any, and counts the call as failed.
 fn active_outage(shared: &Shared) -> Option<OutageKind> {
     let mut state = shared.lock();
     let down = state.down;
@@ -64,7 +65,7 @@
     }
 }
 
-/// Reads a key, and waits for a change of it where the caller asks so.
+/// Reads a key. With `If-None-Match` and `Prefer: wait`, waits for a change of it first.
 async fn read(shared: &Shared, key: &str, headers: &HeaderMap) -> HandlerResult {
     let known = etag_version(headers, header::IF_NONE_MATCH.as_str());
     let wait = known.and(wait(headers));
@@ -79,7 +80,7 @@
     }
     apply_delay(shared).await;
     let end = shared.now() + wait.unwrap_or_default();
-    // Subscribed before the first look, so that no change falls between a look and a wait.
+    // Subscribes before the first read, so that no change is missed between a read and a wait.
     let mut changed = shared.changed.subscribe();
     loop {
         changed.mark_unchanged();
@@ -116,7 +117,7 @@
     res
 }
 
-/// Writes or deletes a key where its condition holds.
+/// Writes or deletes a key if its precondition holds.
 async fn write(shared: &Shared, key: &str, req: Request<Incoming>) -> HandlerResult {
     if let Some(res) = check_rate(shared, |state| {
         state.counts.writes += 1;
@@ -238,7 +239,7 @@
     Ok(res)
 }
 
-/// Counts a call and takes a token for it; gives the refusal where there is none.
+/// Counts a call and takes a token for it. Returns a 429 response if none is available.
 fn check_rate(
     shared: &Shared,
     count: impl FnOnce(&mut State) -> &mut TokenBucket,
@@ -260,13 +261,13 @@
     }
 }
 
-/// Reads an entity tag that holds a version.
+/// Parses the version in an entity tag.
 fn etag_version(headers: &HeaderMap, name: &str) -> Option<u64> {
     let value = headers.get(name)?.to_str().ok()?;
     value.trim().trim_matches('"').parse().ok()
 }
 
-/// Reads `wait=SECONDS` of a `Prefer` header.
+/// Parses `wait=SECONDS` in a `Prefer` header.
 fn wait(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("prefer")?.to_str().ok()?;
     let parts = value.split([',', ';']).map(str::trim);
@@ -281,7 +282,7 @@
     }
 }
 
-/// Turns a fault on or off, or shows the counts.
+/// Handles a fault control, or returns the counts.
 fn handle_control(shared: &Shared, control: &str, uri: &Uri) -> Response<Body> {
     match control {
         "counts" => return json(&shared.lock().counts),
--- a/crates/fakes/src/store/mod.rs
+++ b/crates/fakes/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service.
+//! The platform's key-value store.
 
 mod http;
 mod options;
@@ -19,9 +19,9 @@
 use crate::serve::{Listener, PortSwitch, Server};
 use state::State;
 
-/// A running store.
+/// A fake of the platform's key-value store that serves HTTP until it is dropped.
 ///
-/// Its values live in memory and go with the handle.
+/// Its values are in memory and are dropped with the handle.
 pub struct Store {
     addr: SocketAddr,
     shared: Arc<Shared>,
@@ -29,11 +29,11 @@
 }
 
 impl Store {
-    /// Binds `addr` (`IP:PORT`; port 0 takes a free one) and serves on a thread of its own.
+    /// Binds `addr` (`IP:PORT`; port 0 selects a free port) and serves on its own thread.
     ///
     /// # Errors
     ///
-    /// Fails where the address cannot be bound or the thread cannot be started.
+    /// Fails if the address cannot be bound or the thread cannot be started.
     pub fn bind(addr: &str, options: StoreOptions) -> anyhow::Result<Self> {
         let connections = options.connections;
         let shared = Arc::new(Shared::open(options));
@@ -51,12 +51,12 @@
         })
     }
 
-    /// Gives the address it serves.
+    /// Returns the address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Takes the store down in the way given; waiting watches are cut.
+    /// Starts an outage of the given kind, which also ends waiting watches.
     pub fn down(&self, down: OutageKind) {
         self.shared.down(down);
         if down == OutageKind::Refuse {
@@ -64,70 +64,71 @@
         }
     }
 
-    /// Brings the store back; it holds what it held.
+    /// Ends the outage. The store keeps its values.
     pub fn up(&self) {
         self.shared.up();
         self.shared.port_switch.set_and_wait(true);
     }
 
-    /// Delays each answer. A read is delayed before it looks, a write after it took effect, so
-    /// that a writer who gives up early has written all the same.
+    /// Delays each response. A read is delayed before it reads the value, a write after it took effect,
+    /// so a write takes effect even if its client times out during the delay.
     pub fn set_delay(&self, delay: Duration) {
         self.shared.lock().delay = delay;
     }
 
-    /// Lets the next `writes` writes take effect and closes their connections without an answer.
+    /// Makes the next `writes` writes take effect and closes their connections without a response.
     pub fn drop_responses(&self, writes: u64) {
         self.shared.lock().drop_next = writes;
     }
 
-    /// Lets writes of a key take effect and never answers them, until it is called with `None`;
-    /// their connections stay open.
+    /// Makes writes of a key take effect without ever sending their responses, until it is called with
+    /// `None`. Their connections stay open.
     pub fn withhold_responses(&self, key: Option<&str>) {
         self.shared.lock().withheld_key = key.map(Into::into);
     }
 
-    /// Ends a lease at once, as if its holder had paused for longer than its time to live.
+    /// Expires a lease at once, as if its holder had paused for longer than its TTL. Returns whether the
+    /// lease existed.
     pub fn expire_lease(&self, lease: u64) -> bool {
         let expired = self.shared.lock().end_lease(lease);
         self.shared.announce();
         expired
     }
 
-    /// Sets new rate limits; the buckets start full.
+    /// Sets new rate limits. Their token buckets start full.
     pub fn set_limits(&self, options: StoreOptions) {
         let now = self.shared.now();
         self.shared.lock().set_limits(options, now);
     }
 
-    /// Reads a key past all faults and limits; gives its value and version.
+    /// Returns the value and version of a key, bypassing all faults and limits.
     pub fn read_direct(&self, key: &str) -> Option<(Bytes, u64)> {
         let state = self.shared.current();
         state.entry(key).map(|e| (e.body.clone(), e.version))
     }
 
-    /// Writes a key past all faults and limits, without a condition; gives its version.
+    /// Writes a key unconditionally, bypassing all faults and limits, and returns its version.
     pub fn write_direct(&self, key: &str, body: impl Into<Bytes>) -> u64 {
         let version = self.shared.current().write(key, body.into(), None);
         self.shared.announce();
         version
     }
 
-    /// Counts the calls since the start.
+    /// Returns the counts of calls since the start.
     pub fn counts(&self) -> StoreCounts {
         self.shared.lock().counts.clone()
     }
 
-    /// Ends the store and closes its connections; a drop does the same.
+    /// Stops serving and closes all connections, as dropping the handle does.
     pub fn stop(mut self) {
         self.server.stop();
     }
 }
 
-/// What the handle and the serving thread share.
+/// State shared by the handle and the serving thread.
 struct Shared {
     state: Mutex<State>,
-    /// Raised after each change, to wake the watches.
+    /// Incremented after each change, to wake the watches.
     changed: watch::Sender<u64>,
     port_switch: PortSwitch,
     origin: Instant,
@@ -151,7 +152,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks the state after the leases that are due have lapsed.
+    /// Locks the state after ending expired leases.
     fn current(&self) -> MutexGuard<'_, State> {
         let mut state = self.lock();
         if state.expire_leases(self.now()) {
@@ -169,7 +170,7 @@
         if down == OutageKind::Refuse {
             self.port_switch.set(false);
         }
-        // Waiting watches look again, and end the way the store is down.
+        // Wakes waiting watches, which then end with the outage.
         self.announce();
     }
 
--- a/crates/fakes/src/store/options.rs
+++ b/crates/fakes/src/store/options.rs
@@ -1,22 +1,22 @@
-//! Rules and faults of a store.
+//! Options and kinds of outage of a store.
 
-/// Limits of a store.
+/// Options of a store.
 #[derive(Clone, Debug)]
 pub struct StoreOptions {
-    /// Writes, deletions and calls on leases let through in a second.
+    /// Permitted writes, deletions and lease calls per second.
     pub writes: f64,
-    /// Reads, watches and listings let through in a second.
+    /// Permitted reads, watches and listings per second.
     pub reads: f64,
-    /// Calls let through at once on top of either rate.
+    /// Permitted burst of calls on top of either rate.
     pub burst: f64,
-    /// Largest value, in bytes.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
-    /// Connections served at once.
+    /// Maximum number of connections served at once.
     pub connections: usize,
 }
 
 impl Default for StoreOptions {
-    /// Several hundred writes and two thousand reads a second, a megabyte a value.
+    /// 400 writes and 2000 reads per second, and values of up to a megabyte.
     fn default() -> Self {
         Self {
             writes: 400.0,
@@ -28,12 +28,12 @@
     }
 }
 
-/// How a store is down.
+/// Kind of an outage of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageKind {
-    /// Connections are refused; those there are, are cut.
+    /// New connections are refused and existing ones are closed.
     Refuse,
-    /// Connections are accepted, and closed on the first request without an answer.
+    /// Connections are accepted, and closed without a response on their first request.
     Close,
     /// Each request is answered with status 503.
     Unavailable,
--- a/crates/fakes/src/store/state.rs
+++ b/crates/fakes/src/store/state.rs
@@ -1,4 +1,4 @@
-//! What a store holds, without clock or socket.
+//! State of a store, without clock or socket.
 
 use std::{collections::BTreeMap, ops::Bound, sync::Arc, time::Duration};
 
@@ -12,27 +12,27 @@
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) body: Bytes,
-    /// Taken from the store's one counter: never given twice, not even to another key.
+    /// Version from a counter shared by all keys, so it is unique in the store.
     pub(super) version: u64,
-    /// Lease that the key goes with.
+    /// Lease whose end removes the key.
     lease: Option<u64>,
 }
 
-/// A condition on a write, from `If-Match`.
+/// Precondition of a write, from `If-Match`.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Precondition {
-    /// No condition.
+    /// No precondition.
     Always,
-    /// The key has this version; 0 stands for a key that does not exist.
+    /// The key must have this version; 0 means that it must not exist.
     Version(u64),
 }
 
-/// The whole store.
+/// State of the store.
 pub(super) struct State {
     entries: BTreeMap<Arc<str>, Entry>,
-    /// Time to live and time of the end, by id.
+    /// TTL and time of expiry by lease id.
     leases: BTreeMap<u64, (Duration, Duration)>,
-    /// Last version or lease id given.
+    /// Last version or lease id assigned.
     last: u64,
     pub(super) options: StoreOptions,
     pub(super) reads: TokenBucket,
@@ -40,9 +40,9 @@
     pub(super) counts: StoreCounts,
     pub(super) down: Option<OutageKind>,
     pub(super) delay: Duration,
-    /// Writes whose answer will be dropped.
+    /// Number of future writes whose response is dropped.
     pub(super) drop_next: u64,
-    /// Key whose writes get no answer, though their connections stay open.
+    /// Key whose writes get no response while their connections stay open.
     pub(super) withheld_key: Option<Arc<str>>,
 }
 
@@ -73,12 +73,12 @@
         self.entries.get(key)
     }
 
-    /// Gives the version of a key, 0 where it does not exist.
+    /// Returns the version of a key, or 0 if it does not exist.
     pub(super) fn version(&self, key: &str) -> u64 {
         self.entry(key).map_or(0, |e| e.version)
     }
 
-    /// Lists the keys under a prefix.
+    /// Returns the keys with a prefix, in ascending order.
     pub(super) fn keys(&self, prefix: &str) -> Vec<Key> {
         let bounds = (Bound::Included(prefix), Bound::Unbounded);
         let from = self.entries.range::<str, _>(bounds);
@@ -90,7 +90,7 @@
             .collect()
     }
 
-    /// Writes a key whatever it holds.
+    /// Writes a key unconditionally and returns its version.
     pub(super) fn write(&mut self, key: &str, body: Bytes, lease: Option<u64>) -> u64 {
         let version = self.next();
         let entry = Entry {
@@ -102,12 +102,12 @@
         version
     }
 
-    /// Removes a key; tells whether there was one.
+    /// Removes a key and returns whether it existed.
     pub(super) fn remove(&mut self, key: &str) -> bool {
         self.entries.remove(key).is_some()
     }
 
-    /// Tells whether a condition holds for a key.
+    /// Returns whether a precondition holds for a key.
     pub(super) fn holds(&self, key: &str, precondition: Precondition) -> bool {
         match precondition {
             Precondition::Always => true,
@@ -122,7 +122,7 @@
         lease(id, ttl)
     }
 
-    /// Renews a lease that has not lapsed.
+    /// Renews a lease that has not expired.
     pub(super) fn renew(&mut self, id: u64, now: Duration) -> Option<Lease> {
         let (ttl, end) = self.leases.get_mut(&id)?;
         *end = now + *ttl;
@@ -133,13 +133,13 @@
         self.leases.contains_key(&id)
     }
 
-    /// Ends a lease and removes its keys; tells whether there was one.
+    /// Ends a lease, removes its keys and returns whether the lease existed.
     pub(super) fn end_lease(&mut self, id: u64) -> bool {
         self.entries.retain(|_, e| e.lease != Some(id));
         self.leases.remove(&id).is_some()
     }
 
-    /// Ends the leases that are due; tells whether there were any.
+    /// Ends expired leases and returns whether there were any.
     pub(super) fn expire_leases(&mut self, now: Duration) -> bool {
         let due = self.leases.iter().filter(|(_, (_, end))| *end <= now);
         let due: Vec<u64> = due.map(|(id, _)| *id).collect();
@@ -149,7 +149,7 @@
         !due.is_empty()
     }
 
-    /// Gives the time at which the next lease is due.
+    /// Returns the time at which the next lease expires.
     pub(super) fn next_expiry(&self) -> Option<Duration> {
         self.leases.values().map(|(_, end)| *end).min()
     }
--- a/crates/fakes/src/target/http.rs
+++ b/crates/fakes/src/target/http.rs
@@ -1,4 +1,4 @@
-//! A target's HTTP.
+//! HTTP interface of a target.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,16 +18,16 @@
     Body, ConnectionAborted, HandlerResult, empty, full_body, json, number, param, read_body, text,
 };
 
-/// Largest request body, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// Marks an answer to a request that was not run.
+/// Header of a response to a request that was not run.
 const SHED: &str = "target-shed";
 
-/// Carries the report of load in each answer.
+/// Header that carries the load report in each response.
 const LOAD: &str = "target-load";
 
-/// What an answer says, so that its caller can tell that it is its own.
+/// Body of a response. It names the request, so that the caller can detect a mismatched response.
 #[derive(Serialize)]
 struct Echo<'a> {
     target: &'a str,
@@ -39,7 +39,7 @@
     filling: String,
 }
 
-/// Answers one request.
+/// Handles one request.
 pub(super) async fn handle(shared: Arc<Shared>, req: Request<Incoming>) -> HandlerResult {
     let path = req.uri().path().to_owned();
     if path == "/load" {
@@ -71,7 +71,7 @@
     Ok(res)
 }
 
-/// Reads from a request what it asks.
+/// Parses the parameters of a run from a request.
 fn parse_work_request(req: &Request<Incoming>) -> WorkRequest {
     let headers = req.headers();
     let deadline = header_value(headers, "request-timeout-ms").and_then(|v| v.parse().ok());
@@ -90,7 +90,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Gives the answer of a finished run, cut short where that is asked.
+/// Returns the response of a completed run, truncated if requested.
 fn run_response(shared: &Shared, head: &http::request::Parts, body_bytes: usize) -> Response<Body> {
     let (filling, truncated) = {
         let mut state = shared.lock();
@@ -122,11 +122,11 @@
     res
 }
 
-/// Gives a body that breaks off in the middle.
+/// Returns a body that ends in the middle, which closes the connection.
 fn truncated_body(mut bytes: Bytes) -> Body {
     bytes.truncate(bytes.len() / 2);
     let frames = stream::iter([Ok(Frame::data(bytes)), Err(ConnectionAborted)]);
-    // Yields between the two, so that the first half leaves before the connection is closed.
+    // Yields before the error, so that the first half is sent before the connection is closed.
     let frames = stream::StreamExt::then(frames, |frame| async {
         if frame.is_err() {
             tokio::task::yield_now().await;
@@ -143,7 +143,7 @@
     res
 }
 
-/// Takes the target down for the time of its rules.
+/// Takes the target down for `restart_delay`.
 fn crash(shared: &Arc<Shared>) {
     shared.port_switch.set(false);
     let down = shared.lock().options.restart_delay;
@@ -154,7 +154,7 @@
     });
 }
 
-/// Writes a report the way the header carries it: `busy/slots`, then `;leaving` and `;cold`.
+/// Formats a report for the header: `busy/slots`, then `;leaving` and `;cold` if set.
 fn write_report(report: &TargetReport) -> String {
     let mut out = format!("{}/{}", report.busy, report.slots);
     if report.leaving {
@@ -166,7 +166,7 @@
     out
 }
 
-/// Turns a knob, or shows the counts.
+/// Handles a fault control, or returns the counts.
 async fn handle_control(
     shared: &Arc<Shared>,
     control: &str,
@@ -186,7 +186,7 @@
     empty(StatusCode::NO_CONTENT)
 }
 
-/// Sets a number of the rules or faults.
+/// Sets a number in the options or faults.
 fn set_option(shared: &Shared, control: &str, uri: &Uri) -> Response<Body> {
     let mut state = shared.lock();
     match control {
@@ -203,7 +203,7 @@
     empty(StatusCode::NO_CONTENT)
 }
 
-/// Sets the report to give from now on; an empty body brings the truth back.
+/// Sets the load report to send from now on; an empty body restores the actual load.
 async fn set_reported_override(shared: &Shared, req: Request<Incoming>) -> Response<Body> {
     let body = read_body(req, MAX_BODY_BYTES).await.unwrap_or_default();
     let report = match body.is_empty() {
--- a/crates/fakes/src/target/mod.rs
+++ b/crates/fakes/src/target/mod.rs
@@ -1,4 +1,4 @@
-//! Targets: workers that run requests in slots.
+//! Targets: servers that run requests in a limited number of slots.
 
 mod http;
 mod options;
@@ -21,18 +21,18 @@
 use crate::serve::{Listener, PortSwitch, Server};
 use state::State;
 
-/// Several running targets on one thread.
+/// Fake targets that serve HTTP on one thread until the handle is dropped.
 pub struct Targets {
     targets: BTreeMap<Arc<str>, Target>,
     server: Server,
 }
 
 impl Targets {
-    /// Binds every target of the list and serves them all on one thread.
+    /// Binds all targets of the list and serves them on one thread.
     ///
     /// # Errors
     ///
-    /// Fails where an address cannot be bound, a name stands twice, or the thread cannot start.
+    /// Fails if an address cannot be bound, a name is duplicated, or the thread cannot be started.
     pub fn bind(specs: Vec<TargetSpec>) -> anyhow::Result<Self> {
         let mut targets = BTreeMap::new();
         let mut listeners = Vec::with_capacity(specs.len());
@@ -48,17 +48,17 @@
         Ok(Self { targets, server })
     }
 
-    /// Gives the targets by name.
+    /// Returns the targets in order of name.
     pub fn iter(&self) -> impl Iterator<Item = &Target> {
         self.targets.values()
     }
 
-    /// Finds a target.
+    /// Returns the target of a name.
     pub fn get(&self, name: &str) -> Option<&Target> {
         self.targets.get(name)
     }
 
-    /// Adds up how often the work of each key began, over all targets.
+    /// Returns the number of runs by idempotency key, summed over all targets.
     pub fn run_counts(&self) -> BTreeMap<Arc<str>, u64> {
         let mut sum = BTreeMap::new();
         for (key, n) in self.iter().flat_map(Target::run_counts) {
@@ -67,13 +67,13 @@
         sum
     }
 
-    /// Ends the targets and closes their connections; a drop does the same.
+    /// Stops serving and closes all connections, as dropping the handle does.
     pub fn stop(mut self) {
         self.server.stop();
     }
 }
 
-/// The knobs of one target; a clone turns the same target.
+/// The fault controls of one fake target; clones control the same target.
 #[derive(Clone)]
 pub struct Target {
     addr: SocketAddr,
@@ -81,11 +81,11 @@
 }
 
 impl Target {
-    /// Binds one target with a thread of its own.
+    /// Binds one target that is served on its own thread.
     ///
     /// # Errors
     ///
-    /// As [`Targets::bind`].
+    /// Fails like [`Targets::bind`].
     pub fn bind(addr: &str, options: TargetOptions) -> anyhow::Result<(Self, Targets)> {
         let spec = TargetSpec {
             name: "target".into(),
@@ -116,79 +116,79 @@
         Ok((Self { addr, shared }, listener))
     }
 
-    /// Gives the address it serves.
+    /// Returns the address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Gives the name.
+    /// Returns the name.
     pub fn name(&self) -> &Arc<str> {
         &self.shared.name
     }
 
-    /// Starts or ends leaving: a leaving target finishes what it runs and sheds the rest.
+    /// Sets whether the target is leaving: it then finishes its running requests and sheds new ones.
     pub fn set_leaving(&self, leaving: bool) {
         self.shared.change(|state| state.leaving = leaving);
     }
 
-    /// Takes the target down: connections are cut and refused, its work is lost.
+    /// Takes the target down: closes and refuses connections and cancels all requests.
     pub fn down(&self) {
         self.shared.port_switch.set_and_wait(false);
     }
 
-    /// Brings the target back, with a cold cache.
+    /// Brings the target up again, with a cold cache.
     pub fn up(&self) {
         self.shared.change(State::clear_cache);
         self.shared.port_switch.set_and_wait(true);
     }
 
-    /// Empties the cache: the target is slow until it is warm again.
+    /// Clears the cache: the target is slow until it is warm again.
     pub fn clear_cache(&self) {
         self.shared.change(State::clear_cache);
     }
 
-    /// Multiplies the time of all work to come.
+    /// Multiplies the run time of all future requests by `factor`.
     pub fn set_slowdown(&self, factor: f64) {
         self.shared.lock().slowdown = factor;
     }
 
-    /// Sheds the next `requests` requests, whatever the load.
+    /// Sheds the next `requests` requests regardless of the load.
     pub fn shed_next(&self, requests: u64) {
         self.shared.lock().shed_next = requests;
     }
 
-    /// Cuts the bodies of the next `answers` answers short.
+    /// Truncates the bodies of the next `answers` responses.
     pub fn truncate_next(&self, answers: u64) {
         self.shared.lock().truncate_next = answers;
     }
 
-    /// Reports `report` whatever the load, or the truth again with `None`.
+    /// Reports `report` regardless of the load, or the actual load again with `None`.
     pub fn override_report(&self, report: Option<TargetReport>) {
         self.shared.lock().reported_override = report;
     }
 
-    /// Gives the load as it is now.
+    /// Returns the current load.
     pub fn load(&self) -> TargetReport {
         self.shared.lock().load()
     }
 
-    /// Gives the most slots that were in use at once.
+    /// Returns the maximum number of slots that were in use at once.
     pub fn peak_busy(&self) -> u32 {
         self.shared.lock().peak
     }
 
-    /// Counts what it has done.
+    /// Returns the counts of requests by outcome.
     pub fn counts(&self) -> TargetCounts {
         self.shared.lock().counts()
     }
 
-    /// Tells how often the work of each key (`Idempotency-Key`) began.
+    /// Returns the number of started runs by idempotency key (`Idempotency-Key`).
     pub fn run_counts(&self) -> BTreeMap<Arc<str>, u64> {
         self.shared.lock().runs.clone()
     }
 }
 
-/// What the handle and the serving thread share.
+/// State shared by the handle and the serving thread.
 struct Shared {
     name: Arc<str>,
     slots: Arc<Semaphore>,
@@ -206,7 +206,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the state and notes the load that follows from it.
+    /// Changes the state and records the resulting load.
     fn change<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
         let now = self.now();
         let mut state = self.lock();
--- a/crates/fakes/src/target/options.rs
+++ b/crates/fakes/src/target/options.rs
@@ -1,47 +1,47 @@
-//! Rules of a target.
+//! Options of a target.
 
 use std::{sync::Arc, time::Duration};
 
-/// How long work takes: a median, a spread, and now and then long work.
+/// Distribution of run times: log-normal, with a fraction of slow requests.
 #[derive(Clone, Debug)]
 pub struct WorkTime {
-    /// Median time.
+    /// Median run time.
     pub median: Duration,
-    /// Standard deviation of the logarithm of the time; 0 makes all work take the median.
+    /// Standard deviation of the logarithm of the run time; with 0, all runs take the median.
     pub sigma: f64,
-    /// Part of the requests whose work is long, of 1.
+    /// Fraction of slow requests, from 0 to 1.
     pub slow_fraction: f64,
-    /// Times the median that long work takes.
+    /// Factor by which slow requests take longer.
     pub slow_factor: f64,
 }
 
-/// How a target behaves.
+/// Options of a target.
 #[derive(Clone, Debug)]
 pub struct TargetOptions {
-    /// Requests run at once.
+    /// Maximum number of requests that run at once.
     pub slots: u32,
-    /// Requests that wait for a slot; more are shed.
+    /// Maximum number of requests that wait for a slot; others are shed.
     pub backlog: u32,
-    /// Connections served at once; more are closed.
+    /// Maximum number of connections served at once; others are closed.
     pub connections: usize,
-    /// Time of the work of a request.
+    /// Run time of a request.
     pub work: WorkTime,
-    /// Times the work takes on a cold cache; falls to 1 while it warms.
+    /// Factor of the run time on a cold cache; falls to 1 while the cache warms up.
     pub cold_factor: f64,
-    /// Requests after which the cache is warm; 0 starts it warm.
+    /// Number of requests after which the cache is warm; with 0 it starts warm.
     pub warmup_requests: u64,
-    /// Age of the load that it reports.
+    /// Age of the load that the target reports.
     pub report_delay: Duration,
-    /// Bytes of filling in each answer.
+    /// Number of bytes of padding in each response.
     pub padding_bytes: usize,
-    /// Time it stays down after a request that kills it.
+    /// Time that the target stays down after a request crashed it.
     pub restart_delay: Duration,
-    /// Seed of the times of work.
+    /// Seed of the random run times.
     pub seed: u64,
 }
 
 impl Default for TargetOptions {
-    /// A warm worker of 3 slots with work of about 5 ms and reports half a second old.
+    /// A warm target with 3 slots, run times of about 5 ms and load reports that are 0.5 s old.
     fn default() -> Self {
         Self {
             slots: 3,
@@ -66,10 +66,10 @@
 /// A target to bind.
 #[derive(Clone, Debug)]
 pub struct TargetSpec {
-    /// Name, unique among the targets bound together.
+    /// Name, unique among the targets that are bound together.
     pub name: Arc<str>,
-    /// Address as `IP:PORT`; port 0 takes a free one.
+    /// Address as `IP:PORT`; port 0 selects a free port.
     pub addr: Arc<str>,
-    /// Behaviour.
+    /// Options of the target.
     pub options: TargetOptions,
 }
--- a/crates/fakes/src/target/run.rs
+++ b/crates/fakes/src/target/run.rs
@@ -1,4 +1,4 @@
-//! The run of one request: a place in the backlog, a slot, work, an end.
+//! The run of one request: waits in the backlog, takes a slot, runs and ends.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,32 +6,32 @@
 
 use super::Shared;
 
-/// What a request asks of a target.
+/// Parameters of the run of a request.
 pub(super) struct WorkRequest {
-    /// Key of a request that may not be repeated.
+    /// Idempotency key, of a request that must run at most once.
     pub(super) key: Option<Arc<str>>,
-    /// Time the caller gives; counts from the arrival.
+    /// Timeout of the caller, counted from the arrival.
     pub(super) deadline: Option<Duration>,
-    /// Time of the work, where the request says so.
+    /// Run time, if the request sets it.
     pub(super) work: Option<Duration>,
-    /// Whether the request takes its target down.
+    /// Whether the request crashes its target.
     pub(super) crashes_target: bool,
 }
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// Never started.
+    /// The request was shed before its run started.
     Shed,
-    /// Ran to its end.
+    /// The run was completed.
     Done,
-    /// Started, and stopped at the deadline.
+    /// The run was started, and stopped at the deadline.
     DeadlineExceeded,
-    /// Took the target down.
+    /// The run crashed the target.
     Crashed,
 }
 
-/// Runs a request. Dropping the future stops the work and counts it as cancelled.
+/// Runs a request. Dropping the future stops the run and counts it as cancelled.
 pub(super) async fn run(shared: &Arc<Shared>, request: WorkRequest) -> Outcome {
     let Some(mut guard) = RequestGuard::try_enqueue(shared) else {
         return Outcome::Shed;
@@ -47,7 +47,7 @@
         return guard.finish(Outcome::Crashed);
     }
     let left = deadline.saturating_sub(shared.now().saturating_sub(arrived));
-    // A timer takes a millisecond at least: work that takes no time does not wait for one.
+    // A timer takes at least a millisecond, so a run time of 0 skips it.
     if !time.is_zero() {
         time::sleep(time.min(left)).await;
     }
@@ -58,7 +58,8 @@
     }
 }
 
-/// A request's guard at the target; counted out when it goes, however it goes.
+/// Guard of a request at the target. Dropping it updates the load and the counts however the request
+/// ends.
 struct RequestGuard<'a> {
     shared: &'a Arc<Shared>,
     started: bool,
--- a/crates/fakes/src/target/state.rs
+++ b/crates/fakes/src/target/state.rs
@@ -1,4 +1,4 @@
-//! What a target knows, without clock or socket.
+//! State of a target, without clock or socket.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -17,19 +17,19 @@
     pub(super) options: TargetOptions,
     rng: SmallRng,
     pub(super) leaving: bool,
-    /// Requests left until the cache is warm.
+    /// Number of requests until the cache is warm.
     warmup_left: u64,
     pub(super) slowdown: f64,
     pub(super) shed_next: u64,
     pub(super) truncate_next: u64,
     pub(super) reported_override: Option<TargetReport>,
-    /// Requests that hold a slot.
+    /// Number of requests that hold a slot.
     pub(super) busy: u32,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub(super) waiting: u32,
     /// Highest `busy` so far.
     pub(super) peak: u32,
-    /// Loads of the time of the lag, oldest first, each with its time.
+    /// Loads within the report delay, oldest first, each with its time.
     load_history: VecDeque<(Duration, TargetReport)>,
     pub(super) counts: TargetCounts,
     pub(super) runs: BTreeMap<Arc<str>, u64>,
@@ -61,7 +61,7 @@
         self.warmup_left = self.options.warmup_requests;
     }
 
-    /// Gives the load as it is.
+    /// Returns the current load.
     pub(super) fn load(&self) -> TargetReport {
         TargetReport {
             busy: self.busy,
@@ -71,17 +71,17 @@
         }
     }
 
-    /// Notes the load, for reports to come.
+    /// Records the current load for later reports.
     pub(super) fn record_load(&mut self, now: Duration) {
         self.load_history.push_back((now, self.load()));
         let old = now.saturating_sub(self.options.report_delay);
-        // The newest load older than the lag is the one to report; earlier ones are not needed.
+        // The newest load older than the report delay is the one to report; earlier ones are not needed.
         while self.load_history.get(1).is_some_and(|(at, _)| *at <= old) {
             self.load_history.pop_front();
         }
     }
 
-    /// Gives the load that it reports: one of the past, or a lie.
+    /// Returns the load to report: the one `report_delay` ago, or the override.
     pub(super) fn report(&self, now: Duration) -> TargetReport {
         if let Some(report) = &self.reported_override {
             return report.clone();
@@ -93,7 +93,7 @@
             .map_or_else(|| self.load(), |(_, report)| report.clone())
     }
 
-    /// Takes a place among those who wait for a slot; `false` sheds the request.
+    /// Adds a request to the backlog; `false` means that it is shed.
     pub(super) fn try_enqueue(&mut self) -> bool {
         let forced = self.shed_next > 0;
         self.shed_next -= u64::from(forced);
@@ -104,7 +104,7 @@
         !shed
     }
 
-    /// Moves a request from the backlog to a slot, counts its run, and draws its time.
+    /// Moves a request from the backlog to a slot, counts its run and returns its run time.
     pub(super) fn start(&mut self, key: Option<&str>, requested: Option<Duration>) -> Duration {
         self.waiting -= 1;
         self.busy += 1;
@@ -121,7 +121,7 @@
         time
     }
 
-    /// Takes one of the answers that are to be cut short.
+    /// Returns whether to truncate this response, and counts it.
     pub(super) fn take_truncation(&mut self) -> bool {
         let truncated = self.truncate_next > 0;
         self.truncate_next -= u64::from(truncated);
@@ -132,7 +132,7 @@
         self.counts.clone()
     }
 
-    /// Gives the factor of the cold cache, which falls in a line while requests warm it.
+    /// Returns the factor of the cold cache, which falls linearly while requests warm it.
     fn cold_multiplier(&self) -> f64 {
         if self.warmup_left == 0 {
             return 1.0;
@@ -141,7 +141,7 @@
         1.0 + (self.options.cold_factor - 1.0) * left
     }
 
-    /// Draws a time from the log-normal distribution (Box and Muller).
+    /// Samples a run time from the log-normal distribution (Box-Muller transform).
     fn sample_work(&mut self) -> Duration {
         let work = self.options.work.clone();
         let long = self.rng.random::<f64>() < work.slow_fraction;
--- a/crates/fakes/src/token_bucket.rs
+++ b/crates/fakes/src/token_bucket.rs
@@ -2,21 +2,21 @@
 
 use std::time::Duration;
 
-/// Lets a rate of calls through, and a burst on top.
+/// A rate limiter that permits a rate of calls with bursts on top.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     /// Tokens added each second.
     rate: f64,
-    /// Most tokens held at once.
+    /// Maximum number of tokens.
     burst: f64,
-    /// Tokens held at `at`; between 0 and `burst`.
+    /// Tokens at `refilled_at`; between 0 and `burst`.
     tokens: f64,
     /// Time of the last refill.
     refilled_at: Duration,
 }
 
 impl TokenBucket {
-    /// Opens a full bucket.
+    /// Returns a full bucket.
     pub(crate) fn open(rate: f64, burst: f64, now: Duration) -> Self {
         Self {
             rate,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Takes a token; gives the time until the next one where there is none.
+    /// Takes a token. The error is the time until the next token is available.
     pub(crate) fn try_take(&mut self, now: Duration) -> Result<(), Duration> {
         let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = now.max(self.refilled_at);
--- a/crates/fakes/tests/support/mod.rs
+++ b/crates/fakes/tests/support/mod.rs
@@ -11,7 +11,7 @@
     rt::TokioExecutor,
 };
 
-/// An answer read whole.
+/// A response with its complete body.
 pub(crate) struct Response {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Runs a test's body on a runtime of its own.
+/// Runs a test's body on its own runtime.
 pub(crate) fn block_on<T>(f: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -37,7 +37,7 @@
         .block_on(f)
 }
 
-/// Sends a request to `addr`; an error is a connection that gave no whole answer.
+/// Sends a request to `addr`. Fails if the connection closes before the response is complete.
 pub(crate) async fn send(
     addr: SocketAddr,
     line: &str,
