--- a/crates/config/src/config/services.rs
+++ b/crates/config/src/config/services.rs
@@ -1,4 +1,4 @@
-//! Rules of services that a schema cannot say.
+//! Validation of services beyond what the JSON Schema can express.
 
 use std::collections::BTreeMap;
 
@@ -7,35 +7,36 @@
 use super::draft::Draft;
 use crate::Findings;
 
-/// Longest window of a cap, in milliseconds: a day. A longer one is a slip of units.
-const WINDOW_MAX_MS: u64 = 86_400_000;
-/// Share from which a cap no longer holds a shift back.
-const WHOLE: f64 = 1.0;
-/// Methods that HTTP defines as idempotent; others are run more than once at the operator's word.
+/// Maximum window of a cap, in milliseconds: one day. A longer one is most likely a mistaken unit.
+const MAX_WINDOW_MS: u64 = 86_400_000;
+/// Share from which a cap no longer limits a shift.
+const FULL_SHARE: f64 = 1.0;
+/// Methods that HTTP defines as idempotent. Others are retried only if the operator lists them as
+/// repeatable, which is a warning.
 const IDEMPOTENT: [&str; 6] = ["GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"];
 
 pub(super) fn check(draft: &Draft, findings: &mut Findings) {
     for (name, service) in &draft.config.services {
-        times(draft, name, service, findings);
+        check_times(draft, name, service, findings);
         cap(draft, name, service, findings);
         methods(draft, name, service, findings);
         header(draft, name, service, findings);
         short_slots(draft, name, service, findings);
-        if draft.complete && draft.regions_of(name).is_empty() {
+        if draft.all_parsed && draft.regions_of(name).is_empty() {
             let location = draft.key(&["services", name]);
             findings.warning(
                 location,
-                format!("service `{name}` has no targets; each request will be turned away"),
+                format!("service `{name}` has no targets; every request will be refused"),
             );
         }
     }
 }
 
-fn times(draft: &Draft, name: &str, service: &Service, findings: &mut Findings) {
+fn check_times(draft: &Draft, name: &str, service: &Service, findings: &mut Findings) {
     let deadline = service.deadline_ms.get();
-    // The default is longer than many a deadline and then does no harm: the deadline comes first.
-    let written = draft.writes(&["services", name, "queue_ms"]);
-    if written && service.queue_ms > deadline {
+    // The default may exceed the deadline without harm, since the deadline ends the wait first.
+    let explicit = draft.is_set(&["services", name, "queue_ms"]);
+    if explicit && service.queue_ms > deadline {
         findings.error(
             draft.value(&["services", name, "queue_ms"]),
             format!(
@@ -58,7 +59,7 @@
             draft.value(&["services", name, "work_ms"]),
             format!(
                 "`work_ms` is {}, more than `deadline_ms`, which is {deadline}: most requests will \
-                 be turned away",
+                 be refused",
                 service.work_ms
             ),
         );
@@ -67,16 +68,16 @@
 
 fn cap(draft: &Draft, name: &str, service: &Service, findings: &mut Findings) {
     let cap = &service.cap;
-    if cap.window_ms > WINDOW_MAX_MS {
+    if cap.window_ms > MAX_WINDOW_MS {
         findings.error(
             draft.value(&["services", name, "cap", "window_ms"]),
             format!(
-                "`window_ms` is {}; make it at most {WINDOW_MAX_MS}, a day",
+                "`window_ms` is {}; make it at most {MAX_WINDOW_MS}, a day",
                 cap.window_ms
             ),
         );
     }
-    if cap.share >= WHOLE {
+    if cap.share >= FULL_SHARE {
         findings.warning(
             draft.value(&["services", name, "cap", "share"]),
             "`share` of 1 lets all traffic move at once; the targets it moves to start with cold \
@@ -91,7 +92,7 @@
         if method.is_empty() || !method.bytes().all(|b| b.is_ascii_uppercase()) {
             findings.error(
                 location(),
-                format!("`{method}` is not a method of HTTP; write it like `GET`"),
+                format!("`{method}` is not an HTTP method; write it like `GET`"),
             );
         } else if !IDEMPOTENT.contains(&&**method) {
             findings.warning(
@@ -104,16 +105,16 @@
 
 fn header(draft: &Draft, name: &str, service: &Service, findings: &mut Findings) {
     let header = &service.caller_header;
-    let sound = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    if header.is_empty() || !header.bytes().all(sound) {
+    let valid = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    if header.is_empty() || !header.bytes().all(valid) {
         findings.error(
             draft.value(&["services", name, "caller_header"]),
-            format!("`{header}` is not a header's name; use ASCII letters, digits, `-` and `_`"),
+            format!("`{header}` is not a header name; use ASCII letters, digits, `-` and `_`"),
         );
     }
 }
 
-/// In each domain, some slot must be left to long work: it would wait for ever.
+/// Checks that each domain keeps a slot for long requests, which would otherwise never run.
 fn short_slots(draft: &Draft, name: &str, service: &Service, findings: &mut Findings) {
     let mut slots: BTreeMap<&str, u64> = BTreeMap::new();
     for target in draft.config.targets.values() {
@@ -131,7 +132,7 @@
             draft.value(&["services", name, "short_slots"]),
             format!(
                 "`short_slots` is {}, which leaves none of the {fewest} slots in domain `{domain}` \
-                 to long work; lower it",
+                 for long requests; lower it",
                 service.short_slots
             ),
         );
--- a/crates/config/src/config/targets.rs
+++ b/crates/config/src/config/targets.rs
@@ -1,4 +1,4 @@
-//! Addresses of targets, and domains and regions without any.
+//! Validation of target addresses and of regions without domains.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -7,7 +7,7 @@
 
 pub(super) fn check(draft: &Draft, findings: &mut Findings) {
     addresses(draft, findings);
-    if draft.complete {
+    if draft.all_parsed {
         empty_regions(draft, findings);
     }
 }
@@ -28,7 +28,7 @@
         };
         let there = draft.value(&["targets", other, "address"]);
         let message = |other: &str| {
-            format!("`{address}` is the address of target `{other}` too; give each its own")
+            format!("`{address}` is also the address of target `{other}`; give each target its own")
         };
         findings.error(location, message(other));
         findings.error(there, message(name));
