--- a/crates/edge/src/control/changes.rs
+++ b/crates/edge/src/control/changes.rs
@@ -15,7 +15,7 @@
 use super::tokens;
 use crate::{
     host::Shared,
-    world::{Changes, News},
+    replica::{Changes, News},
 };
 
 /// Path on which changes are asked for. Hosts of a release that sends other messages do not know it:
@@ -171,12 +171,12 @@
     let newer = changed.wait_for(|m| m.said > asked.reached || m.version > asked.version);
     // An answer without changes is as good: it says that there are none.
     let _ = tokio::time::timeout(hold(shared.age()), newer).await;
-    let (mut world, now) = (shared.world(), shared.now());
+    let (mut replica, now) = (shared.replica(), shared.now());
     Ok(Told {
         age: shared.age(),
         held: since_boot().saturating_sub(asked_at),
-        changes: world.changes(asked.reached, now),
-        news: world.news(asked.version)?,
+        changes: replica.changes(asked.reached, now),
+        news: replica.news(asked.version)?,
     })
 }
 
--- a/crates/edge/src/control/follow.rs
+++ b/crates/edge/src/control/follow.rs
@@ -14,7 +14,7 @@
 use crate::{
     host::{Shared, heard_at},
     model::{Ending, FeedError, HostEntry, Item},
-    world::Changes,
+    replica::Changes,
 };
 
 /// Pause of a reader between two calls to the store. Changes of half a second come in one answer,
@@ -118,7 +118,7 @@
         let start = self.shared.now();
         // What other hosts told goes up to a revision of the store as well. Read from the beginning
         // each time that its sources fail, the store would answer with all items instead of some.
-        let at = self.shared.world().reached();
+        let at = self.shared.replica().reached();
         let result = match at == 0 || self.dropped {
             true => self.read().await,
             false => self.wait(at).await,
@@ -244,10 +244,10 @@
             return false;
         }
         let asked = {
-            let world = self.shared.world();
+            let replica = self.shared.replica();
             Asked {
-                reached: world.reached(),
-                version: world.version(),
+                reached: replica.reached(),
+                version: replica.version(),
             }
         };
         let sent = since_boot();
--- a/crates/edge/src/control/settle.rs
+++ b/crates/edge/src/control/settle.rs
@@ -10,7 +10,7 @@
     let mut changed = shared.changed.subscribe();
     loop {
         changed.mark_unchanged();
-        let due = shared.world().due();
+        let due = shared.replica().due();
         tokio::select! {
             () = over(&shared, due) => shared.settle(),
             // The sender is in `shared`.
--- a/crates/edge/src/front/admit.rs
+++ b/crates/edge/src/front/admit.rs
@@ -11,7 +11,7 @@
     rights::NoRights,
     tokens::{NoToken, Token},
 };
-use crate::{model::Workspace, world::View};
+use crate::{model::Workspace, replica::View};
 
 impl Front {
     /// The answer to a request without rights: it has not run.
--- a/crates/edge/src/front/lanes.rs
+++ b/crates/edge/src/front/lanes.rs
@@ -18,7 +18,7 @@
 use super::{link::Link, links::Kept};
 use crate::{
     model::{Reported, Target},
-    world::View,
+    replica::View,
 };
 
 /// Idle connections kept to one target: as many as it has slots are used at a time, and each that
--- a/crates/edge/src/front/place.rs
+++ b/crates/edge/src/front/place.rs
@@ -15,7 +15,7 @@
 use super::{Front, lanes::Lane, rights::Rights};
 use crate::{
     model::Route,
-    world::{Known, View},
+    replica::{Known, View},
 };
 
 /// Time after its start in which a host sends single requests to cold targets. Hosts that start
--- a/crates/edge/src/front/request.rs
+++ b/crates/edge/src/front/request.rs
@@ -27,8 +27,8 @@
 };
 use crate::{
     model::{Presented, Route},
+    replica::View,
     trace::Outcome,
-    world::View,
 };
 
 /// When a caller is told to come back after a refusal for want of room, at least: a target's slot
--- a/crates/edge/src/front/rights.rs
+++ b/crates/edge/src/front/rights.rs
@@ -7,7 +7,7 @@
 use super::{Front, place};
 use crate::{
     model::{Presented, Route, Workspace},
-    world::View,
+    replica::View,
 };
 
 /// Age of what is believed up to which an unknown key is called one. A key that was just added is
--- a/crates/edge/src/front/tokens.rs
+++ b/crates/edge/src/front/tokens.rs
@@ -18,7 +18,7 @@
     control::ask_tokens,
     limits::Asked,
     model::{HostEntry, Workspace},
-    world::View,
+    replica::View,
 };
 
 /// Time in which a host of this region answers: a round trip of a few milliseconds, and its share of a
--- a/crates/edge/src/host/shared.rs
+++ b/crates/edge/src/host/shared.rs
@@ -16,8 +16,8 @@
     limits::{Asked, Counter, NotCounting},
     meters::Meters,
     model::{Config, Dialect, Feed, HostEntry, Item},
+    replica::{Changes, News, NewsError, View, World},
     settings::{Live, Settings},
-    world::{Changes, News, NewsError, View, World},
 };
 
 /// How far the host is in its life.
@@ -61,7 +61,7 @@
     pub phase: watch::Sender<Phase>,
     /// Counters and histograms.
     pub meters: Meters,
-    world: Mutex<World>,
+    replica: Mutex<World>,
     past: Mutex<Past>,
     /// How old what is believed is.
     pub word: Word,
@@ -89,7 +89,7 @@
             changed: watch::channel(Mark::default()).0,
             phase: watch::channel(Phase::Serving).0,
             meters: Meters::open(),
-            world: Mutex::new(World::open()),
+            replica: Mutex::new(World::open()),
             past: Mutex::default(),
             word: Word::default(),
             counter: Counter::open(),
@@ -97,8 +97,8 @@
     }
 
     /// What is believed.
-    pub fn world(&self) -> MutexGuard<'_, World> {
-        self.world.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn replica(&self) -> MutexGuard<'_, World> {
+        self.replica.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Time since the start.
@@ -125,18 +125,18 @@
     /// Takes changes in, and publishes what they change.
     pub fn take(&self, changes: Changes) {
         let now = self.now();
-        let mut world = self.world();
-        if world.take(changes, now) {
-            self.publish(&world, now);
+        let mut replica = self.replica();
+        if replica.take(changes, now) {
+            self.publish(&replica, now);
         }
     }
 
     /// Removes what was held back for long enough.
     pub fn settle(&self) {
         let now = self.now();
-        let mut world = self.world();
-        if world.settle(now) {
-            self.publish(&world, now);
+        let mut replica = self.replica();
+        if replica.settle(now) {
+            self.publish(&replica, now);
         }
     }
 
@@ -148,15 +148,15 @@
     /// When the news cannot be read, or do not fit the version that is held; the changes are not taken then.
     pub fn hear(&self, news: Option<&News>, changes: Changes) -> Result<(), NewsError> {
         let now = self.now();
-        let mut world = self.world();
-        let before = world.last();
-        let learned = news.map_or(Ok(()), |news| world.learn(news));
+        let mut replica = self.replica();
+        let before = replica.last();
+        let learned = news.map_or(Ok(()), |news| replica.learn(news));
         if learned.is_ok() {
-            world.take(changes, now);
+            replica.take(changes, now);
         }
         // Of several steps some may have been taken before one that does not fit.
-        if world.last() > before {
-            self.publish(&world, now);
+        if replica.last() > before {
+            self.publish(&replica, now);
         }
         learned
     }
@@ -164,9 +164,9 @@
     /// Takes a whole reading in; what it does not name is believed in for a while longer.
     pub fn replace(&self, at: u64, items: Vec<Item>, left: Duration) {
         let now = self.now();
-        let mut world = self.world();
-        if world.replace_within(at, items, left, now) {
-            self.publish(&world, now);
+        let mut replica = self.replica();
+        if replica.replace_within(at, items, left, now) {
+            self.publish(&replica, now);
         }
     }
 
@@ -204,7 +204,7 @@
         let changed = settings.live != **self.live.load();
         self.live.store(Arc::new(settings.live));
         // Regions of failure domains stand in the view.
-        self.publish(&self.world(), self.now());
+        self.publish(&self.replica(), self.now());
         log::info!(
             target: "host", event = "reload", changed = changed, next_start = &*fixed;
             "the settings file was read"
@@ -223,10 +223,10 @@
         }
     }
 
-    fn publish(&self, world: &World, now: Duration) {
+    fn publish(&self, replica: &World, now: Duration) {
         let (before, live) = (self.view.load_full(), self.live.load());
         let mut past = self.past.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut view = View::open(world, &live.domains, &past.warmed, &before);
+        let mut view = View::open(replica, &live.domains, &past.warmed, &before);
         let back: Vec<_> = before
             .evacuated
             .difference(&view.evacuated)
@@ -239,15 +239,15 @@
             let cold = services.map(|s| s.cold).max().unwrap_or_default();
             past.warmed
                 .extend(back.into_iter().map(|domain| (domain, now + cold)));
-            view = View::open(world, &live.domains, &past.warmed, &before);
+            view = View::open(replica, &live.domains, &past.warmed, &before);
         }
         self.counter.keep(&self.settings.name, &view);
         view.sharers = past.sharers.update(&before.seeds, &view.seeds, now);
         crate::trace::believed(&before, &view);
         self.view.store(Arc::new(view));
         self.changed.send_replace(Mark {
-            said: world.said(),
-            version: world.version(),
+            said: replica.said(),
+            version: replica.version(),
         });
     }
 }
--- a/crates/edge/src/limits/counter.rs
+++ b/crates/edge/src/limits/counter.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::KNOWN_AGE;
-use crate::world::View;
+use crate::replica::View;
 
 /// What another host asks for: tokens by workspace.
 #[derive(Clone, Debug, Default)]
--- a/crates/edge/src/world/view.rs
+++ b/crates/edge/src/replica/view.rs
@@ -56,20 +56,20 @@
     /// Makes the view of a world. `domains` gives the region of each failure domain; `warmed` until
     /// when the targets of a domain that was evacuated are taken for cold; `before` is the view in force.
     pub fn open(
-        world: &World,
+        replica: &World,
         domains: &BTreeMap<Arc<str>, Arc<str>>,
         warmed: &BTreeMap<Arc<str>, Duration>,
         before: &View,
     ) -> View {
         let mut listed = Vec::new();
         let mut view = View {
-            number: world.last,
-            config: world.config().cloned(),
-            keys: world.keys().clone(),
-            routes: world.routes().clone(),
+            number: replica.last,
+            config: replica.config().cloned(),
+            keys: replica.keys().clone(),
+            routes: replica.routes().clone(),
             ..View::default()
         };
-        for held in world.held.values() {
+        for held in replica.held.values() {
             match &held.item.entry {
                 Some(Entry::Evacuated(domain)) => {
                     view.evacuated.insert(Arc::clone(domain));
@@ -84,7 +84,7 @@
         let roster = (before.number > 0).then_some(&before.roster);
         view.roster = Roster::next(roster, &listed, domains, since_boot());
         view.seeds = view.hosts.keys().map(|name| hash::hash_str(name)).collect();
-        for held in world.held.values() {
+        for held in replica.held.values() {
             let Some(Entry::Target(target)) = &held.item.entry else {
                 continue;
             };
--- a/crates/edge/src/trace/mod.rs
+++ b/crates/edge/src/trace/mod.rs
@@ -16,7 +16,7 @@
 };
 use crate::{
     model::{Config, KeyIndex},
-    world::View,
+    replica::View,
 };
 
 /// Names in one line; a failure domain holds a few dozen targets.
