--- a/crates/cli/src/commands/edge.rs
+++ b/crates/cli/src/commands/edge.rs
@@ -42,11 +42,11 @@
                 () = tokio::time::sleep(LOOK) => file.look(&host),
             }
         }
-        host.leave();
+        host.start_shutdown();
         let (tell, ended) = oneshot::channel();
         thread::Builder::new()
             .name("stop".to_owned())
-            .spawn(move || tell.send(host.wait()))
+            .spawn(move || tell.send(host.join()))
             .map_err(anyhow::Error::from)?;
         tokio::select! {
             ended = ended => match ended {
--- a/crates/cli/src/soak/callers.rs
+++ b/crates/cli/src/soak/callers.rs
@@ -209,7 +209,7 @@
         self.count(status.is_success());
         if status.is_success() {
             let own = body == format!("{id} {path}").as_bytes();
-            if !own || !headers.contains_key(dialect::open().stamp) {
+            if !own || !headers.contains_key(dialect::open().signature) {
                 let text = String::from_utf8_lossy(body);
                 self.seen
                     .broke(format!("{id} got another's answer, or a part: {text}"));
--- a/crates/edge/src/control/announce.rs
+++ b/crates/edge/src/control/announce.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     host::{Phase, Shared},
-    model::{FeedError, HostEntry, Ticket},
+    model::{HostEntry, LeaseId, PlatformStoreError},
 };
 
 /// Time that the announcement outlives its last renewal: a host that dies is named by look-ups for
@@ -33,33 +33,33 @@
             _ = phase.wait_for(|phase| *phase > Phase::Serving) => break,
         }
     }
-    shared.counter.lease_until(Duration::ZERO);
+    shared.token_issuer.lease_until(Duration::ZERO);
     if let Some(ticket) = ticket
-        && let Err(e) = (shared.feed.withdraw)(ticket).await
+        && let Err(e) = (shared.store.withdraw)(ticket).await
     {
         log::warn!(target: "store", event = "withdraw_failed", error:% = e; "others learn by the lease's end");
     }
 }
 
 /// One call, and the pause after it.
-async fn keep(shared: &Shared, ticket: &mut Option<Ticket>, was_announced: &mut bool) {
+async fn keep(shared: &Shared, ticket: &mut Option<LeaseId>, was_announced: &mut bool) {
     let (sent, is_new) = (since_boot(), ticket.is_none());
     let result = match *ticket {
         None => announced(shared).await.map(|t| *ticket = Some(t)),
-        Some(held) => (shared.feed.renew)(held).await,
+        Some(held) => (shared.store.renew)(held).await,
     };
     match result {
         Ok(()) => {
             if is_new && std::mem::replace(was_announced, true) {
-                shared.counter.announce_anew();
+                shared.token_issuer.announce_anew();
             }
             // Announced, the lease began a few calls after `sent`.
             shared
-                .counter
+                .token_issuer
                 .lease_until(sent + LEASE.saturating_sub(LEASE_SLACK));
             tokio::time::sleep(RENEWAL).await;
         }
-        Err(FeedError::Ended) => {
+        Err(PlatformStoreError::LeaseExpired) => {
             log::warn!(target: "store", event = "lease_ended"; "announced anew");
             *ticket = None;
         }
@@ -70,23 +70,23 @@
     }
 }
 
-async fn announced(shared: &Shared) -> Result<Ticket, FeedError> {
+async fn announced(shared: &Shared) -> Result<LeaseId, PlatformStoreError> {
     let distance = distance(shared).await?;
-    let me = Arc::new(shared.introduce(distance));
-    (shared.feed.announce)((me, LEASE)).await
+    let me = Arc::new(shared.host_entry(distance));
+    (shared.store.announce)((me, LEASE)).await
 }
 
 /// Measures the way to the store in steps of [`HostEntry::STEP`], by renewing a lease that is not
 /// there, once to open a connection and once on it.
-async fn distance(shared: &Shared) -> Result<u32, FeedError> {
+async fn distance(shared: &Shared) -> Result<u32, PlatformStoreError> {
     let mut time = Duration::ZERO;
     for _ in 0..2 {
         let start = shared.now();
-        match (shared.feed.renew)(Ticket(0)).await {
-            Ok(()) | Err(FeedError::Ended) => time = shared.now() - start,
+        match (shared.store.renew)(LeaseId(0)).await {
+            Ok(()) | Err(PlatformStoreError::LeaseExpired) => time = shared.now() - start,
             Err(e) => return Err(e),
         }
     }
-    let steps = time.as_millis() / HostEntry::STEP.as_millis();
+    let steps = time.as_millis() / HostEntry::DISTANCE_STEP.as_millis();
     Ok(u32::try_from(steps).unwrap_or(u32::MAX))
 }
--- a/crates/edge/src/control/changes.rs
+++ b/crates/edge/src/control/changes.rs
@@ -15,7 +15,7 @@
 use super::tokens;
 use crate::{
     host::Shared,
-    replica::{Changes, News},
+    replica::{Changes, ConfigUpdate},
 };
 
 /// Path on which changes are asked for. Hosts of a release that sends other messages do not know it:
@@ -30,17 +30,17 @@
 
 /// How long an answer is held back while nothing changes. Each answer also says that the host lives
 /// and how fresh its word is; with each step down the tree that word grows older by this.
-pub const HOLD: Duration = Duration::from_millis(250);
+pub const LONG_POLL_TIME: Duration = Duration::from_millis(250);
 
 /// Age above which a host's word is not enough, and the next source is asked, at last the store. What
 /// was changed just after the store's last answer is known this late at most, and some round trips
 /// later: a configuration may take 2.5 s to be in force, and a leaving target as long.
-pub const STALE: Duration = Duration::from_millis(1600);
+pub const STALE_AGE: Duration = Duration::from_millis(1600);
 
 /// How long a host whose word has this age holds an answer back: not at all once it is stale, or the
 /// sources that are stale would use up the time in which the next one must be asked.
-pub fn hold(age: Duration) -> Duration {
-    HOLD.min(STALE.saturating_sub(age))
+pub fn long_poll_time(age: Duration) -> Duration {
+    LONG_POLL_TIME.min(STALE_AGE.saturating_sub(age))
 }
 
 /// Time an asking host waits beyond that: a round trip between regions and a busy processor.
@@ -76,7 +76,7 @@
     /// What is new after the revision asked.
     pub(super) changes: Changes,
     /// Later versions of the configuration.
-    pub(super) news: Option<News>,
+    pub(super) news: Option<ConfigUpdate>,
 }
 
 /// Why a host's answer is of no use.
@@ -108,7 +108,7 @@
 ) -> Result<Heard, AskError> {
     let body = pack(asked)?;
     let flow = Flow {
-        head: HOLD + SLACK,
+        head: LONG_POLL_TIME + SLACK,
         pause: PAUSE,
         whole: WHOLE,
     };
@@ -168,15 +168,16 @@
 async fn tell(shared: &Shared, asked: Asked) -> Result<Told, PackError> {
     let asked_at = since_boot();
     let mut changed = shared.changed.subscribe();
-    let newer = changed.wait_for(|m| m.said > asked.reached || m.version > asked.version);
+    let newer =
+        changed.wait_for(|m| m.publish_revision > asked.reached || m.version > asked.version);
     // An answer without changes is as good: it says that there are none.
-    let _ = tokio::time::timeout(hold(shared.age()), newer).await;
+    let _ = tokio::time::timeout(long_poll_time(shared.age()), newer).await;
     let (mut replica, now) = (shared.replica(), shared.now());
     Ok(Told {
         age: shared.age(),
         held: since_boot().saturating_sub(asked_at),
         changes: replica.changes(asked.reached, now),
-        news: replica.news(asked.version)?,
+        news: replica.update_since(asked.version)?,
     })
 }
 
@@ -193,7 +194,7 @@
         "name": shared.settings.name,
         "ready": shared.is_ready(),
         "version": view.config.as_ref().map(|c| c.version),
-        "change": view.number,
+        "change": view.change,
         "age_ms": millis(shared.age()),
         "evacuated": view.evacuated,
         "hosts": view.hosts.keys().collect::<Vec<_>>(),
--- a/crates/edge/src/control/follow.rs
+++ b/crates/edge/src/control/follow.rs
@@ -8,25 +8,25 @@
 };
 
 use super::{
-    changes::{ANSWER_BYTES, Asked, Heard, STALE, Told, ask},
-    spread::place,
+    changes::{ANSWER_BYTES, Asked, Heard, STALE_AGE, Told, ask},
+    spread::tree_position,
 };
 use crate::{
-    host::{Shared, heard_at},
-    model::{Ending, FeedError, HostEntry, Item},
+    host::{Shared, confirmed_at},
+    model::{DeferredRemoval, HostEntry, Item, PlatformStoreError},
     replica::Changes,
 };
 
 /// Pause of a reader between two calls to the store. Changes of half a second come in one answer,
 /// which costs one call instead of ten.
-pub const READER_PAUSE: Duration = Duration::from_millis(400);
+pub const READER_POLL_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Longest wait for changes at the store. Heartbeats need not change anything there, and while nothing
 /// does a reader's word is as old as this wait. Longer, and the hosts below would take a quiet store for a
 /// lost one and read all of it for themselves, over and over: it takes a narrow link a second, in which
 /// callers' answers and the next version wait. With the pause instead of it, a quiet store is called no
 /// more often than a busy one.
-const WAIT: Duration = READER_PAUSE;
+const WAIT: Duration = READER_POLL_INTERVAL;
 
 /// Pause of a host that reads for itself while no reader answers.
 const LONE_PAUSE: Duration = Duration::from_millis(700);
@@ -55,8 +55,8 @@
 /// Where other hosts gave it fresh word meanwhile, the store was away for this host alone. Were it to
 /// hold removals back all the same, hosts that ask it would go on sending to a target that has left:
 /// its word is fresh again, and nothing tells them to ask another.
-pub fn may_have_lapsed(age: Duration) -> bool {
-    age > STALE
+pub fn may_have_expired(age: Duration) -> bool {
+    age > STALE_AGE
 }
 
 /// State of the follower.
@@ -102,15 +102,15 @@
 impl Follower {
     async fn step(&mut self) {
         let settings = &self.shared.settings;
-        let place = place(
+        let tree_position = tree_position(
             &settings.name,
             &self.shared.view.load().hosts,
-            &self.shared.live.load().domains,
+            &self.shared.reloadable.load().domains,
         );
-        let is_reader = place.is_reader;
+        let is_reader = tree_position.is_reader;
         // A reader that the store does not serve follows the other one, and goes on trying.
         if !is_reader || !self.reached {
-            let followed = self.ask_any(&place.sources).await;
+            let followed = self.ask_any(&tree_position.sources).await;
             if followed && !is_reader {
                 return;
             }
@@ -118,7 +118,7 @@
         let start = self.shared.now();
         // What other hosts told goes up to a revision of the store as well. Read from the beginning
         // each time that its sources fail, the store would answer with all items instead of some.
-        let at = self.shared.replica().reached();
+        let at = self.shared.replica().synced_revision();
         let result = match at == 0 || self.dropped {
             true => self.read().await,
             false => self.wait(at).await,
@@ -127,10 +127,14 @@
             // The wait stood for the pause, unless the answer came at once.
             Ok(Came::Nothing) if is_reader => {
                 let waited = self.shared.now() - start;
-                tokio::time::sleep(READER_PAUSE.saturating_sub(waited)).await;
+                tokio::time::sleep(READER_POLL_INTERVAL.saturating_sub(waited)).await;
             }
             Ok(_) => {
-                let pause = if is_reader { READER_PAUSE } else { LONE_PAUSE };
+                let pause = if is_reader {
+                    READER_POLL_INTERVAL
+                } else {
+                    LONE_PAUSE
+                };
                 tokio::time::sleep(pause).await;
             }
             Err(e) => self.failed(&e).await,
@@ -147,9 +151,9 @@
         false
     }
 
-    async fn read(&mut self) -> Result<Came, FeedError> {
+    async fn read(&mut self) -> Result<Came, PlatformStoreError> {
         let (start, age, sent) = (self.shared.now(), self.shared.age(), since_boot());
-        let snapshot = (self.shared.feed.read)(()).await?;
+        let snapshot = (self.shared.store.list)(()).await?;
         self.shared.meters.count("store_read");
         log::info!(
             target: "store", event = "read", items = snapshot.items.len(),
@@ -159,21 +163,22 @@
         self.back();
         self.dropped = false;
         self.shared
-            .replace(snapshot.at, snapshot.items, self.kept());
-        self.shared.word.prove(sent);
+            .replace(snapshot.revision, snapshot.items, self.kept());
+        self.shared.freshness.confirm(sent);
         Ok(Came::Items)
     }
 
-    async fn wait(&mut self, at: u64) -> Result<Came, FeedError> {
+    async fn wait(&mut self, at: u64) -> Result<Came, PlatformStoreError> {
         let sent = since_boot();
-        let batch = (self.shared.feed.wait)((at, WAIT)).await?;
+        let batch = (self.shared.store.watch)((at, WAIT)).await?;
         self.back();
         let came = match batch.items.is_empty() {
             true => Came::Nothing,
             false => Came::Items,
         };
-        self.shared.take(self.sift(batch.items, batch.at));
-        self.shared.word.prove(sent);
+        self.shared
+            .apply_changes(self.sift(batch.items, batch.revision));
+        self.shared.freshness.confirm(sent);
         Ok(came)
     }
 
@@ -188,7 +193,7 @@
         let (items, vanished): (_, Vec<_>) = items
             .into_iter()
             .partition(|item| left.is_zero() || item.entry.is_some());
-        let ending = |Item { key, rev, .. }| Ending { key, rev, left };
+        let ending = |Item { key, rev, .. }| DeferredRemoval { key, rev, left };
         if !vanished.is_empty() {
             log::info!(
                 target: "belief", event = "held_back", entries = vanished.len(), left_ms = millis(left);
@@ -203,9 +208,9 @@
         }
     }
 
-    async fn failed(&mut self, error: &FeedError) {
+    async fn failed(&mut self, error: &PlatformStoreError) {
         match error {
-            FeedError::Dropped => {
+            PlatformStoreError::Compacted => {
                 log::info!(target: "store", event = "history_dropped"; "read anew");
                 self.dropped = true;
             }
@@ -213,7 +218,7 @@
                 if std::mem::replace(&mut self.reached, false) {
                     log::warn!(target: "store", event = "lost", error:% = error; "the store is lost");
                 }
-                for seed in self.shared.live.load().seeds.clone() {
+                for seed in self.shared.reloadable.load().seeds.clone() {
                     if self.shared.view.load().config.is_none() && self.ask_host(seed).await {
                         break;
                     }
@@ -229,10 +234,10 @@
         self.pause = FIRST_PAUSE;
         if !std::mem::replace(&mut self.reached, true) {
             let age = self.shared.age();
-            if may_have_lapsed(age) {
+            if may_have_expired(age) {
                 self.keep = self.shared.now() + RETURN_TIME;
             }
-            log::info!(target: "store", event = "regained", age_ms = millis(age), keeps = may_have_lapsed(age); "the store is back");
+            log::info!(target: "store", event = "regained", age_ms = millis(age), keeps = may_have_expired(age); "the store is back");
         }
     }
 
@@ -246,7 +251,7 @@
         let asked = {
             let replica = self.shared.replica();
             Asked {
-                reached: replica.reached(),
+                reached: replica.synced_revision(),
                 version: replica.version(),
             }
         };
@@ -257,7 +262,7 @@
         match heard.and_then(|heard| self.learn(address, heard, sent, took)) {
             Ok(age) => {
                 self.silent.remove(&address);
-                age < STALE
+                age < STALE_AGE
             }
             Err(e) => {
                 self.shared.meters.count("source_failed");
@@ -283,9 +288,9 @@
         took: Duration,
     ) -> anyhow::Result<Duration> {
         let told = self.heard(address, heard, took);
-        self.shared.hear(told.news.as_ref(), told.changes)?;
-        let at = heard_at(sent, took, told.held, told.age);
-        self.shared.word.prove(at);
+        self.shared.apply_update(told.news.as_ref(), told.changes)?;
+        let at = confirmed_at(sent, took, told.held, told.age);
+        self.shared.freshness.confirm(at);
         Ok(told.age)
     }
 
--- a/crates/edge/src/control/mod.rs
+++ b/crates/edge/src/control/mod.rs
@@ -15,9 +15,9 @@
 
 pub(crate) use self::tokens::{TOKEN_BYTES, ask_tokens};
 pub use self::{
-    changes::{HOLD, STALE, hold},
-    follow::{READER_PAUSE, may_have_lapsed},
-    spread::{FAN_OUT, Place, READERS, place},
+    changes::{LONG_POLL_TIME, STALE_AGE, long_poll_time},
+    follow::{READER_POLL_INTERVAL, may_have_expired},
+    spread::{FAN_OUT, STORE_READERS, TreePosition, tree_position},
 };
 use crate::{
     host::{Phase, Shared},
@@ -51,7 +51,7 @@
     pub metrics: Option<TcpListener>,
 }
 
-/// Spawns the duty; it ends in the phase [`Phase::Ended`].
+/// Spawns the duty; it ends in the phase [`Phase::Stopped`].
 pub fn spawn(shared: Arc<Shared>, listeners: Listeners) -> anyhow::Result<JoinHandle<()>> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let thread = std::thread::Builder::new().name("control".to_owned());
@@ -78,7 +78,7 @@
     let announcer = tokio::spawn(announce::announce(Arc::clone(&shared)));
     let mut phase = shared.phase.subscribe();
     // The sender is in `shared`, which this duty holds.
-    let _ = phase.wait_for(|phase| *phase == Phase::Ended).await;
+    let _ = phase.wait_for(|phase| *phase == Phase::Stopped).await;
     announcer.abort();
     stop.send_replace(true);
 }
--- a/crates/edge/src/control/settle.rs
+++ b/crates/edge/src/control/settle.rs
@@ -10,9 +10,9 @@
     let mut changed = shared.changed.subscribe();
     loop {
         changed.mark_unchanged();
-        let due = shared.replica().due();
+        let due = shared.replica().next_deferred();
         tokio::select! {
-            () = over(&shared, due) => shared.settle(),
+            () = over(&shared, due) => shared.apply_deferred(),
             // The sender is in `shared`.
             _ = changed.changed() => {}
         }
--- a/crates/edge/src/control/spread.rs
+++ b/crates/edge/src/control/spread.rs
@@ -12,7 +12,7 @@
 
 /// Hosts that read the store, and heads of a region. With one, its death would send all that follow
 /// it to the store at once.
-pub const READERS: usize = 2;
+pub const STORE_READERS: usize = 2;
 
 /// Hosts that ask one host, at most, beside those whose own source is away. A region of a hundred
 /// hosts is then two steps below its heads.
@@ -23,7 +23,7 @@
 
 /// Where a host stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct TreePosition {
     /// Whether it reads the store.
     pub is_reader: bool,
     /// Hosts that it asks, first choice first.
@@ -32,13 +32,13 @@
 
 /// Where a host stands among those that are known. All hosts that know the same hosts agree, and no
 /// two of them ask each other: a host asks readers, or hosts of its region that stand before it.
-pub fn place(
+pub fn tree_position(
     me: &str,
     hosts: &BTreeMap<Arc<str>, Arc<HostEntry>>,
     domains: &BTreeMap<Arc<str>, Arc<str>>,
-) -> Place {
+) -> TreePosition {
     let mut readers = nearest(hosts);
-    let others_of_readers = readers.split_off(READERS.min(readers.len()));
+    let others_of_readers = readers.split_off(STORE_READERS.min(readers.len()));
     let is_reader = readers.iter().any(|reader| &*reader.name == me);
     let others = || readers.iter().filter(|reader| &*reader.name != me).cloned();
     let region = hosts.get(me).and_then(|host| domains.get(&host.domain));
@@ -46,7 +46,7 @@
         // A reader that the store turns away follows the other one, or hosts that have come to read
         // for themselves because both readers are turned away.
         let spare = others_of_readers.into_iter().take(SPARE);
-        return Place {
+        return TreePosition {
             is_reader,
             sources: others().chain(spare).collect(),
         };
@@ -60,12 +60,12 @@
         .unwrap_or_default();
     let mut sources: Vec<_> = parents(at).map(|n| Arc::clone(row[n])).collect();
     sources.extend(others());
-    Place { is_reader, sources }
+    TreePosition { is_reader, sources }
 }
 
 /// The hosts before the one at `at` that it asks: none for a head.
 fn parents(at: usize) -> impl Iterator<Item = usize> {
-    let below = at.checked_sub(READERS);
+    let below = at.checked_sub(STORE_READERS);
     let first = below.map(|below| below / FAN_OUT);
     // Neighbours, so that the second choice is no descendant of the first.
     first
--- a/crates/edge/src/control/tokens.rs
+++ b/crates/edge/src/control/tokens.rs
@@ -86,7 +86,7 @@
         Ok(asked) => asked,
         Err(refusal) => return refusal,
     };
-    let given = match shared.give(&asked) {
+    let given = match shared.grant_tokens(&asked) {
         Ok(given) => given.into_iter(),
         Err(e) => return (StatusCode::CONFLICT, e.to_string()).into_response(),
     };
--- a/crates/edge/src/front/admit.rs
+++ b/crates/edge/src/front/admit.rs
@@ -33,7 +33,7 @@
         let view = self.shared.view.load();
         let config = view.config.as_ref();
         let guarded = config.is_some_and(|c| !c.workspaces.is_empty());
-        guarded && !self.shared.is_trusted()
+        guarded && !self.shared.keys_are_fresh()
     }
 
     /// Gets a token for a request of a workspace with a limit, unless the one that it holds is still good.
--- a/crates/edge/src/front/ahead.rs
+++ b/crates/edge/src/front/ahead.rs
@@ -11,7 +11,7 @@
 use http::{HeaderName, HeaderValue, Method, Request, header, request::Parts};
 use tokio::task::JoinHandle;
 
-use super::{Front, end::End, place, request::Gone, wire::Wire};
+use super::{Front, end::End, place, request::Gone, wire::CallerStream};
 
 /// Requests of one connection that are begun ahead: callers send a few at once, and one that sends
 /// more must not take all slots.
@@ -73,7 +73,7 @@
     ///
     /// A body that arrives in pieces is read ahead as well. Were its second piece taken for a request,
     /// a caller could have anything run in another one's name.
-    pub(super) async fn watch(&self, front: &Rc<Front>, wire: &Wire, begins: bool) -> Gone {
+    pub(super) async fn watch(&self, front: &Rc<Front>, wire: &CallerStream, begins: bool) -> Gone {
         loop {
             while begins && wire.look(|bytes| self.begin(front, bytes)) {}
             if !wire.more().await {
--- a/crates/edge/src/front/attempt.rs
+++ b/crates/edge/src/front/attempt.rs
@@ -20,7 +20,7 @@
     rights::Rights,
     say::Sent,
 };
-use crate::model::{Presented, Route};
+use crate::model::{Credentials, Route};
 
 /// What is sent to targets.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     pub(super) uri: Uri,
     pub(super) headers: HeaderMap,
     /// How the caller said who it is.
-    pub(super) presented: Presented,
+    pub(super) presented: Credentials,
     pub(super) body: Bytes,
     /// When the caller stops waiting, or the route's timeout is over.
     pub(super) end: Instant,
@@ -154,7 +154,7 @@
     fn still_allows(&self, rights: &Rights, place: &Place, work: &Work) -> bool {
         let trust = self.trust();
         let view = self.shared.view.load();
-        if view.number == place.number {
+        if view.change == place.number {
             return true;
         }
         let now = self.rights(&view, trust, &work.headers, &work.uri, work.presented);
@@ -187,10 +187,10 @@
             headers.insert(&dialect.workspace, name);
         }
         if let Ok(left) = HeaderValue::try_from(left.to_string()) {
-            headers.insert(&dialect.left, left);
+            headers.insert(&dialect.time_left, left);
         }
         if let Ok(id) = HeaderValue::try_from(&*lane.target.id) {
-            headers.insert(&dialect.expect, id);
+            headers.insert(&dialect.expected_target, id);
         }
         request
     }
@@ -198,19 +198,20 @@
     /// Whether an answer belongs to a request. A target may answer twice, and the second answer
     /// comes where that of the next request is expected.
     fn is_own(&self, work: &Work, whole: &Whole) -> bool {
-        let echoed = whole.headers.get(&self.shared.dialect.id);
+        let echoed = whole.headers.get(&self.shared.dialect.request_id);
         echoed.is_some_and(|id| id.as_bytes() == work.id.as_bytes())
     }
 
     /// Tells what an answer is worth, and what it says about the target.
     fn judge(&self, lane: &Lane, work: &Work, whole: Whole) -> (Tried, Option<Evidence>) {
         let dialect = &self.shared.dialect;
-        let load = (dialect.load)(&whole.headers);
+        let load = (dialect.parse_load)(&whole.headers);
         if let Some(load) = load {
             lane.report(load, self.shared.now());
         }
         let status = whole.status;
-        if whole.headers.contains_key(&dialect.unrun) || status == StatusCode::MISDIRECTED_REQUEST {
+        if whole.headers.contains_key(&dialect.not_run) || status == StatusCode::MISDIRECTED_REQUEST
+        {
             let full = load.is_some_and(|l| l.running + l.waiting >= lane.target.slots);
             let evidence = match (status, full) {
                 (StatusCode::MISDIRECTED_REQUEST, _) => Evidence::Down,
@@ -226,7 +227,7 @@
                 Some(Evidence::Bad),
             );
         }
-        let stamped = whole.headers.contains_key(&dialect.stamp);
+        let stamped = whole.headers.contains_key(&dialect.signature);
         let encoded = whole.headers.contains_key(header::CONTENT_ENCODING);
         if encoded || (status.is_success() && !stamped) {
             return (
--- a/crates/edge/src/front/lanes.rs
+++ b/crates/edge/src/front/lanes.rs
@@ -17,7 +17,7 @@
 
 use super::{link::Link, links::Kept};
 use crate::{
-    model::{Reported, Target},
+    model::{ReportedLoad, Target},
     replica::View,
 };
 
@@ -78,7 +78,7 @@
     }
 
     /// Takes the load of an answer in; the answered request is still counted among this host's own.
-    pub(super) fn report(&self, load: Reported, now: Duration) {
+    pub(super) fn report(&self, load: ReportedLoad, now: Duration) {
         let own = self.own.get().saturating_sub(1);
         let others = (load.running + load.waiting).saturating_sub(own);
         self.others.set((others, now));
@@ -154,7 +154,7 @@
 
     /// Forgets targets that get no more work, and closes their idle connections.
     pub(super) fn prune(&self, view: &View) {
-        if self.number.replace(view.number) == view.number {
+        if self.number.replace(view.change) == view.change {
             return;
         }
         let live: BTreeSet<_> = {
--- a/crates/edge/src/front/mod.rs
+++ b/crates/edge/src/front/mod.rs
@@ -40,7 +40,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, runtime::Builder, task::LocalSet, time::Instant};
 
-pub use self::wire::Wire;
+pub use self::wire::CallerStream;
 use self::{
     ahead::Ahead,
     lanes::Lanes,
@@ -187,7 +187,7 @@
 /// Waits until a planned stop is over: no new request is taken and the last one has ended, or the
 /// grace has.
 async fn ended(front: &Front) {
-    let grace = front.shared.live.load().grace;
+    let grace = front.shared.reloadable.load().grace;
     tokio::time::sleep(grace.mul_f64(TAKE_PART)).await;
     let end = Instant::now() + grace.mul_f64(END_PART - TAKE_PART);
     while front.running.get() > 0 && Instant::now() < end {
@@ -200,7 +200,7 @@
 impl Front {
     /// Whether new requests are turned away, as the host ends soon.
     fn is_closing(&self) -> bool {
-        let take = self.shared.live.load().grace.mul_f64(TAKE_PART);
+        let take = self.shared.reloadable.load().grace.mul_f64(TAKE_PART);
         self.leaving
             .get()
             .is_some_and(|since| since.elapsed() >= take)
@@ -246,7 +246,7 @@
         .as_ref()
         .map_or(LIMITS, |c| c.limits.clone());
     let conn = Conn {
-        wire: Wire::open(stream),
+        wire: CallerStream::open(stream),
         ahead: Ahead::default(),
         waited: Cell::new(waited),
         is_full,
--- a/crates/edge/src/front/place.rs
+++ b/crates/edge/src/front/place.rs
@@ -15,7 +15,7 @@
 use super::{Front, lanes::Lane, rights::Rights};
 use crate::{
     model::Route,
-    replica::{Known, View},
+    replica::{KnownTarget, View},
 };
 
 /// Time after its start in which a host sends single requests to cold targets. Hosts that start
@@ -89,7 +89,7 @@
         let mut held: Vec<usize> = Vec::new();
         let point = if route.sticky { object } else { rand::random() };
         while let Some(Choice { index, rank }) = pick(route, point, &candidates, &held) {
-            let cold = known[index].cold > now;
+            let cold = known[index].cold_until > now;
             if cold && !self.admits_cold(view, service, &lanes[index], now) {
                 held.push(index);
                 candidates[index].healthy = false;
@@ -103,7 +103,7 @@
                 region: Arc::clone(&known[index].region),
                 rank,
                 busy,
-                number: view.number,
+                number: view.change,
             });
         }
         Err(if held.is_empty() {
@@ -113,7 +113,13 @@
         })
     }
 
-    fn candidate(&self, route: &Route, known: &Known, lane: &Lane, now: Duration) -> Candidate {
+    fn candidate(
+        &self,
+        route: &Route,
+        known: &KnownTarget,
+        lane: &Lane,
+        now: Duration,
+    ) -> Candidate {
         let way = self.ways.borrow().get(&known.region).copied();
         let way = way.unwrap_or_default().as_secs_f64();
         Candidate {
@@ -134,9 +140,9 @@
             .map(|s| s.rate);
         let rules = ColdStartLimits {
             rate: rate.unwrap_or_default(),
-            ..self.shared.live.load().cold
+            ..self.shared.reloadable.load().cold
         };
-        let part = rules.host_rate(self.seed, &view.sharers, lane.seed);
+        let part = rules.host_rate(self.seed, &view.sharer_hashes, lane.seed);
         let part = if now < FRESH_TIME { part.min(1) } else { part };
         lane.cold.borrow_mut().try_admit(part, now)
     }
@@ -153,7 +159,7 @@
     (!held.contains(&choice.index)).then_some(choice)
 }
 
-fn allows(rights: &Rights, known: &Known, tried: &BTreeSet<Arc<str>>) -> bool {
+fn allows(rights: &Rights, known: &KnownTarget, tried: &BTreeSet<Arc<str>>) -> bool {
     rights.allows(&known.region) && !tried.contains(&known.target.id)
 }
 
--- a/crates/edge/src/front/request.rs
+++ b/crates/edge/src/front/request.rs
@@ -23,10 +23,10 @@
     place::{self, NoPlace, Place},
     rights::Rights,
     tokens::Token,
-    wire::Wire,
+    wire::CallerStream,
 };
 use crate::{
-    model::{Presented, Route},
+    model::{Credentials, Route},
     replica::View,
     trace::Outcome,
 };
@@ -117,7 +117,7 @@
 /// A caller's connection.
 #[derive(Debug)]
 pub(super) struct Conn {
-    pub(super) wire: Wire,
+    pub(super) wire: CallerStream,
     pub(super) ahead: Ahead,
     /// How long the first request may have waited before the connection was accepted.
     pub(super) waited: Cell<Duration>,
@@ -139,7 +139,7 @@
     let waited = conn.waited.take();
     // A caller that gave up while its request lay unread wants no answer, and a run for it would take
     // a slot from one that does.
-    if conn.wire.has_ended() {
+    if conn.wire.is_closed() {
         front.left_unread(&id, waited);
         return Err(Gone);
     }
@@ -180,7 +180,7 @@
 impl Front {
     pub(super) fn id_of(&self, headers: &HeaderMap) -> Arc<str> {
         let id = headers
-            .get(&self.shared.dialect.id)
+            .get(&self.shared.dialect.request_id)
             .and_then(|v| v.to_str().ok());
         id.unwrap_or("-").into()
     }
@@ -199,7 +199,7 @@
         if self.is_closing() {
             return refuse("this host is about to end", Duration::ZERO);
         }
-        let presented = (self.shared.dialect.key)(&head.headers);
+        let presented = (self.shared.dialect.parse_credentials)(&head.headers);
         let rights = match self.rights(&view, trust, &head.headers, &head.uri, presented) {
             Ok(rights) => rights,
             Err(e) => return self.turn_away(&e, &head.uri),
@@ -229,7 +229,7 @@
 
     /// Time that the caller leaves, at most the route's.
     fn left_of(&self, headers: &HeaderMap, route: &Route) -> Duration {
-        let left = headers.get(&self.shared.dialect.left);
+        let left = headers.get(&self.shared.dialect.time_left);
         let left = left.and_then(|v| v.to_str().ok()?.trim().parse::<u64>().ok());
         left.map_or(route.timeout, Duration::from_millis)
             .min(route.timeout)
@@ -243,7 +243,7 @@
         has_room.then_some(BodyRoom { front: self, bytes })
     }
 
-    fn work(&self, head: Parts, presented: Presented, body: Bytes, end: Instant) -> Work {
+    fn work(&self, head: Parts, presented: Credentials, body: Bytes, end: Instant) -> Work {
         let id = self.id_of(&head.headers);
         let mut headers = head.headers;
         strip(&mut headers);
@@ -316,7 +316,7 @@
                 course.give_up("no region is a home of its route and workspace", MOST_RETRY),
             );
         }
-        let object = place::object(route, (self.shared.dialect.object)(&work.headers));
+        let object = place::object(route, (self.shared.dialect.affinity_key)(&work.headers));
         let Some(service) = place::part(route, object) else {
             return Some(course.give_up("the route has no service", MOST_RETRY));
         };
--- a/crates/edge/src/front/rights.rs
+++ b/crates/edge/src/front/rights.rs
@@ -6,7 +6,7 @@
 
 use super::{Front, place};
 use crate::{
-    model::{Presented, Route, Workspace},
+    model::{Credentials, Route, Workspace},
     replica::View,
 };
 
@@ -89,7 +89,7 @@
     /// How far what is believed goes now.
     pub(super) fn trust(&self) -> Trust {
         Trust {
-            holds: self.shared.is_trusted(),
+            holds: self.shared.keys_are_fresh(),
             age: self.shared.age(),
         }
     }
@@ -101,18 +101,18 @@
         trust: Trust,
         headers: &HeaderMap,
         uri: &Uri,
-        presented: Presented,
+        presented: Credentials,
     ) -> Result<Rights, NoRights> {
         let config = view.config.as_ref().ok_or(NoRights::Unconfigured)?;
         let route = place::route(view, headers, uri).ok_or(NoRights::Routeless)?;
         let guarded = !config.workspaces.is_empty();
         let workspace = match presented {
             _ if !guarded => None,
-            Presented::Nothing if route.open => None,
+            Credentials::Missing if route.open => None,
             _ if !trust.holds => return Err(NoRights::Outdated { age: trust.age }),
-            Presented::Nothing => return Err(NoRights::Keyless),
-            Presented::Unreadable => return Err(NoRights::Unreadable),
-            Presented::Key(key) => {
+            Credentials::Missing => return Err(NoRights::Keyless),
+            Credentials::Malformed => return Err(NoRights::Unreadable),
+            Credentials::Key(key) => {
                 let held = view.keys.find(key).map(Arc::clone);
                 Some(held.ok_or_else(|| unknown(config.version, trust))?)
             }
--- a/crates/edge/src/front/say.rs
+++ b/crates/edge/src/front/say.rs
@@ -144,7 +144,7 @@
             slots: lane.target.slots,
             load_age: lane.load_age(now),
             left: work.end.saturating_duration_since(Instant::now()),
-            change: self.shared.view.load().number,
+            change: self.shared.view.load().change,
             belief_age: self.shared.age(),
             at: now,
         };
@@ -250,13 +250,13 @@
     }
 
     pub(super) fn first(&self, service: &Arc<str>) {
-        let rules = self.shared.live.load().budget;
+        let rules = self.shared.reloadable.load().budget;
         self.budget(service)
             .record_request(&rules, self.shared.now());
     }
 
     pub(super) fn second(&self, service: &Arc<str>, hosts: usize, rank: u8) -> bool {
-        let rules = self.shared.live.load().budget;
+        let rules = self.shared.reloadable.load().budget;
         let now = self.shared.now();
         self.budget(service)
             .try_retry(&rules, hosts, rank, rand::random(), now)
@@ -265,7 +265,7 @@
     fn budget(&self, service: &Arc<str>) -> RefMut<'_, RetryBudget> {
         RefMut::map(self.budgets.borrow_mut(), |budgets| {
             let budget = budgets.entry(Arc::clone(service));
-            budget.or_insert_with(|| match self.shared.settings.first {
+            budget.or_insert_with(|| match self.shared.settings.first_start {
                 true => RetryBudget::open(),
                 false => RetryBudget::open_restarted(START),
             })
--- a/crates/edge/src/front/tokens.rs
+++ b/crates/edge/src/front/tokens.rs
@@ -130,7 +130,7 @@
         view: &View,
         workspace: &Workspace,
     ) -> Result<Token, NoToken> {
-        let rules = self.shared.live.load().limit;
+        let rules = self.shared.reloadable.load().limit;
         let name = &workspace.name;
         self.with_held(name, |held| held.cache.record_demand(since_boot()));
         if let Some(token) = self.held_token(name) {
@@ -155,7 +155,7 @@
     /// order of its own, so that not all hosts use up the same one.
     fn slices<'a>(&self, view: &'a View) -> Vec<&'a Arc<str>> {
         let own = [&self.shared.settings.region, &self.shared.settings.domain];
-        let mut all: Vec<_> = view.roster.slices().collect();
+        let mut all: Vec<_> = view.limit_owners.shares().collect();
         let turn = (self.seed % all.len().max(1) as u64) as usize;
         all.rotate_left(turn);
         all.sort_by_key(|slice| !own.contains(slice));
@@ -171,7 +171,7 @@
         rules: &RateLimitConfig,
     ) -> Option<TokenGrant> {
         let now = since_boot();
-        let host = view.roster.counter(slice, name, now)?;
+        let host = view.limit_owners.owner(slice, name, now)?;
         let until = self.with_held(name, |held| held.exhausted.get(&host.peers).copied());
         if let Some(until) = until.filter(|until| now < *until) {
             return Some(TokenGrant {
@@ -244,10 +244,10 @@
         asked: &Asked,
     ) -> Result<BTreeMap<Arc<str>, TokenGrant>, Duration> {
         if host.name == self.shared.settings.name {
-            return self.shared.give(asked).map_err(|_| IDLE_TIME);
+            return self.shared.grant_tokens(asked).map_err(|_| IDLE_TIME);
         }
         let now = since_boot();
-        let live = self.shared.live.load();
+        let live = self.shared.reloadable.load();
         let is_near = live.domains.get(&host.domain) == Some(&self.shared.settings.region);
         let time = if is_near { NEAR_TIME } else { FAR_TIME };
         self.shared.meters.count("tokens_asked");
@@ -271,7 +271,7 @@
         given: Result<BTreeMap<Arc<str>, TokenGrant>, Duration>,
         sent: Duration,
     ) {
-        let rules = self.shared.live.load().limit;
+        let rules = self.shared.reloadable.load().limit;
         let mut tokens = self.tokens.borrow_mut();
         let Tokens { held, sources } = &mut *tokens;
         let source = sources.entry(host.peers).or_default();
--- a/crates/edge/src/front/wire.rs
+++ b/crates/edge/src/front/wire.rs
@@ -35,7 +35,7 @@
 
 /// A connection, shared by the HTTP library and by those that wait for its end.
 #[derive(Clone, Debug)]
-pub struct Wire(Rc<RefCell<Inner>>);
+pub struct CallerStream(Rc<RefCell<Inner>>);
 
 #[derive(Debug)]
 struct Inner {
@@ -53,10 +53,10 @@
     over: bool,
 }
 
-impl Wire {
+impl CallerStream {
     /// Takes a connection over.
-    pub fn open(stream: TcpStream) -> Wire {
-        Wire(Rc::new(RefCell::new(Inner {
+    pub fn open(stream: TcpStream) -> CallerStream {
+        CallerStream(Rc::new(RefCell::new(Inner {
             stream,
             ahead: BytesMut::new(),
             seen: 0,
@@ -79,7 +79,7 @@
     /// The kernel is asked. The runtime tells of the end of a connection only with its next turn: where
     /// a turn is long, a caller's request and its end arrive in the same one, and the end is not seen
     /// before the request has been sent on.
-    pub fn has_ended(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         let mut inner = self.0.borrow_mut();
         if !inner.over {
             let mut byte = [MaybeUninit::uninit()];
@@ -112,7 +112,7 @@
 
 /// Holds a connection's further bytes back from the HTTP library.
 #[derive(Debug)]
-pub(super) struct Hold(Wire);
+pub(super) struct Hold(CallerStream);
 
 impl Drop for Hold {
     fn drop(&mut self) {
@@ -124,7 +124,7 @@
     }
 }
 
-impl Wire {
+impl CallerStream {
     /// Tells the caller that nothing more comes, then reads and drops what still arrives, until it
     /// closes its direction too or a time is over. To be called once the last answer is written.
     ///
@@ -193,7 +193,7 @@
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for CallerStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -214,7 +214,7 @@
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for CallerStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/edge/src/host/mod.rs
+++ b/crates/edge/src/host/mod.rs
@@ -13,12 +13,12 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 pub use self::{
-    shared::{Mark, Phase, Shared},
-    word::{Word, heard_at, trust},
+    shared::{Phase, Shared, Watermark},
+    word::{Freshness, confirmed_at, max_key_age},
 };
 use crate::{
     control, front,
-    model::{Dialect, Feed},
+    model::{Dialect, PlatformStore},
     settings::Settings,
 };
 
@@ -40,7 +40,11 @@
     /// # Errors
     ///
     /// When an address cannot be bound or a thread does not start.
-    pub fn spawn(mut settings: Settings, feed: Feed, dialect: Dialect) -> anyhow::Result<Host> {
+    pub fn spawn(
+        mut settings: Settings,
+        store: PlatformStore,
+        dialect: Dialect,
+    ) -> anyhow::Result<Host> {
         let listen = &mut settings.listen;
         let callers = bind("callers", &mut listen.callers)?;
         let listeners = control::Listeners {
@@ -57,11 +61,11 @@
                 .map(|a| bind("metrics", a))
                 .transpose()?,
         };
-        let shared = Shared::open(settings, feed, dialect);
+        let shared = Shared::open(settings, store, dialect);
         let front = front::spawn(Arc::clone(&shared), callers)?;
         let control = control::spawn(Arc::clone(&shared), listeners)?;
         let (name, domain) = (&*shared.settings.name, &*shared.settings.domain);
-        log::info!(target: "host", event = "start", host = name, domain = domain, first = shared.settings.first, callers:% = shared.settings.listen.callers; "host started");
+        log::info!(target: "host", event = "start", host = name, domain = domain, first = shared.settings.first_start, callers:% = shared.settings.listen.callers; "host started");
         Ok(Host {
             shared,
             control,
@@ -75,9 +79,9 @@
     }
 
     /// Begins a planned stop.
-    pub fn leave(&self) {
+    pub fn start_shutdown(&self) {
         log::info!(target: "host", event = "stop", host = &*self.shared.settings.name; "planned stop begins");
-        self.shared.enter(Phase::Leaving);
+        self.shared.advance_phase(Phase::Draining);
     }
 
     /// Waits for the end of a planned stop.
@@ -85,11 +89,11 @@
     /// # Errors
     ///
     /// When a duty has died.
-    pub fn wait(self) -> anyhow::Result<()> {
+    pub fn join(self) -> anyhow::Result<()> {
         self.front
             .join()
             .map_err(|_| anyhow::anyhow!("the callers' duty died"))?;
-        self.shared.enter(Phase::Ended);
+        self.shared.advance_phase(Phase::Stopped);
         self.control
             .join()
             .map_err(|_| anyhow::anyhow!("the control duty died"))?;
--- a/crates/edge/src/host/shared.rs
+++ b/crates/edge/src/host/shared.rs
@@ -11,13 +11,13 @@
 use dunlinrock_node::clock::Clock;
 use tokio::sync::watch;
 
-use super::word::{Word, trust};
+use super::word::{Freshness, max_key_age};
 use crate::{
     limits::{Asked, Counter, NotCounting},
     meters::Meters,
-    model::{Config, Dialect, Feed, HostEntry, Item},
-    replica::{Changes, News, NewsError, View, World},
-    settings::{Live, Settings},
+    model::{Config, Dialect, HostEntry, Item, PlatformStore},
+    replica::{Changes, ConfigUpdate, ConfigUpdateError, Replica, View},
+    settings::{ReloadableSettings, Settings},
 };
 
 /// How far the host is in its life.
@@ -26,16 +26,16 @@
     /// It serves.
     Serving,
     /// It was asked to stop.
-    Leaving,
+    Draining,
     /// Callers are no longer served.
-    Ended,
+    Stopped,
 }
 
 /// Up to where a host can be told something.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Mark {
+pub struct Watermark {
     /// Highest revision under which an item said something new.
-    pub said: u64,
+    pub publish_revision: u64,
     /// Version of the configuration.
     pub version: u64,
 }
@@ -46,9 +46,9 @@
     /// Checked settings, as the host started with them; those that may change are in `live`.
     pub settings: Settings,
     /// Settings that may change, as of the last reading of the file.
-    pub live: ArcSwap<Live>,
+    pub reloadable: ArcSwap<ReloadableSettings>,
     /// The platform's store.
-    pub feed: Feed,
+    pub store: PlatformStore,
     /// The platform's names.
     pub dialect: Dialect,
     /// Time since the start.
@@ -56,17 +56,17 @@
     /// What requests are served by.
     pub view: ArcSwap<View>,
     /// Up to where others can be told something.
-    pub changed: watch::Sender<Mark>,
+    pub changed: watch::Sender<Watermark>,
     /// Phase of the host.
     pub phase: watch::Sender<Phase>,
     /// Counters and histograms.
     pub meters: Meters,
-    replica: Mutex<World>,
+    replica: Mutex<Replica>,
     past: Mutex<Past>,
     /// How old what is believed is.
-    pub word: Word,
+    pub freshness: Freshness,
     /// Slices of limits that this host counts.
-    pub(crate) counter: Counter,
+    pub(crate) token_issuer: Counter,
 }
 
 /// What a view takes from those before it.
@@ -78,26 +78,26 @@
 }
 
 impl Shared {
-    pub(super) fn open(settings: Settings, feed: Feed, dialect: Dialect) -> Arc<Shared> {
+    pub(super) fn open(settings: Settings, store: PlatformStore, dialect: Dialect) -> Arc<Shared> {
         Arc::new(Shared {
-            live: ArcSwap::from_pointee(settings.live.clone()),
+            reloadable: ArcSwap::from_pointee(settings.reloadable.clone()),
             settings,
-            feed,
+            store,
             dialect,
             clock: Clock::open(),
             view: ArcSwap::from_pointee(View::default()),
-            changed: watch::channel(Mark::default()).0,
+            changed: watch::channel(Watermark::default()).0,
             phase: watch::channel(Phase::Serving).0,
             meters: Meters::open(),
-            replica: Mutex::new(World::open()),
+            replica: Mutex::new(Replica::open()),
             past: Mutex::default(),
-            word: Word::default(),
-            counter: Counter::open(),
+            freshness: Freshness::default(),
+            token_issuer: Counter::open(),
         })
     }
 
     /// What is believed.
-    pub fn replica(&self) -> MutexGuard<'_, World> {
+    pub fn replica(&self) -> MutexGuard<'_, Replica> {
         self.replica.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -109,12 +109,12 @@
     /// Whether callers should come here.
     pub fn is_ready(&self) -> bool {
         let view = self.view.load();
-        let serves = |config: &Arc<Config>| config.workspaces.is_empty() || self.is_trusted();
+        let serves = |config: &Arc<Config>| config.workspaces.is_empty() || self.keys_are_fresh();
         *self.phase.borrow() == Phase::Serving && view.config.as_ref().is_some_and(serves)
     }
 
     /// Goes on to a later phase.
-    pub fn enter(&self, phase: Phase) {
+    pub fn advance_phase(&self, phase: Phase) {
         self.phase.send_if_modified(|held| {
             let later = phase > *held;
             *held = (*held).max(phase);
@@ -123,19 +123,19 @@
     }
 
     /// Takes changes in, and publishes what they change.
-    pub fn take(&self, changes: Changes) {
+    pub fn apply_changes(&self, changes: Changes) {
         let now = self.now();
         let mut replica = self.replica();
-        if replica.take(changes, now) {
+        if replica.apply_changes(changes, now) {
             self.publish(&replica, now);
         }
     }
 
     /// Removes what was held back for long enough.
-    pub fn settle(&self) {
+    pub fn apply_deferred(&self) {
         let now = self.now();
         let mut replica = self.replica();
-        if replica.settle(now) {
+        if replica.apply_deferred(now) {
             self.publish(&replica, now);
         }
     }
@@ -146,16 +146,20 @@
     /// # Errors
     ///
     /// When the news cannot be read, or do not fit the version that is held; the changes are not taken then.
-    pub fn hear(&self, news: Option<&News>, changes: Changes) -> Result<(), NewsError> {
+    pub fn apply_update(
+        &self,
+        news: Option<&ConfigUpdate>,
+        changes: Changes,
+    ) -> Result<(), ConfigUpdateError> {
         let now = self.now();
         let mut replica = self.replica();
-        let before = replica.last();
-        let learned = news.map_or(Ok(()), |news| replica.learn(news));
+        let before = replica.change_count();
+        let learned = news.map_or(Ok(()), |news| replica.apply_update(news));
         if learned.is_ok() {
-            replica.take(changes, now);
+            replica.apply_changes(changes, now);
         }
         // Of several steps some may have been taken before one that does not fit.
-        if replica.last() > before {
+        if replica.change_count() > before {
             self.publish(&replica, now);
         }
         learned
@@ -165,24 +169,24 @@
     pub fn replace(&self, at: u64, items: Vec<Item>, left: Duration) {
         let now = self.now();
         let mut replica = self.replica();
-        if replica.replace_within(at, items, left, now) {
+        if replica.replace_deferring(at, items, left, now) {
             self.publish(&replica, now);
         }
     }
 
     /// Time since what is believed was provably the store's word.
     pub fn age(&self) -> Duration {
-        self.word.age()
+        self.freshness.age()
     }
 
     /// Whether callers may be served by their keys.
-    pub fn is_trusted(&self) -> bool {
-        let revoke = self.live.load().revoke;
-        revoke.is_none_or(|revoke| self.age() <= trust(revoke))
+    pub fn keys_are_fresh(&self) -> bool {
+        let revoke = self.reloadable.load().revoke;
+        revoke.is_none_or(|revoke| self.age() <= max_key_age(revoke))
     }
 
     /// Gives out tokens of a slice that this host counts.
-    pub(crate) fn give(
+    pub(crate) fn grant_tokens(
         &self,
         asked: &Asked,
     ) -> Result<BTreeMap<Arc<str>, TokenGrant>, NotCounting> {
@@ -190,8 +194,8 @@
             return Err(NotCounting::Unleased);
         }
         let age = self.age();
-        let (view, rules) = (self.view.load(), self.live.load().limit);
-        let (me, counter) = (&self.settings.name, &self.counter);
+        let (view, rules) = (self.view.load(), self.reloadable.load().limit);
+        let (me, counter) = (&self.settings.name, &self.token_issuer);
         let given = counter.give(me, asked, (age, &view), &rules)?;
         let count: u32 = given.values().map(|given| given.count).sum();
         self.meters.add("tokens_given", count as usize);
@@ -200,9 +204,9 @@
 
     /// Takes up what may change while the host runs, from another reading of the settings file.
     pub fn reload(&self, settings: Settings) {
-        let fixed = self.settings.fixed_changes(&settings).join(",");
-        let changed = settings.live != **self.live.load();
-        self.live.store(Arc::new(settings.live));
+        let fixed = self.settings.restart_changes(&settings).join(",");
+        let changed = settings.reloadable != **self.reloadable.load();
+        self.reloadable.store(Arc::new(settings.reloadable));
         // Regions of failure domains stand in the view.
         self.publish(&self.replica(), self.now());
         log::info!(
@@ -212,7 +216,7 @@
     }
 
     /// This host, as others should know it.
-    pub fn introduce(&self, distance: u32) -> HostEntry {
+    pub fn host_entry(&self, distance: u32) -> HostEntry {
         HostEntry {
             name: Arc::clone(&self.settings.name),
             domain: Arc::clone(&self.settings.domain),
@@ -223,8 +227,8 @@
         }
     }
 
-    fn publish(&self, replica: &World, now: Duration) {
-        let (before, live) = (self.view.load_full(), self.live.load());
+    fn publish(&self, replica: &Replica, now: Duration) {
+        let (before, live) = (self.view.load_full(), self.reloadable.load());
         let mut past = self.past.lock().unwrap_or_else(PoisonError::into_inner);
         let mut view = View::open(replica, &live.domains, &past.warmed, &before);
         let back: Vec<_> = before
@@ -241,12 +245,14 @@
                 .extend(back.into_iter().map(|domain| (domain, now + cold)));
             view = View::open(replica, &live.domains, &past.warmed, &before);
         }
-        self.counter.keep(&self.settings.name, &view);
-        view.sharers = past.sharers.update(&before.seeds, &view.seeds, now);
+        self.token_issuer.keep(&self.settings.name, &view);
+        view.sharer_hashes = past
+            .sharers
+            .update(&before.host_hashes, &view.host_hashes, now);
         crate::trace::believed(&before, &view);
         self.view.store(Arc::new(view));
-        self.changed.send_replace(Mark {
-            said: replica.said(),
+        self.changed.send_replace(Watermark {
+            publish_revision: replica.publish_revision(),
             version: replica.version(),
         });
     }
--- a/crates/edge/src/host/word.rs
+++ b/crates/edge/src/host/word.rs
@@ -12,7 +12,7 @@
 
 /// A store that is about to drop its history tells waiting hosts nothing for a second: an answer
 /// without changes then confirms only what was so before that second.
-const DEAF: Duration = Duration::from_millis(1200);
+const COMPACTION_SILENCE: Duration = Duration::from_millis(1200);
 
 /// Allowance for clocks that run at different rates.
 const SLACK: Duration = Duration::from_millis(300);
@@ -21,17 +21,17 @@
 ///
 /// Invariant: the moment never falls.
 #[derive(Debug, Default)]
-pub struct Word {
+pub struct Freshness {
     /// Since the machine's start, in milliseconds.
     proved: AtomicU64,
 }
 
-impl Word {
+impl Freshness {
     /// What is believed was the store's word at a moment, given as a time since the machine's start.
     ///
     /// That is when a call was *sent* which the store answered: an answer may be on its way for
     /// seconds.
-    pub fn prove(&self, at: Duration) {
+    pub fn confirm(&self, at: Duration) {
         self.proved.fetch_max(millis(at), Ordering::Relaxed);
     }
 
@@ -47,12 +47,12 @@
 ///
 /// The answer was given no earlier than the call was sent and held back. How long it was on its way nobody
 /// knows, so that this is what its age counts from.
-pub fn heard_at(sent: Duration, took: Duration, held: Duration, age: Duration) -> Duration {
+pub fn confirmed_at(sent: Duration, took: Duration, held: Duration, age: Duration) -> Duration {
     (sent + held.min(took)).saturating_sub(age)
 }
 
 /// The greatest age at which callers are served by their keys, where a key that was taken away may
 /// serve for `revoke` at most.
-pub fn trust(revoke: Duration) -> Duration {
-    revoke.saturating_sub(DEAF + SLACK)
+pub fn max_key_age(revoke: Duration) -> Duration {
+    revoke.saturating_sub(COMPACTION_SILENCE + SLACK)
 }
--- a/crates/edge/src/limits/counter.rs
+++ b/crates/edge/src/limits/counter.rs
@@ -13,7 +13,7 @@
 use dunlinrock_node::clock::{millis, since_boot};
 use serde::{Deserialize, Serialize};
 
-use super::KNOWN_AGE;
+use super::MAX_GRANT_AGE;
 use crate::replica::View;
 
 /// What another host asks for: tokens by workspace.
@@ -81,7 +81,7 @@
         rules: &RateLimitConfig,
     ) -> Result<BTreeMap<Arc<str>, TokenGrant>, NotCounting> {
         let now = since_boot();
-        if age > KNOWN_AGE {
+        if age > MAX_GRANT_AGE {
             return Err(NotCounting::Outdated);
         }
         if now >= Duration::from_millis(self.leased.load(Ordering::Relaxed)) {
@@ -93,7 +93,7 @@
         }
         let mut given = BTreeMap::new();
         for (name, want) in &asked.wants {
-            if view.roster.may_give(me, name, now) {
+            if view.limit_owners.may_grant(me, name, now) {
                 let taken = self.take(name, *want, view, rules);
                 given.extend(taken.map(|taken| (Arc::clone(name), taken)));
             }
@@ -110,11 +110,12 @@
     ) -> Option<TokenGrant> {
         let workspace = view.config.as_ref()?.workspace(name);
         let workspace = workspace.filter(|w| w.is_limited())?;
-        let (roster, now) = (&view.roster, since_boot());
-        let slice = rules.share(workspace.rate, workspace.burst, roster.slices().len());
+        let (roster, now) = (&view.limit_owners, since_boot());
+        let slice = rules.share(workspace.rate, workspace.burst, roster.shares().len());
         let mut buckets = self.buckets.lock().unwrap_or_else(PoisonError::into_inner);
         let bucket = buckets.entry(Arc::clone(&workspace.name));
-        let bucket = bucket.or_insert_with(|| TokenBucket::open(roster.since().max(self.opened)));
+        let bucket =
+            bucket.or_insert_with(|| TokenBucket::open(roster.stable_since().max(self.opened)));
         Some(bucket.take(&slice, want, now))
     }
 
@@ -122,6 +123,6 @@
     pub(crate) fn keep(&self, me: &str, view: &View) {
         let now = since_boot();
         let mut buckets = self.buckets.lock().unwrap_or_else(PoisonError::into_inner);
-        buckets.retain(|name, _| view.roster.is_counted_by(me, name, now));
+        buckets.retain(|name, _| view.limit_owners.is_owner(me, name, now));
     }
 }
--- a/crates/edge/src/limits/mod.rs
+++ b/crates/edge/src/limits/mod.rs
@@ -14,4 +14,4 @@
 mod roster;
 
 pub(crate) use self::counter::{Asked, Counter, NotCounting};
-pub use self::roster::{JOIN_TIME, KNOWN_AGE, Listed, Roster, SETTLE_TIME};
+pub use self::roster::{JOIN_DELAY, LimitOwners, ListedHost, MAX_GRANT_AGE, SETTLE_DELAY};
--- a/crates/edge/src/limits/roster.rs
+++ b/crates/edge/src/limits/roster.rs
@@ -13,17 +13,19 @@
 
 /// How long a host must be listed until the others ask it. Lists differ for about as long after a
 /// change; asked earlier, it would answer that it does not count.
-pub const SETTLE_TIME: Duration = Duration::from_secs(1);
+pub const SETTLE_DELAY: Duration = Duration::from_secs(1);
 
 /// Greatest age of what a host believes with which it gives out tokens.
-pub const KNOWN_AGE: Duration = Duration::from_millis(3500);
+pub const MAX_GRANT_AGE: Duration = Duration::from_millis(3500);
 
 /// A store that is about to drop its history tells nothing for a second.
-const DEAF: Duration = Duration::from_millis(1200);
+const COMPACTION_SILENCE: Duration = Duration::from_millis(1200);
 
 /// How long a host must have been listed until it gives out tokens itself. The one that counted before
 /// knows it by then, and has let it settle, or has stopped.
-pub const JOIN_TIME: Duration = SETTLE_TIME.saturating_add(KNOWN_AGE).saturating_add(DEAF);
+pub const JOIN_DELAY: Duration = SETTLE_DELAY
+    .saturating_add(MAX_GRANT_AGE)
+    .saturating_add(COMPACTION_SILENCE);
 
 /// Part of a slice's hosts which, when they join within [`JOIN_TIME`], do not wait for it: all were
 /// killed, or all leases ended with the store's, and who counted before is one of them.
@@ -45,24 +47,24 @@
 
 /// The listed hosts, by slice.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct LimitOwners {
     slices: BTreeMap<Arc<str>, Vec<Member>>,
     changed: Duration,
 }
 
 /// A host's entry, and the store's revision at which it was created.
-pub type Listed = (Arc<HostEntry>, u64);
+pub type ListedHost = (Arc<HostEntry>, u64);
 
-impl Roster {
+impl LimitOwners {
     /// The roster of hosts that are listed at `now`, where `before` was in force until then. Of a
     /// deployment with one region each failure domain is a slice.
     pub fn next(
-        before: Option<&Roster>,
-        hosts: &[Listed],
+        before: Option<&LimitOwners>,
+        hosts: &[ListedHost],
         domains: &BTreeMap<Arc<str>, Arc<str>>,
         now: Duration,
-    ) -> Roster {
-        let old: BTreeMap<_, _> = before.into_iter().flat_map(Roster::by_name).collect();
+    ) -> LimitOwners {
+        let old: BTreeMap<_, _> = before.into_iter().flat_map(LimitOwners::by_name).collect();
         let regions: BTreeSet<_> = domains.values().collect();
         let has_regions = regions.len() > 1;
         let names = regions.into_iter().filter(|_| has_regions);
@@ -90,42 +92,42 @@
                 joined: same.map_or(new, |known| known.joined),
             });
         }
-        let mut roster = Roster {
+        let mut roster = LimitOwners {
             slices,
             changed: before.map_or(Duration::ZERO, |roster| roster.changed),
         };
         let is_same = roster.by_name().map(|(name, _)| name).eq(old.into_keys());
         if before.is_some() && !is_same {
-            roster.changed = now + SETTLE_TIME;
+            roster.changed = now + SETTLE_DELAY;
         }
         roster
     }
 
     /// Names of the slices.
-    pub fn slices(&self) -> impl ExactSizeIterator<Item = &Arc<str>> {
+    pub fn shares(&self) -> impl ExactSizeIterator<Item = &Arc<str>> {
         self.slices.keys()
     }
 
     /// Who counts a slice for a workspace, as far as others are concerned.
-    pub fn counter(&self, slice: &str, workspace: &str, now: Duration) -> Option<&Arc<HostEntry>> {
+    pub fn owner(&self, slice: &str, workspace: &str, now: Duration) -> Option<&Arc<HostEntry>> {
         let members = self.slices.get(slice)?;
         member(members, workspace, now).map(|m| &m.entry)
     }
 
     /// Whether a host counts a slice for a workspace.
-    pub fn is_counted_by(&self, me: &str, workspace: &str, now: Duration) -> bool {
+    pub fn is_owner(&self, me: &str, workspace: &str, now: Duration) -> bool {
         self.counted(me, workspace, now).is_some()
     }
 
     /// Whether it does, and may give out tokens of it.
-    pub fn may_give(&self, me: &str, workspace: &str, now: Duration) -> bool {
+    pub fn may_grant(&self, me: &str, workspace: &str, now: Duration) -> bool {
         let counted = self.counted(me, workspace, now);
         counted.is_some_and(|(member, members)| !member.has_joined(now) || is_mass(members, now))
     }
 
     /// Since when the same hosts count: the last change of the list, and the time in which who joined
     /// then settled.
-    pub fn since(&self) -> Duration {
+    pub fn stable_since(&self) -> Duration {
         self.changed
     }
 
@@ -151,11 +153,11 @@
 impl Member {
     /// Whether others may not know it yet.
     fn has_joined(&self, now: Duration) -> bool {
-        !self.joined.is_zero() && now < self.joined + JOIN_TIME
+        !self.joined.is_zero() && now < self.joined + JOIN_DELAY
     }
 
     fn is_settled(&self, now: Duration) -> bool {
-        self.since.is_zero() || self.since + SETTLE_TIME <= now
+        self.since.is_zero() || self.since + SETTLE_DELAY <= now
     }
 }
 
--- a/crates/edge/src/lookup/mod.rs
+++ b/crates/edge/src/lookup/mod.rs
@@ -5,7 +5,7 @@
 use http::{HeaderValue, StatusCode, header};
 use viz::{IntoResponse, Request, Response, Router};
 
-use crate::{host::Shared, model::LookupAsk};
+use crate::{host::Shared, model::LookupQuery};
 
 /// Hosts named in one answer.
 const MOST: usize = 64;
@@ -16,7 +16,7 @@
 
 /// Serves look-ups.
 pub(crate) fn router(shared: &Arc<Shared>) -> Router {
-    let (path, shared) = (shared.dialect.lookup, Arc::clone(shared));
+    let (path, shared) = (shared.dialect.lookup_path, Arc::clone(shared));
     Router::new().get(path, move |request: Request| {
         let shared = Arc::clone(&shared);
         async move { Ok(answer(&shared, &request)) }
@@ -25,7 +25,7 @@
 
 /// Serves readiness.
 pub(crate) fn readiness(shared: &Arc<Shared>) -> Router {
-    let (path, shared) = (shared.dialect.ready, Arc::clone(shared));
+    let (path, shared) = (shared.dialect.ready_path, Arc::clone(shared));
     Router::new().get(path, move |_: Request| {
         let ready = shared.is_ready();
         async move {
@@ -40,7 +40,7 @@
 }
 
 fn answer(shared: &Shared, request: &Request) -> Response {
-    let Some(ask) = (shared.dialect.ask)(request.uri()) else {
+    let Some(ask) = (shared.dialect.parse_lookup)(request.uri()) else {
         return (
             StatusCode::BAD_REQUEST,
             "the region and the failure domain are missing",
@@ -51,8 +51,8 @@
     if hosts.is_empty() {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
-    let ttl = TTL.min(shared.live.load().ttl);
-    let (body, kind) = (shared.dialect.answer)(&hosts, ttl);
+    let ttl = TTL.min(shared.reloadable.load().ttl);
+    let (body, kind) = (shared.dialect.encode_lookup)(&hosts, ttl);
     let mut response = body.into_response();
     response
         .headers_mut()
@@ -62,19 +62,19 @@
 
 /// The hosts of the caller's region, else all: requests for one object then come through the same
 /// few hosts, and do not cross a link between regions twice.
-fn choose(shared: &Shared, ask: &LookupAsk) -> Vec<SocketAddr> {
+fn choose(shared: &Shared, ask: &LookupQuery) -> Vec<SocketAddr> {
     let view = shared.view.load();
     let mut hosts: Vec<_> = view.hosts.values().cloned().collect();
     let me = &shared.settings.name;
     // Before its announcement is back from the store a host knows at least of itself.
     if shared.is_ready() && !hosts.iter().any(|h| h.name == *me) {
-        hosts.push(Arc::new(shared.introduce(0)));
+        hosts.push(Arc::new(shared.host_entry(0)));
     }
     // After its announcement is withdrawn the store's word may be a moment behind.
     if !shared.is_ready() {
         hosts.retain(|h| h.name != *me);
     }
-    let live = shared.live.load();
+    let live = shared.reloadable.load();
     let region_of = |domain: &Arc<str>| live.domains.get(domain);
     let near: Vec<_> = hosts
         .iter()
--- a/crates/edge/src/model/config.rs
+++ b/crates/edge/src/model/config.rs
@@ -57,7 +57,7 @@
     /// Targets that one request may be sent to.
     pub attempts: u32,
     /// Services that share the requests; never empty.
-    pub parts: Vec<Part>,
+    pub parts: Vec<WeightedService>,
     /// Regions in which requests may run; empty for all.
     pub homes: BTreeSet<Arc<str>>,
     /// Whether callers need no key.
@@ -67,7 +67,7 @@
 /// A service's part of a route.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Part {
+pub struct WeightedService {
     /// The service.
     pub service: Arc<str>,
     /// Its share among the weights of the route.
--- a/crates/edge/src/model/entry.rs
+++ b/crates/edge/src/model/entry.rs
@@ -25,7 +25,7 @@
 /// lapsed while the store was away.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct Ending {
+pub struct DeferredRemoval {
     /// Key of the item.
     pub key: Arc<str>,
     /// Store's revision of the removal.
@@ -91,5 +91,5 @@
 
 impl HostEntry {
     /// Step of `distance`: below the time between regions, above the swing of calls within one.
-    pub const STEP: Duration = Duration::from_millis(10);
+    pub const DISTANCE_STEP: Duration = Duration::from_millis(10);
 }
--- a/crates/edge/src/model/mod.rs
+++ b/crates/edge/src/model/mod.rs
@@ -14,13 +14,13 @@
 mod workspace;
 
 pub use self::{
-    config::{Config, Limits, Part, Route, Service},
-    dialect::{Dialect, LookupAsk, Presented, Reported},
-    entry::{Ending, Entry, HostEntry, Item, Target},
-    feed::{Batch, Call, Feed, FeedError, Snapshot, Ticket},
+    config::{Config, Limits, Route, Service, WeightedService},
+    dialect::{Credentials, Dialect, LookupQuery, ReportedLoad},
+    entry::{DeferredRemoval, Entry, HostEntry, Item, Target},
+    feed::{Batch, LeaseId, PlatformStore, PlatformStoreError, Snapshot, StoreCall},
     keys::KeyIndex,
     packed::Packed,
-    patch::{Misfit, Patch},
+    patch::{Patch, VersionMismatch},
     routes::RouteIndex,
     workspace::{KeyDigest, Workspace},
 };
--- a/crates/edge/src/model/patch.rs
+++ b/crates/edge/src/model/patch.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("a patch from version {from} does not fit version {held}")]
-pub struct Misfit {
+pub struct VersionMismatch {
     /// Where the patch begins.
     pub from: u64,
     /// The version that is held.
@@ -75,8 +75,8 @@
     /// # Errors
     ///
     /// When it does not begin at `old`.
-    pub fn apply(&self, old: &Config) -> Result<Config, Misfit> {
-        let misfit = Misfit {
+    pub fn apply(&self, old: &Config) -> Result<Config, VersionMismatch> {
+        let misfit = VersionMismatch {
             from: self.from,
             held: old.version,
         };
--- a/crates/edge/src/replica/changes.rs
+++ b/crates/edge/src/replica/changes.rs
@@ -4,8 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::World;
-use crate::model::{Ending, Item};
+use super::Replica;
+use crate::model::{DeferredRemoval, Item};
 
 /// Changes, and the store's revision up to which nothing is missing with them.
 #[derive(Clone, Debug, Default)]
@@ -14,9 +14,9 @@
     /// Items that say something new.
     pub items: Vec<Item>,
     /// Removals that are held back.
-    pub endings: Vec<Ending>,
+    pub endings: Vec<DeferredRemoval>,
     /// What there is, where removals may be missing.
-    pub whole: Option<Whole>,
+    pub whole: Option<FullKeySet>,
     /// The revision; 0 where these changes tell nothing of it.
     pub reached: u64,
 }
@@ -25,7 +25,7 @@
 /// who starts not of what went before; a host that had heard of it elsewhere would keep it for good.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
-pub struct Whole {
+pub struct FullKeySet {
     /// Store's revision after which every removal is known.
     pub since: u64,
     /// The keys; not told to a host that knows nothing and has nothing to remove.
@@ -34,30 +34,30 @@
     pub left: Duration,
 }
 
-impl World {
+impl Replica {
     /// Takes changes in; tells whether they change what is believed.
-    pub fn take(&mut self, changes: Changes, now: Duration) -> bool {
+    pub fn apply_changes(&mut self, changes: Changes, now: Duration) -> bool {
         let mut changed = false;
         for item in changes.items {
-            changed |= self.apply(item, now);
+            changed |= self.apply_item(item, now);
         }
         for ending in changes.endings {
-            changed |= self.hold_back(ending, now);
+            changed |= self.defer_removal(ending, now);
         }
         if let Some(whole) = changes.whole {
             changed |= self.restrict(whole, now);
         }
-        self.reach(changes.reached);
+        self.set_synced(changes.reached);
         changed
     }
 
     /// Takes a whole reading in: what it does not name is gone, unless it is newer than the reading.
     pub fn replace(&mut self, at: u64, items: Vec<Item>, now: Duration) -> bool {
-        self.replace_within(at, items, Duration::ZERO, now)
+        self.replace_deferring(at, items, Duration::ZERO, now)
     }
 
     /// The same, where what the reading does not name is believed in for a while longer.
-    pub fn replace_within(
+    pub fn replace_deferring(
         &mut self,
         at: u64,
         items: Vec<Item>,
@@ -65,7 +65,7 @@
         now: Duration,
     ) -> bool {
         let keys = items.iter().map(|item| Arc::clone(&item.key)).collect();
-        let whole = Whole {
+        let whole = FullKeySet {
             since: at,
             keys: Some(keys),
             left,
@@ -76,12 +76,12 @@
             reached: at,
             ..Changes::default()
         };
-        self.take(changes, now)
+        self.apply_changes(changes, now)
     }
 
     /// Removes what is not among the keys that are there, unless it is newer.
-    fn restrict(&mut self, whole: Whole, now: Duration) -> bool {
-        let Whole { since, keys, left } = whole;
+    fn restrict(&mut self, whole: FullKeySet, now: Duration) -> bool {
+        let FullKeySet { since, keys, left } = whole;
         if since > self.since {
             (self.since, self.doubt) = (since, now + left);
         }
@@ -89,18 +89,18 @@
             return false;
         };
         let gone: Vec<_> = self
-            .live()
+            .present_items()
             .map(|item| Arc::clone(&item.key))
             .filter(|key| !keys.contains(key))
             .collect();
         let mut changed = false;
         for key in gone {
-            let ending = Ending {
+            let ending = DeferredRemoval {
                 key,
                 rev: since,
                 left,
             };
-            changed |= self.hold_back(ending, now);
+            changed |= self.defer_removal(ending, now);
         }
         changed
     }
@@ -110,23 +110,27 @@
         let endings = self.held.values().filter_map(|held| {
             // Told of an item, a host is told of its end as well.
             let ending = held.ending.filter(|e| e.said.max(held.said) > rev)?;
-            Some(Ending {
+            Some(DeferredRemoval {
                 key: Arc::clone(&held.item.key),
                 rev: ending.rev,
                 left: ending.due.saturating_sub(now),
             })
         });
         Changes {
-            items: self.after(rev, now),
+            items: self.changed_since(rev, now),
             endings: endings.collect(),
             whole: (rev < self.since).then(|| self.whole(rev, now)),
             reached: self.reached,
         }
     }
 
-    fn whole(&self, rev: u64, now: Duration) -> Whole {
-        let keys = || self.live().map(|item| Arc::clone(&item.key)).collect();
-        Whole {
+    fn whole(&self, rev: u64, now: Duration) -> FullKeySet {
+        let keys = || {
+            self.present_items()
+                .map(|item| Arc::clone(&item.key))
+                .collect()
+        };
+        FullKeySet {
             since: self.since,
             keys: (rev > 0).then(keys),
             left: self.doubt.saturating_sub(now),
--- a/crates/edge/src/replica/ending.rs
+++ b/crates/edge/src/replica/ending.rs
@@ -2,8 +2,8 @@
 
 use std::{sync::Arc, time::Duration};
 
-use super::{Held, World, removal};
-use crate::model::Ending;
+use super::{Held, Replica, removal};
+use crate::model::DeferredRemoval;
 
 /// A removal that is held back.
 #[derive(Clone, Copy, Debug)]
@@ -15,16 +15,16 @@
     pub(super) said: u64,
 }
 
-impl World {
+impl Replica {
     /// Takes in a removal that is held back; tells whether it is new.
-    pub fn hold_back(&mut self, ending: Ending, now: Duration) -> bool {
-        let Ending { key, rev, left } = ending;
+    pub fn defer_removal(&mut self, ending: DeferredRemoval, now: Duration) -> bool {
+        let DeferredRemoval { key, rev, left } = ending;
         let Some(known) = self.held.get(&key).filter(|h| h.item.entry.is_some()) else {
-            return self.apply(removal(key, rev), now);
+            return self.apply_item(removal(key, rev), now);
         };
         let pending = known.ending;
         if left.is_zero() {
-            return self.apply(removal(key, rev), now);
+            return self.apply_item(removal(key, rev), now);
         }
         if known.item.rev >= rev || pending.is_some_and(|pending| pending.rev >= rev) {
             return false;
@@ -40,14 +40,14 @@
     }
 
     /// When the next removal that is held back counts.
-    pub fn due(&self) -> Option<Duration> {
+    pub fn next_deferred(&self) -> Option<Duration> {
         let endings = self.held.values().filter_map(|held| held.ending);
         endings.map(|ending| ending.due).min()
     }
 
     /// Removes what was held back for long enough; tells whether there was something. Others were told
     /// of it before, and remove it themselves.
-    pub fn settle(&mut self, now: Duration) -> bool {
+    pub fn apply_deferred(&mut self, now: Duration) -> bool {
         let mut changed = false;
         for held in self.held.values_mut() {
             let Some(ending) = held.ending.filter(|ending| ending.due <= now) else {
--- a/crates/edge/src/replica/mod.rs
+++ b/crates/edge/src/replica/mod.rs
@@ -24,9 +24,9 @@
 
 use self::ending::Pending;
 pub use self::{
-    changes::{Changes, Whole},
-    versions::{News, NewsError, Versions},
-    view::{Known, View},
+    changes::{Changes, FullKeySet},
+    versions::{ConfigHistory, ConfigUpdate, ConfigUpdateError},
+    view::{KnownTarget, View},
 };
 use crate::model::{Config, Entry, Item, KeyIndex, RouteIndex, Target};
 
@@ -49,7 +49,7 @@
 /// Invariants: the revision held of a key never falls; every change up to `reached` is contained, be it
 /// as a removal that is held back.
 #[derive(Debug, Default)]
-pub struct World {
+pub struct Replica {
     held: BTreeMap<Arc<str>, Held>,
     /// Number of the last change; grows with each.
     last: u64,
@@ -63,32 +63,32 @@
     said: u64,
     /// Keys of changes that came late, until `reached` grows.
     late: BTreeSet<Arc<str>>,
-    versions: Versions,
+    versions: ConfigHistory,
 }
 
-impl World {
+impl Replica {
     /// Opens a world that knows nothing.
-    pub fn open() -> World {
-        World::default()
+    pub fn open() -> Replica {
+        Replica::default()
     }
 
     /// Number of the last change.
-    pub fn last(&self) -> u64 {
+    pub fn change_count(&self) -> u64 {
         self.last
     }
 
     /// Store's revision up to which nothing is missing.
-    pub fn reached(&self) -> u64 {
+    pub fn synced_revision(&self) -> u64 {
         self.reached
     }
 
     /// Highest revision under which [`World::after`] tells something.
-    pub fn said(&self) -> u64 {
+    pub fn publish_revision(&self) -> u64 {
         self.said
     }
 
     /// Nothing up to a revision is missing any more.
-    pub fn reach(&mut self, rev: u64) {
+    pub fn set_synced(&mut self, rev: u64) {
         if rev <= self.reached {
             return;
         }
@@ -104,7 +104,7 @@
 
     /// The configuration in force.
     pub fn config(&self) -> Option<&Arc<Config>> {
-        self.versions.now()
+        self.versions.current()
     }
 
     /// Workspaces of the configuration in force, by their keys.
@@ -127,8 +127,8 @@
     /// # Errors
     ///
     /// When the version in force cannot be packed.
-    pub fn news(&mut self, held: u64) -> Result<Option<News>, PackError> {
-        self.versions.news(held)
+    pub fn update_since(&mut self, held: u64) -> Result<Option<ConfigUpdate>, PackError> {
+        self.versions.update_since(held)
     }
 
     /// Takes in what another host tells of the configuration.
@@ -136,17 +136,17 @@
     /// # Errors
     ///
     /// When it cannot be read, or does not fit the version that is held.
-    pub fn learn(&mut self, news: &News) -> Result<(), NewsError> {
+    pub fn apply_update(&mut self, news: &ConfigUpdate) -> Result<(), ConfigUpdateError> {
         let before = self.version();
-        let learned = self.versions.learn(news);
+        let learned = self.versions.apply_update(news);
         self.last += u64::from(self.version() > before);
         learned
     }
 
     /// Takes an item in; tells whether it changes what is believed.
-    pub fn apply(&mut self, item: Item, now: Duration) -> bool {
+    pub fn apply_item(&mut self, item: Item, now: Duration) -> bool {
         if let Some(Entry::Config(config)) = &item.entry {
-            let newer = self.versions.take(config);
+            let newer = self.versions.replace_if_newer(config);
             self.last += u64::from(newer);
             return newer;
         }
@@ -187,13 +187,13 @@
     }
 
     /// Items that are there.
-    pub fn live(&self) -> impl Iterator<Item = &Item> {
+    pub fn present_items(&self) -> impl Iterator<Item = &Item> {
         let items = self.held.values().map(|held| &held.item);
         items.filter(|item| item.entry.is_some())
     }
 
     /// Items that said something new after a revision, those that are gone too.
-    pub fn after(&self, rev: u64, now: Duration) -> Vec<Item> {
+    pub fn changed_since(&self, rev: u64, now: Duration) -> Vec<Item> {
         let newer = self.held.values().filter(|held| held.said > rev);
         newer.map(|held| self.aged(held, now)).collect()
     }
--- a/crates/edge/src/replica/versions.rs
+++ b/crates/edge/src/replica/versions.rs
@@ -5,7 +5,7 @@
 use dunlinrock_node::wire::PackError;
 use serde::{Deserialize, Serialize};
 
-use crate::model::{Config, KeyIndex, Misfit, Packed, Patch, RouteIndex};
+use crate::model::{Config, KeyIndex, Packed, Patch, RouteIndex, VersionMismatch};
 
 /// Patches that are kept. A host that asks every quarter of a second is rarely more than one behind; one
 /// that was cut off while a dozen versions came in quick succession still needs no whole one.
@@ -14,7 +14,7 @@
 /// What another host is told of the configuration.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
-pub enum News {
+pub enum ConfigUpdate {
     /// Patches, each beginning where the one before ends.
     Steps(Vec<Packed>),
     /// The version in force, whole.
@@ -23,10 +23,10 @@
 
 /// Why news of another host are of no use.
 #[derive(Debug, thiserror::Error)]
-pub enum NewsError {
+pub enum ConfigUpdateError {
     /// A patch does not begin at the version that is held.
     #[error(transparent)]
-    Misfit(#[from] Misfit),
+    VersionMismatch(#[from] VersionMismatch),
     /// They cannot be unpacked.
     #[error(transparent)]
     Pack(#[from] PackError),
@@ -44,7 +44,7 @@
 /// Invariants: its number never falls; each step begins where the one before ends, and the last one ends
 /// at the version in force.
 #[derive(Debug, Default)]
-pub struct Versions {
+pub struct ConfigHistory {
     now: Option<Arc<Config>>,
     /// `now` packed whole, once somebody needed it.
     whole: Option<Packed>,
@@ -55,9 +55,9 @@
     routes: RouteIndex,
 }
 
-impl Versions {
+impl ConfigHistory {
     /// The version in force.
-    pub fn now(&self) -> Option<&Arc<Config>> {
+    pub fn current(&self) -> Option<&Arc<Config>> {
         self.now.as_ref()
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Takes a whole version in; tells whether it is newer. An older one never replaces a newer one.
-    pub fn take(&mut self, config: &Arc<Config>) -> bool {
+    pub fn replace_if_newer(&mut self, config: &Arc<Config>) -> bool {
         if config.version <= self.number() {
             return false;
         }
@@ -91,13 +91,15 @@
     /// # Errors
     ///
     /// When it cannot be read, or does not fit the version in force. What was taken in before that stays.
-    pub fn learn(&mut self, news: &News) -> Result<(), NewsError> {
+    pub fn apply_update(&mut self, news: &ConfigUpdate) -> Result<(), ConfigUpdateError> {
         match news {
-            News::Whole(packed) => {
-                self.take(&Arc::new(packed.unpack()?));
+            ConfigUpdate::Whole(packed) => {
+                self.replace_if_newer(&Arc::new(packed.unpack()?));
                 Ok(())
             }
-            News::Steps(steps) => steps.iter().try_for_each(|packed| self.walk(packed)),
+            ConfigUpdate::Steps(steps) => {
+                steps.iter().try_for_each(|packed| self.apply_patch(packed))
+            }
         }
     }
 
@@ -106,13 +108,13 @@
     /// # Errors
     ///
     /// When the version in force cannot be packed.
-    pub fn news(&mut self, held: u64) -> Result<Option<News>, PackError> {
+    pub fn update_since(&mut self, held: u64) -> Result<Option<ConfigUpdate>, PackError> {
         let Some(now) = self.now.as_ref().filter(|now| now.version > held) else {
             return Ok(None);
         };
         if let Some(first) = self.steps.iter().position(|step| step.from == held) {
             let steps = self.steps.iter().skip(first);
-            return Ok(Some(News::Steps(
+            return Ok(Some(ConfigUpdate::Steps(
                 steps.map(|step| step.packed.clone()).collect(),
             )));
         }
@@ -120,16 +122,16 @@
             Some(whole) => whole,
             None => Packed::pack(&**now)?,
         };
-        Ok(Some(News::Whole(self.whole.insert(whole).clone())))
+        Ok(Some(ConfigUpdate::Whole(self.whole.insert(whole).clone())))
     }
 
     /// Goes one step on, unless it was gone before.
-    fn walk(&mut self, packed: &Packed) -> Result<(), NewsError> {
+    fn apply_patch(&mut self, packed: &Packed) -> Result<(), ConfigUpdateError> {
         let patch: Patch = packed.unpack()?;
         if patch.to <= self.number() {
             return Ok(());
         }
-        let misfit = Misfit {
+        let misfit = VersionMismatch {
             from: patch.from,
             held: self.number(),
         };
--- a/crates/edge/src/replica/view.rs
+++ b/crates/edge/src/replica/view.rs
@@ -9,28 +9,28 @@
 use dunlinrock_decide::steer::hash;
 use dunlinrock_node::clock::since_boot;
 
-use super::World;
+use super::Replica;
 use crate::{
-    limits::Roster,
+    limits::LimitOwners,
     model::{Config, Entry, HostEntry, KeyIndex, RouteIndex, Target},
 };
 
 /// A target that may get work.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct KnownTarget {
     /// What it announced.
     pub target: Arc<Target>,
     /// Region it stands in.
     pub region: Arc<str>,
     /// Until when it is cold.
-    pub cold: Duration,
+    pub cold_until: Duration,
 }
 
 /// What a host believes, as of one change.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// Number of the last change in it.
-    pub number: u64,
+    pub change: u64,
     /// The configuration in force.
     pub config: Option<Arc<Config>>,
     /// Its workspaces by their keys.
@@ -38,16 +38,16 @@
     /// Its routes by host name and prefix.
     pub routes: RouteIndex,
     /// Targets that may get work, by service; in the order of their ids.
-    pub services: BTreeMap<Arc<str>, Vec<Known>>,
+    pub services: BTreeMap<Arc<str>, Vec<KnownTarget>>,
     /// Failure domains whose targets get nothing.
     pub evacuated: BTreeSet<Arc<str>>,
     /// Hashes of the listed entry hosts' names.
-    pub seeds: Vec<u64>,
+    pub host_hashes: Vec<u64>,
     /// Hashes of the names of all hosts that share bounds: the listed ones, and those that may go on
     /// serving though their entries vanished.
-    pub sharers: Vec<u64>,
+    pub sharer_hashes: Vec<u64>,
     /// Who counts the slices of limits.
-    pub roster: Roster,
+    pub limit_owners: LimitOwners,
     /// Entry hosts by name.
     pub hosts: BTreeMap<Arc<str>, Arc<HostEntry>>,
 }
@@ -56,14 +56,14 @@
     /// Makes the view of a world. `domains` gives the region of each failure domain; `warmed` until
     /// when the targets of a domain that was evacuated are taken for cold; `before` is the view in force.
     pub fn open(
-        replica: &World,
+        replica: &Replica,
         domains: &BTreeMap<Arc<str>, Arc<str>>,
         warmed: &BTreeMap<Arc<str>, Duration>,
         before: &View,
     ) -> View {
         let mut listed = Vec::new();
         let mut view = View {
-            number: replica.last,
+            change: replica.last,
             config: replica.config().cloned(),
             keys: replica.keys().clone(),
             routes: replica.routes().clone(),
@@ -81,9 +81,9 @@
                 _ => {}
             }
         }
-        let roster = (before.number > 0).then_some(&before.roster);
-        view.roster = Roster::next(roster, &listed, domains, since_boot());
-        view.seeds = view.hosts.keys().map(|name| hash::hash_str(name)).collect();
+        let roster = (before.change > 0).then_some(&before.limit_owners);
+        view.limit_owners = LimitOwners::next(roster, &listed, domains, since_boot());
+        view.host_hashes = view.hosts.keys().map(|name| hash::hash_str(name)).collect();
         for held in replica.held.values() {
             let Some(Entry::Target(target)) = &held.item.entry else {
                 continue;
@@ -92,10 +92,10 @@
                 continue;
             }
             let since = warmed.get(&target.domain).copied().unwrap_or_default();
-            let known = Known {
+            let known = KnownTarget {
                 target: Arc::clone(target),
                 region: domains.get(&target.domain).cloned().unwrap_or_default(),
-                cold: since.max(held.heard + target.cold),
+                cold_until: since.max(held.heard + target.cold),
             };
             let service = view.services.entry(Arc::clone(&target.service));
             service.or_default().push(known);
@@ -105,6 +105,6 @@
 
     /// Number of entry hosts that share bounds; this host counts also while it is not listed.
     pub fn sharer_count(&self) -> usize {
-        self.sharers.len().max(1)
+        self.sharer_hashes.len().max(1)
     }
 }
--- a/crates/edge/src/settings/mod.rs
+++ b/crates/edge/src/settings/mod.rs
@@ -42,7 +42,7 @@
 
 /// Settings that a running host takes up when its file changes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Live {
+pub struct ReloadableSettings {
     /// Region of each failure domain.
     pub domains: BTreeMap<Arc<str>, Arc<str>>,
     /// Hosts that are asked for changes while the store is away.
@@ -75,7 +75,7 @@
     /// The store's address.
     pub store: SocketAddr,
     /// Whether no host of the deployment ran before.
-    pub first: bool,
+    pub first_start: bool,
     /// Connections that the process may hold, from its limit on open files.
     pub connections: ConnectionLimits,
     /// Part of a core that the process may use.
@@ -83,7 +83,7 @@
     /// Memory that the process may use, in bytes.
     pub memory: u64,
     /// What may change while the host runs.
-    pub live: Live,
+    pub reloadable: ReloadableSettings,
 }
 
 /// Checks the text of a settings file.
@@ -108,7 +108,7 @@
     let seeds = raw.seeds.iter();
     let seeds = seeds.map(|a| check.address("seeds", a)).collect();
     let bounds = raw.bounds.unwrap_or_default();
-    let live = Live {
+    let reloadable = ReloadableSettings {
         domains: raw.domains,
         seeds,
         grace: check.time("bounds.grace", bounds.grace.as_deref(), "6s"),
@@ -140,15 +140,15 @@
         processor,
         connections: ConnectionLimits::for_descriptors(descriptors),
         memory: (memory * 1e6) as u64,
-        first: raw.first_start.unwrap_or_default(),
+        first_start: raw.first_start.unwrap_or_default(),
         name: raw.name,
         region: raw.region,
         domain: raw.domain,
         listen,
         store,
-        live,
+        reloadable,
     };
-    if !settings.live.domains.contains_key(&settings.domain) {
+    if !settings.reloadable.domains.contains_key(&settings.domain) {
         check.found("domain", &settings.domain, "name one of `domains`");
     }
     check.end()?;
@@ -158,7 +158,7 @@
 impl Settings {
     /// Keys that differ in another reading of the file and that a running host cannot take up: its
     /// identity, and the addresses that it has bound.
-    pub fn fixed_changes(&self, other: &Settings) -> Vec<&'static str> {
+    pub fn restart_changes(&self, other: &Settings) -> Vec<&'static str> {
         let changed = [
             ("name", self.name != other.name),
             ("region", self.region != other.region),
@@ -226,7 +226,7 @@
 
     fn time(&mut self, key: &str, text: Option<&str>, otherwise: &str) -> Duration {
         let text = text.unwrap_or(otherwise);
-        time(text).unwrap_or_else(|| {
+        parse_duration(text).unwrap_or_else(|| {
             self.found(key, text, "give a number and `ms` or `s`, as in 1500ms");
             Duration::ZERO
         })
@@ -257,7 +257,7 @@
 }
 
 /// Parses a time: a number, then `ms` or `s`.
-pub fn time(text: &str) -> Option<Duration> {
+pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 0.001),
         None => (text.strip_suffix('s')?, 1.0),
--- a/crates/edge/src/trace/mod.rs
+++ b/crates/edge/src/trace/mod.rs
@@ -28,17 +28,17 @@
     if version(before) != version(after) {
         log::info!(
             target: "belief", event = "config", from:? = version(before), to:? = version(after),
-            change = after.number; "another configuration is in force"
+            change = after.change; "another configuration is in force"
         );
     }
     tell(
         "evacuated",
         &before.evacuated,
         &after.evacuated,
-        after.number,
+        after.change,
     );
-    tell("hosts", &names(before), &names(after), after.number);
-    tell("targets", &targets(before), &targets(after), after.number);
+    tell("hosts", &names(before), &names(after), after.change);
+    tell("targets", &targets(before), &targets(after), after.change);
 }
 
 fn names(view: &View) -> BTreeSet<Arc<str>> {
