--- a/crates/fakes/src/host_list/state.rs
+++ b/crates/fakes/src/host_list/state.rs
@@ -72,10 +72,10 @@
     /// Schedules the removal of hosts whose announcement expired; the visibility delay counts from the
     /// expiry.
     fn expire(&mut self, now: Duration) {
-        let lag = self.options.visibility_delay;
+        let delay = self.options.visibility_delay;
         for host in self.hosts.values_mut().filter(|h| h.expires_at <= now) {
             if host.final_state().is_some() {
-                host.schedule(host.expires_at + lag, None);
+                host.schedule(host.expires_at + delay, None);
             }
         }
         self.hosts
