--- a/crates/cli/src/soak/callers.rs
+++ b/crates/cli/src/soak/callers.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use dunlinrock_platform::{
     dialect,
-    standin::{self, Ledger},
+    standin::{self, RunLog},
 };
 use http::{Request, StatusCode, response::Parts};
 use http_body_util::{BodyExt, Full};
@@ -92,7 +92,7 @@
 struct Caller {
     name: u64,
     hosts: Vec<SocketAddr>,
-    ledger: Ledger,
+    ledger: RunLog,
     keys: SharedKeys,
     seen: Arc<Seen>,
     calm: Arc<Vec<Calm>>,
@@ -104,7 +104,7 @@
 impl Callers {
     pub(super) fn spawn(
         hosts: &[SocketAddr],
-        ledger: &Ledger,
+        ledger: &RunLog,
         keys: &SharedKeys,
         seed: u64,
     ) -> Callers {
@@ -265,6 +265,6 @@
     };
     // The path is made here, of a word and a number.
     *request.uri_mut() = path.parse().unwrap_or_default();
-    *request.headers_mut() = standin::headers(NAME, id, object, DEADLINE, Some(&key.text));
+    *request.headers_mut() = standin::caller_headers(NAME, id, object, DEADLINE, Some(&key.text));
     request
 }
--- a/crates/cli/src/soak/faults.rs
+++ b/crates/cli/src/soak/faults.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::Ordering;
 
-use dunlinrock_platform::standin::Down;
+use dunlinrock_platform::standin::StoreFault;
 use nix::sys::signal::Signal;
 
 use super::{
@@ -44,17 +44,19 @@
         Fault::MuteLink(host) => fleet.hosts[host].callers.set(Mode::Mute),
         Fault::CutStore(host) => fleet.hosts[host].store.set(Mode::Mute),
         Fault::RefuseStore(host) => fleet.hosts[host].store.set(Mode::Reset),
-        Fault::StoreBusy => fleet.store_down(Down::Busy),
+        Fault::StoreBusy => fleet.store_down(StoreFault::Busy),
         Fault::StoreAway => {
-            fleet.store_down(Down::Busy);
+            fleet.store_down(StoreFault::Busy);
             fleet.configure();
         }
-        Fault::StoreClosed => fleet.store_down(Down::Closed),
-        Fault::StoreForgets => fleet.store.forget(),
-        Fault::StoreLoses => fleet.store.lose_answers(LOST_WRITES),
+        Fault::StoreClosed => fleet.store_down(StoreFault::Closed),
+        Fault::StoreForgets => fleet.store.compact(),
+        Fault::StoreLoses => fleet.store.drop_responses(LOST_WRITES),
         Fault::TargetDown(n) => fleet.targets[n].target.set(|rules| rules.is_down = true),
-        Fault::TargetLoses(n) => fleet.targets[n].target.set(|rules| rules.loses = true),
-        Fault::TargetSheds(n) => fleet.targets[n].target.set(|rules| rules.sheds = true),
+        Fault::TargetLoses(n) => fleet.targets[n]
+            .target
+            .set(|rules| rules.drops_responses = true),
+        Fault::TargetSheds(n) => fleet.targets[n].target.set(|rules| rules.sheds_all = true),
         Fault::TargetSlow(n) => fleet.targets[n].target.set(|rules| rules.work *= SLOWER),
         Fault::TargetMute(n) => fleet.targets[n].proxy.set(Mode::Mute),
         Fault::TargetLeaves(n) => fleet.announce(n, true),
@@ -75,7 +77,7 @@
         }
         Fault::CutStore(host) | Fault::RefuseStore(host) => fleet.hosts[host].store.set(Mode::Pass),
         Fault::StoreBusy | Fault::StoreAway | Fault::StoreClosed => fleet.store_back(),
-        Fault::StoreLoses => fleet.store.lose_answers(0),
+        Fault::StoreLoses => fleet.store.drop_responses(0),
         Fault::TargetDown(n) | Fault::TargetLoses(n) | Fault::TargetSheds(n) => {
             fleet.targets[n].target.set(sound);
         }
--- a/crates/cli/src/soak/fleet.rs
+++ b/crates/cli/src/soak/fleet.rs
@@ -10,7 +10,7 @@
 
 use anyhow::Context;
 use dunlinrock_edge::model;
-use dunlinrock_platform::standin::{Down, Draft, Ledger, Store, Target, TargetRules};
+use dunlinrock_platform::standin::{ConfigDraft, RunLog, Store, StoreFault, Target, TargetOptions};
 use nix::{
     sys::signal::{Signal, kill},
     unistd::Pid,
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub(super) struct Fleet {
     pub(super) store: Store,
-    pub(super) ledger: Ledger,
+    pub(super) ledger: RunLog,
     pub(super) hosts: Vec<HostProcess>,
     pub(super) targets: Vec<TargetSeat>,
     pub(super) version: u64,
@@ -91,7 +91,7 @@
         let store = Store::bind(SocketAddr::new(local, 0)).context("the store")?;
         let mut fleet = Fleet {
             store,
-            ledger: Ledger::default(),
+            ledger: RunLog::default(),
             hosts: Vec::new(),
             targets: Vec::new(),
             version: 0,
@@ -129,7 +129,7 @@
     pub(super) fn announce(&self, n: usize, is_leaving: bool) {
         let seat = &self.targets[n];
         self.store.write_target(&model::Target {
-            id: seat.target.rules().id.into(),
+            id: seat.target.options().id.into(),
             service: SERVICE.into(),
             address: seat.proxy.address,
             domain: DOMAINS[n % DOMAINS.len()].into(),
@@ -142,7 +142,7 @@
 
     /// Ends a target's start and begins another, at the same address.
     pub(super) fn renew(&mut self, n: usize) {
-        let old = self.targets[n].target.rules().id;
+        let old = self.targets[n].target.options().id;
         self.store.remove_target(&old);
         let seat = &mut self.targets[n];
         seat.starts += 1;
@@ -152,23 +152,23 @@
     }
 
     /// The store serves nobody from now on.
-    pub(super) fn store_down(&mut self, down: Down) {
+    pub(super) fn store_down(&mut self, down: StoreFault) {
         self.downs += 1;
-        self.store.set_down(Some(down));
+        self.store.set_fault(Some(down));
     }
 
     /// One of the faults for which the store serves nobody has ended.
     pub(super) fn store_back(&mut self) {
         self.downs -= 1;
         if self.downs == 0 {
-            self.store.set_down(None);
+            self.store.set_fault(None);
         }
     }
 
     /// Puts a newer configuration in force.
     pub(super) fn configure(&mut self) {
         self.version += 3;
-        self.store.write_config(&Draft {
+        self.store.write_config(&ConfigDraft {
             version: self.version,
             host: NAME,
             service: SERVICE,
@@ -180,23 +180,23 @@
     }
 }
 
-fn rules(n: usize, start: u32) -> TargetRules {
-    TargetRules {
+fn rules(n: usize, start: u32) -> TargetOptions {
+    TargetOptions {
         id: format!("t{n}-{start}"),
         slots: SLOTS,
         work: WORK,
         is_down: false,
-        loses: false,
-        sheds: false,
+        drops_responses: false,
+        sheds_all: false,
     }
 }
 
 /// How a target behaves when nothing is wrong with it.
-pub(super) fn sound(rules: &mut TargetRules) {
+pub(super) fn sound(rules: &mut TargetOptions) {
     rules.work = WORK;
     rules.is_down = false;
-    rules.loses = false;
-    rules.sheds = false;
+    rules.drops_responses = false;
+    rules.sheds_all = false;
 }
 
 impl HostProcess {
--- a/crates/cli/src/soak/keys.rs
+++ b/crates/cli/src/soak/keys.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use dunlinrock_platform::standin::{Holder, Ledger};
+use dunlinrock_platform::standin::{RunLog, WorkspaceDraft};
 use rand::{Rng, rngs::StdRng};
 
 use super::callers::lock;
@@ -59,8 +59,8 @@
 
 impl Keys {
     /// The workspaces of a version. Once the store holds it, [`Keys::confirm`] is to be called.
-    pub(super) fn holders(version: u64) -> [Holder<'static>; 3] {
-        let holder = |name, key: String, rate| Holder {
+    pub(super) fn holders(version: u64) -> [WorkspaceDraft<'static>; 3] {
+        let holder = |name, key: String, rate| WorkspaceDraft {
             name,
             keys: vec![key],
             rate,
@@ -102,7 +102,7 @@
     }
 
     /// What ran and must not have.
-    pub(super) fn judge(&self, ledger: &Ledger) -> Vec<String> {
+    pub(super) fn judge(&self, ledger: &RunLog) -> Vec<String> {
         let (sent, changing) = (lock(&self.sent), lock(&self.changing));
         let mut found = Vec::new();
         let mut busy = Vec::new();
@@ -121,7 +121,7 @@
                 ));
             }
             for run in &runs {
-                if run.is_shown || run.workspace.as_deref() != Some(key.workspace) {
+                if run.saw_credentials || run.workspace.as_deref() != Some(key.workspace) {
                     found.push(format!("{id} of {} ran as {run:?}", key.workspace));
                 }
             }
