--- a/crates/node/src/call/mod.rs
+++ b/crates/node/src/call/mod.rs
@@ -1,7 +1,7 @@
 //! One request of a caller, as the duties pass it around.
 
-mod fields;
-mod intake;
+mod body;
+mod headers;
 
 use std::{net::IpAddr, sync::Arc};
 
@@ -9,8 +9,8 @@
 use hyper::{HeaderMap, Method};
 use tokio::time::Instant;
 
-pub use fields::{answer_fields, target_fields};
-pub use intake::{Bounds, read_body, timeout_field};
+pub use body::{Bounds, read_body, timeout_field};
+pub use headers::{answer_fields, target_fields};
 
 /// One request, whole.
 #[derive(Clone, Debug)]
--- a/crates/node/src/duties/control/mod.rs
+++ b/crates/node/src/duties/control/mod.rs
@@ -1,15 +1,15 @@
 //! Knows the other hosts, follows the configuration, moves shares, publishes views.
 
-mod following;
+mod active_config;
 mod input;
-mod leave;
-mod peering;
+mod members;
 mod publish;
+mod quarantine;
 mod routes;
+mod shutdown;
 mod state;
 mod steering;
 mod tasks;
-mod words;
 
 use std::{io, sync::Arc, thread::JoinHandle, time::Duration};
 
--- a/crates/node/src/duties/control/publish.rs
+++ b/crates/node/src/duties/control/publish.rs
@@ -5,7 +5,7 @@
 use dunlinrock_decide::admit::QuarantineUpdate;
 use dunlinrock_schema::config::Target;
 
-use super::{following::InForce, routes, steering::Steering};
+use super::{active_config::InForce, routes, steering::Steering};
 use crate::{
     duties::pools::{self, PoolId, PoolReport},
     shared::Shared,
--- a/crates/node/src/duties/control/state.rs
+++ b/crates/node/src/duties/control/state.rs
@@ -24,14 +24,14 @@
 use tokio::sync::{oneshot, watch};
 
 use super::{
-    following::InForce,
+    active_config::InForce,
     input::{Input, Reply},
-    leave::{Leave, Step},
-    peering,
+    members,
     publish::Publisher,
+    quarantine,
+    shutdown::{Leave, Step},
     steering::Steering,
     tasks::{Caller, Done, Results},
-    words,
 };
 use crate::{
     duties::{
@@ -88,10 +88,10 @@
         caller.keep_listed(me, every);
         let (watching, on) = watch::channel(false);
         caller.watch_root(on);
-        let me = peering::introduce(&shared.me);
+        let me = members::introduce(&shared.me);
         Control {
             caller,
-            membership: Membership::open(me, peering::timings(&shared.timing), now),
+            membership: Membership::open(me, members::timings(&shared.timing), now),
             follower: Follower::open(follow::Timings::default()),
             plan: relay::role(&shared.me.name, &BTreeMap::new()),
             watching,
@@ -186,7 +186,7 @@
         let Ok(message) = coord_wire::decode::<Message>(frame) else {
             return Reply::Unreadable;
         };
-        if !peering::admits(&self.membership, &message, from) {
+        if !members::admits(&self.membership, &message, from) {
             return Reply::Stranger;
         }
         match &message {
@@ -258,7 +258,7 @@
                     log::warn!(domain = &*domain, silent = silent; "domain");
                 }
                 member::Action::Quarantined(quarantine) => {
-                    if let Some(word) = words::read(&quarantine) {
+                    if let Some(word) = quarantine::read(&quarantine) {
                         self.hear_words(&[word], now);
                     }
                 }
@@ -393,7 +393,7 @@
             .collect();
         self.reports = reports;
         for word in self.hear_words(&words, now) {
-            let actions = self.membership.broadcast(now, words::write(&word));
+            let actions = self.membership.broadcast(now, quarantine::write(&word));
             self.act(actions);
         }
     }
@@ -424,7 +424,7 @@
         let config = Arc::clone(&self.in_force.config);
         self.steering
             .measure(&config, &self.shared.meters, &self.reports, now);
-        let present = peering::present(&self.membership);
+        let present = members::present(&self.membership);
         self.steering.step(&config, &self.members, present, now);
         for outgoing in self.steering.asks(&self.members, now) {
             self.caller.steer(outgoing.to, &outgoing.ask);
@@ -490,7 +490,7 @@
         me.leaving = self.leave.is_some();
         me.epoch = self.shared.epoch.load(Ordering::Relaxed);
         let epoch_ms = self.shared.timing.epoch_ms;
-        self.members = peering::members(&self.membership, &me, epoch_ms);
+        self.members = members::members(&self.membership, &me, epoch_ms);
     }
 
     fn publish(&mut self, now: Duration) {
--- a/crates/node/src/duties/control/steering.rs
+++ b/crates/node/src/duties/control/steering.rs
@@ -23,7 +23,7 @@
 
 use crate::{
     duties::pools::PoolReport,
-    meters::{Meters, Sums},
+    traffic::{Meters, Sums},
     view::Member,
 };
 
--- a/crates/node/src/duties/pools/mod.rs
+++ b/crates/node/src/duties/pools/mod.rs
@@ -12,16 +12,16 @@
 
 mod fence;
 mod input;
-mod owned;
-mod plan;
+mod pool;
+mod spec;
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use self::owned::Owned;
+use self::pool::Owned;
 pub use self::{
     fence::Fence,
     input::{Event, Events, Input, PoolReport},
-    plan::{PoolId, PoolPlan},
+    spec::{PoolId, PoolPlan},
 };
 use crate::{clock::Clock, ring};
 
--- a/crates/node/src/host/mod.rs
+++ b/crates/node/src/host/mod.rs
@@ -21,11 +21,11 @@
 use crate::{
     clock::{Clock, millis},
     duties::{callers, control, ledger, peers, pools},
-    meters::Meters,
     metrics::Metrics,
     ring,
     run::Trickle,
     shared::Shared,
+    traffic::Meters,
     view::{Member, View},
 };
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -29,7 +29,6 @@
 pub mod dump;
 pub mod duties;
 pub mod host;
-pub mod meters;
 pub mod metrics;
 pub mod operate;
 pub mod ring;
@@ -37,6 +36,7 @@
 pub mod serve;
 pub mod shared;
 pub mod store;
+pub mod traffic;
 pub mod view;
 pub mod wire;
 
--- a/crates/node/src/metrics/mod.rs
+++ b/crates/node/src/metrics/mod.rs
@@ -3,7 +3,7 @@
 //! A count is an atomic that the control duty sends at each heartbeat: look-ups come by the ten
 //! thousand, and a datagram for each would cost more than the look-up.
 
-mod count;
+mod counter;
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -16,7 +16,7 @@
 
 use cadence::{Counted, Gauged, QueuingMetricSink, StatsdClient, Timed, UdpMetricSink};
 
-pub use count::{COUNTERS, Counter};
+pub use counter::{COUNTERS, Counter};
 
 /// Datagrams that may wait to be sent; more are dropped.
 const QUEUE: usize = 8192;
--- a/crates/node/src/run/dispatch.rs
+++ b/crates/node/src/run/dispatch.rs
@@ -14,7 +14,7 @@
 
 use super::{
     Links, forward,
-    holder::{Held, hold},
+    in_pool::{Held, hold},
 };
 use crate::{
     call::Call,
--- a/crates/node/src/serve/mod.rs
+++ b/crates/node/src/serve/mod.rs
@@ -4,7 +4,7 @@
 //! batch; nor does it bound connections or the time that a head may take. So connections are
 //! accepted here, and `viz` routes what arrives on them.
 
-mod stall;
+mod write_timeout;
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,7 +16,7 @@
 };
 use viz::{Responder, Tree};
 
-use self::stall::Stalling;
+use self::write_timeout::Stalling;
 
 /// Limits on the connections of one listener.
 #[derive(Clone, Debug)]
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -19,10 +19,10 @@
         control, ledger,
         pools::{self, Fence},
     },
-    meters::Meters,
     metrics::Metrics,
     ring,
     run::Trickle,
+    traffic::Meters,
     view::{Member, View},
 };
 
--- a/crates/node/src/view/mod.rs
+++ b/crates/node/src/view/mod.rs
@@ -3,7 +3,7 @@
 //! The control duty makes a view and publishes it whole; the other duties read the newest one
 //! without a lock. So no request ever sees one half of a configuration and one half of the next.
 
-mod answers;
+mod lookup;
 mod member;
 mod route;
 
@@ -16,7 +16,7 @@
 use dunlinrock_schema::config::{Config, Service};
 
 pub use self::{
-    answers::{Answers, VARIANTS},
+    lookup::{Answers, VARIANTS},
     member::Member,
     route::{Heard, PoolRoute, RouteParts, ServiceRoute},
 };
