--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -15,7 +15,7 @@
 
 pub use self::{
     list::HostList,
-    operations::{PIECE_PREFIX, ROOT_KEY, perform, piece_key},
+    operations::{PIECE_PREFIX, ROOT_KEY, execute, piece_key},
 };
 
 use crate::wire::{Answer, Client};
@@ -126,7 +126,7 @@
     }
 
     /// Writes a key where its version is `version` ([`NO_VERSION`]: where it does not exist).
-    pub async fn swap(
+    pub async fn compare_and_swap(
         &self,
         key: &str,
         version: u64,
@@ -138,7 +138,7 @@
         let answer = self
             .send(request.body(Full::new(value)), self.timeout)
             .await?;
-        self.swapped(&answer)
+        self.swap_result(&answer)
     }
 
     /// Writes a key whatever its version is.
@@ -147,7 +147,7 @@
         let answer = self
             .send(request.body(Full::new(value)), self.timeout)
             .await?;
-        self.swapped(&answer)
+        self.swap_result(&answer)
     }
 
     /// Lists the keys under a prefix with their versions.
@@ -178,7 +178,7 @@
         if answer.status == StatusCode::NO_CONTENT {
             return Ok(SwapResult::Done(NO_VERSION));
         }
-        self.swapped(&answer)
+        self.swap_result(&answer)
     }
 
     fn request(&self, method: Method, key: &str) -> hyper::http::request::Builder {
@@ -194,17 +194,17 @@
         let request = request.map_err(|e| self.refused(&e.to_string()))?;
         match self.client.call(request, time).await {
             Ok(answer) if answer.status == StatusCode::TOO_MANY_REQUESTS => {
-                Err(self.away("its rate limit is reached"))
+                Err(self.unavailable("its rate limit is reached"))
             }
             Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE => {
-                Err(self.away("it answered 503"))
+                Err(self.unavailable("it answered 503"))
             }
             Ok(answer) if answer.status.is_server_error() => {
-                Err(self.lost(&format!("it answered {}", answer.status)))
+                Err(self.indeterminate(&format!("it answered {}", answer.status)))
             }
             Ok(answer) => Ok(answer),
-            Err(e) if e.is_unsent() => Err(self.away(&e.to_string())),
-            Err(e) => Err(self.lost(&e.to_string())),
+            Err(e) if e.is_unsent() => Err(self.unavailable(&e.to_string())),
+            Err(e) => Err(self.indeterminate(&e.to_string())),
         }
     }
 
@@ -225,7 +225,7 @@
         }
     }
 
-    fn swapped(&self, answer: &Answer) -> Result<SwapResult, StoreError> {
+    fn swap_result(&self, answer: &Answer) -> Result<SwapResult, StoreError> {
         match answer.status {
             StatusCode::PRECONDITION_FAILED => Ok(SwapResult::Conflict(self.version(answer)?)),
             StatusCode::NOT_FOUND => Ok(SwapResult::Conflict(NO_VERSION)),
@@ -243,14 +243,14 @@
         version.ok_or_else(|| self.refused("its answer has no usable ETag"))
     }
 
-    fn away(&self, detail: &str) -> StoreError {
+    fn unavailable(&self, detail: &str) -> StoreError {
         StoreError::Unavailable {
             address: self.address,
             detail: detail.to_owned(),
         }
     }
 
-    fn lost(&self, detail: &str) -> StoreError {
+    fn indeterminate(&self, detail: &str) -> StoreError {
         StoreError::Indeterminate {
             address: self.address,
             detail: detail.to_owned(),
--- a/crates/node/src/store/operations.rs
+++ b/crates/node/src/store/operations.rs
@@ -20,8 +20,8 @@
 
 /// Does one operation. Whatever the store did not answer for certain is [`StoreReply::Failed`], and
 /// the machine that asked finds out by reading.
-pub async fn perform(store: &Store, ask: StoreOp) -> StoreReply {
-    match attempt(store, ask).await {
+pub async fn execute(store: &Store, op: StoreOp) -> StoreReply {
+    match try_execute(store, op).await {
         Ok(answer) => answer,
         Err(e) => {
             log::debug!(error:% = e; "a store operation failed");
@@ -30,8 +30,8 @@
     }
 }
 
-async fn attempt(store: &Store, ask: StoreOp) -> Result<StoreReply, StoreError> {
-    Ok(match ask {
+async fn try_execute(store: &Store, op: StoreOp) -> Result<StoreReply, StoreError> {
+    Ok(match op {
         StoreOp::ReadRoot => {
             let found = store.get(ROOT_KEY).await?;
             let version = found.version;
@@ -52,9 +52,9 @@
         }
         StoreOp::SwapRoot { expect, bytes } => {
             let version = expect.unwrap_or(NO_VERSION);
-            swapped(
+            swap_reply(
                 store
-                    .swap(ROOT_KEY, version, Bytes::copy_from_slice(&bytes))
+                    .compare_and_swap(ROOT_KEY, version, Bytes::copy_from_slice(&bytes))
                     .await?,
             )
         }
@@ -67,12 +67,12 @@
             StoreReply::Listed(pieces.collect())
         }
         StoreOp::RemovePiece { hash, version } => {
-            swapped(store.delete(&piece_key(&hash), version).await?)
+            swap_reply(store.delete(&piece_key(&hash), version).await?)
         }
     })
 }
 
-fn swapped(swap: SwapResult) -> StoreReply {
+fn swap_reply(swap: SwapResult) -> StoreReply {
     match swap {
         SwapResult::Done(_) => StoreReply::Done,
         SwapResult::Conflict(_) => StoreReply::Conflict,
--- a/crates/node/src/traffic/mod.rs
+++ b/crates/node/src/traffic/mod.rs
@@ -12,9 +12,9 @@
 
 /// Sums since they were last taken.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sums {
+pub struct TrafficTotals {
     /// Requests taken in, by service and region of callers.
-    pub entered: BTreeMap<Arc<str>, BTreeMap<Arc<str>, u64>>,
+    pub arrivals: BTreeMap<Arc<str>, BTreeMap<Arc<str>, u64>>,
     /// Sizes of requests and answers, by service.
     pub sizes: BTreeMap<Arc<str>, Sizes>,
     /// Work at the pools owned here, by service.
@@ -40,27 +40,27 @@
     /// Time that they took, in all.
     pub time: Duration,
     /// Time taken by those that came from hosts of this host's region.
-    pub home: Duration,
+    pub local_time: Duration,
 }
 
 /// Sums that the duties add to.
 #[derive(Debug, Default)]
-pub struct Meters {
-    sums: Mutex<Sums>,
+pub struct TrafficMeter {
+    totals: Mutex<TrafficTotals>,
 }
 
-impl Meters {
+impl TrafficMeter {
     /// Counts a request of a caller.
-    pub fn entered(&self, service: &Arc<str>, callers: &Arc<str>) {
-        let mut sums = self.lock();
-        let lanes = sums.entered.entry(Arc::clone(service)).or_default();
-        *lanes.entry(Arc::clone(callers)).or_default() += 1;
+    pub fn record_arrival(&self, service: &Arc<str>, callers: &Arc<str>) {
+        let mut totals = self.lock();
+        let flows = totals.arrivals.entry(Arc::clone(service)).or_default();
+        *flows.entry(Arc::clone(callers)).or_default() += 1;
     }
 
     /// Counts an answer.
-    pub fn answered(&self, service: &Arc<str>, request: usize, answer: usize) {
-        let mut sums = self.lock();
-        let sizes = sums.sizes.entry(Arc::clone(service)).or_default();
+    pub fn record_answer(&self, service: &Arc<str>, request: usize, answer: usize) {
+        let mut totals = self.lock();
+        let sizes = totals.sizes.entry(Arc::clone(service)).or_default();
         sizes.count += 1;
         sizes.request += request as u64;
         sizes.answer += answer as u64;
@@ -68,22 +68,22 @@
 
     /// Counts a run at a pool owned here; `home` tells whether its request came from a host of this
     /// host's region.
-    pub fn ran(&self, service: &Arc<str>, time: Duration, home: bool) {
-        let mut sums = self.lock();
-        let work = sums.work.entry(Arc::clone(service)).or_default();
+    pub fn record_run(&self, service: &Arc<str>, time: Duration, local: bool) {
+        let mut totals = self.lock();
+        let work = totals.work.entry(Arc::clone(service)).or_default();
         work.count += 1;
         work.time += time;
-        if home {
-            work.home += time;
+        if local {
+            work.local_time += time;
         }
     }
 
     /// Takes the sums and starts anew.
-    pub fn take(&self) -> Sums {
+    pub fn drain(&self) -> TrafficTotals {
         mem::take(&mut self.lock())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Sums> {
-        self.sums.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, TrafficTotals> {
+        self.totals.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/view/lookup.rs
+++ b/crates/node/src/view/lookup.rs
@@ -21,36 +21,36 @@
 /// one, so its connections stay warm; with 16, a region of five hosts spreads its callers over
 /// sixty possible orders well enough, and 16 answers of about 700 bytes for each of 15 services and
 /// 22 regions come to 4 MB.
-pub const VARIANTS: u64 = 16;
+pub const VARIANTS_PER_REGION: u64 = 16;
 
 /// Bits of an IPv4 address that stand for its block: its neighbours share a way to the host.
-const BLOCK_V4: u32 = 24;
+const BLOCK_BITS_V4: u32 = 24;
 /// Bits of an IPv6 address that stand for its block.
-const BLOCK_V6: u32 = 48;
+const BLOCK_BITS_V6: u32 = 48;
 
 /// Answers to look-ups by service and region of callers.
 #[derive(Debug, Default)]
-pub struct Answers {
-    ready: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Vec<Bytes>>>,
+pub struct LookupAnswers {
+    bodies: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Vec<Bytes>>>,
 }
 
-impl Answers {
+impl LookupAnswers {
     /// Composes all answers.
     pub fn open(
         config: &Config,
         revision: u64,
         ttl_ms: u64,
         members: &BTreeMap<Arc<str>, Arc<Member>>,
-    ) -> Answers {
+    ) -> LookupAnswers {
         let table = HostTable::open(
             config,
-            members.values().map(|member| seen(member)).collect(),
+            members.values().map(|member| candidate(member)).collect(),
         );
-        let mut ready: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Vec<Bytes>>> = BTreeMap::new();
+        let mut bodies: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Vec<Bytes>>> = BTreeMap::new();
         for region in config.regions.keys() {
-            for variant in 0..VARIANTS {
-                let choices = table.lookup(region, variant);
-                let Some(mut answer) = compose(&table, &choices, members) else {
+            for variant in 0..VARIANTS_PER_REGION {
+                let chosen_hosts = table.lookup(region, variant);
+                let Some(mut answer) = compose(&table, &chosen_hosts, members) else {
                     continue;
                 };
                 answer.revision = revision;
@@ -59,7 +59,7 @@
                 for service in config.services.keys() {
                     answer.service = Arc::clone(service);
                     let body = serde_json::to_vec(&answer).unwrap_or_default();
-                    let regions = ready.entry(Arc::clone(service)).or_default();
+                    let regions = bodies.entry(Arc::clone(service)).or_default();
                     regions
                         .entry(Arc::clone(region))
                         .or_default()
@@ -67,26 +67,26 @@
                 }
             }
         }
-        Answers { ready }
+        LookupAnswers { bodies }
     }
 
     /// The answer for a caller, ready to send.
     pub fn find(&self, service: &str, region: &str, client: IpAddr) -> Option<Bytes> {
-        let answers = self.ready.get(service)?.get(region)?;
-        let at = block(client) % answers.len().max(1) as u64;
+        let answers = self.bodies.get(service)?.get(region)?;
+        let at = block_hash(client) % answers.len().max(1) as u64;
         answers.get(usize::try_from(at).ok()?).cloned()
     }
 }
 
 /// Hash of the block that an address belongs to.
-fn block(client: IpAddr) -> u64 {
+fn block_hash(client: IpAddr) -> u64 {
     match client.to_canonical() {
-        IpAddr::V4(v4) => rapidhash_v3(&(v4.to_bits() >> (32 - BLOCK_V4)).to_be_bytes()),
-        IpAddr::V6(v6) => rapidhash_v3(&(v6.to_bits() >> (128 - BLOCK_V6)).to_be_bytes()),
+        IpAddr::V4(v4) => rapidhash_v3(&(v4.to_bits() >> (32 - BLOCK_BITS_V4)).to_be_bytes()),
+        IpAddr::V6(v6) => rapidhash_v3(&(v6.to_bits() >> (128 - BLOCK_BITS_V6)).to_be_bytes()),
     }
 }
 
-fn seen(member: &Member) -> Host {
+fn candidate(member: &Member) -> Host {
     let state = match (member.leaving, member.suspect) {
         (true, _) => Liveness::Leaving,
         (false, true) => Liveness::Suspect,
@@ -103,20 +103,23 @@
 /// An answer without service and region; none where no host may be used.
 fn compose(
     table: &HostTable,
-    choices: &ChosenHosts,
+    chosen_hosts: &ChosenHosts,
     members: &BTreeMap<Arc<str>, Arc<Member>>,
 ) -> Option<Hosts> {
     let mut hosts = Vec::new();
     let mut chosen = Vec::new();
-    for choice in choices.iter() {
-        let Some(member) = table.host(choice).and_then(|host| members.get(&host.name)) else {
+    for weighted in chosen_hosts.iter() {
+        let Some(member) = table
+            .host(weighted)
+            .and_then(|host| members.get(&host.name))
+        else {
             continue;
         };
         hosts.push(HostWeight {
             name: Arc::clone(&member.name),
             address: member.callers.to_string().into(),
             domain: Arc::clone(&member.domain),
-            weight: u64::from(choice.weight),
+            weight: u64::from(weighted.weight),
         });
         chosen.push(member);
     }
@@ -127,7 +130,7 @@
         ttl_ms: 0,
         region: Arc::default(),
         hosts,
-        binding: Some(bind(owner, witness(owner, &chosen))),
+        binding: Some(binding(owner, witness(owner, &chosen))),
     })
 }
 
@@ -145,15 +148,15 @@
     apart.or_else(|| others().next()).unwrap_or(owner)
 }
 
-fn bind(owner: &Member, witness: &Member) -> Binding {
-    let seats = (
+fn binding(owner: &Member, witness: &Member) -> Binding {
+    let ids = (
         owner.incarnation,
         owner.epoch,
         witness.incarnation,
         witness.epoch,
     );
     Binding {
-        prefix: format!("{}.{}.{}.{}", seats.0, seats.1, seats.2, seats.3).into(),
+        prefix: format!("{}.{}.{}.{}", ids.0, ids.1, ids.2, ids.3).into(),
         owner: owner.callers.to_string().into(),
         witness: witness.callers.to_string().into(),
     }
--- a/crates/node/src/view/mod.rs
+++ b/crates/node/src/view/mod.rs
@@ -16,9 +16,9 @@
 use dunlinrock_schema::config::{Config, Service};
 
 pub use self::{
-    lookup::{Answers, VARIANTS},
+    lookup::{LookupAnswers, VARIANTS_PER_REGION},
     member::Member,
-    route::{Heard, PoolRoute, RouteParts, ServiceRoute},
+    route::{LoadReading, PoolRoute, RouteParts, ServiceRoute},
 };
 use crate::duties::pools::PoolId;
 
@@ -46,11 +46,11 @@
     /// Shares of traffic that this host goes by.
     pub shares: Arc<TrafficSplit>,
     /// Answers to look-ups.
-    pub answers: Arc<Answers>,
+    pub answers: Arc<LookupAnswers>,
     /// Client blocks and their regions.
     pub blocks: Arc<Blocks>,
     /// Requests known to kill their targets.
-    pub words: Arc<Vec<QuarantineUpdate>>,
+    pub quarantines: Arc<Vec<QuarantineUpdate>>,
 }
 
 impl View {
@@ -69,7 +69,7 @@
             shares: Arc::new(TrafficSplit::open()),
             answers: Arc::default(),
             blocks: Arc::new(Blocks::builder().finish()),
-            words: Arc::default(),
+            quarantines: Arc::default(),
         }
     }
 
--- a/crates/node/src/view/route.rs
+++ b/crates/node/src/view/route.rs
@@ -37,14 +37,14 @@
     /// One-way delay to the owner.
     pub delay: Duration,
     /// Its load, as last heard.
-    heard: Mutex<Heard>,
+    reading: Mutex<LoadReading>,
     /// Requests that this host has handed to it since that was heard.
-    sent: AtomicU32,
+    sent_since: AtomicU32,
 }
 
 /// The load of a pool as last heard, and when.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Heard {
+pub struct LoadReading {
     /// The load.
     pub load: Load,
     /// When it was heard, on this host's clock.
@@ -53,47 +53,47 @@
 
 impl PoolRoute {
     /// Makes a route; what `before` heard or sent since `heard` is taken over.
-    pub fn open(parts: RouteParts, heard: Heard, before: Option<&PoolRoute>) -> PoolRoute {
+    pub fn open(parts: RouteParts, reading: LoadReading, before: Option<&PoolRoute>) -> PoolRoute {
         let last = before
-            .map(|route| (route.heard(), route.sent()))
-            .filter(|(h, _)| h.at >= heard.at);
-        let (heard, sent) = last.unwrap_or((heard, 0));
+            .map(|route| (route.load_reading(), route.sent_since()))
+            .filter(|(h, _)| h.at >= reading.at);
+        let (reading, sent_since) = last.unwrap_or((reading, 0));
         let RouteParts {
             id,
             owner,
             targets,
             delay,
         } = parts;
-        let (heard, sent) = (Mutex::new(heard), AtomicU32::new(sent));
+        let (reading, sent_since) = (Mutex::new(reading), AtomicU32::new(sent_since));
         PoolRoute {
             id,
             owner,
             targets,
             delay,
-            heard,
-            sent,
+            reading,
+            sent_since,
         }
     }
 
     /// Its load, as last heard.
-    pub fn heard(&self) -> Heard {
-        *self.heard.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn load_reading(&self) -> LoadReading {
+        *self.reading.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes its owner's word about its load, which counts what was handed over before it.
-    pub fn hear(&self, load: Load, at: Duration) {
-        *self.heard.lock().unwrap_or_else(PoisonError::into_inner) = Heard { load, at };
-        self.sent.store(0, Ordering::Relaxed);
+    pub fn update_load(&self, load: Load, at: Duration) {
+        *self.reading.lock().unwrap_or_else(PoisonError::into_inner) = LoadReading { load, at };
+        self.sent_since.store(0, Ordering::Relaxed);
     }
 
     /// Counts a request that is handed over.
-    pub fn send(&self) {
-        self.sent.fetch_add(1, Ordering::Relaxed);
+    pub fn record_sent(&self) {
+        self.sent_since.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Requests handed over since the load was heard.
-    pub fn sent(&self) -> u32 {
-        self.sent.load(Ordering::Relaxed)
+    pub fn sent_since(&self) -> u32 {
+        self.sent_since.load(Ordering::Relaxed)
     }
 }
 
--- a/crates/node/src/wire/client.rs
+++ b/crates/node/src/wire/client.rs
@@ -14,17 +14,17 @@
 };
 
 /// Idle connections kept to one address.
-const IDLE_CONNECTIONS: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 /// Time an idle connection is kept.
-const IDLE_TIME: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time in which a connection must open. Within a region a round trip takes a few milliseconds and
 /// between regions some tens; one lost SYN is sent again after a second, so that 400 ms tells a
 /// dead address from a far one without waiting for that.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How far a call had come when it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Stage {
     /// No connection: not a byte was sent.
     Connect,
     /// Something may have been sent, and no whole head came back.
@@ -40,7 +40,7 @@
     #[error("{part:?} failed: {detail}")]
     Broken {
         /// How far the call had come.
-        part: Part,
+        part: Stage,
         /// The library's words.
         detail: String,
     },
@@ -61,7 +61,7 @@
         matches!(
             self,
             ClientError::Broken {
-                part: Part::Connect,
+                part: Stage::Connect,
                 ..
             }
         )
@@ -99,13 +99,13 @@
 pub struct Client {
     inner: legacy::Client<HttpConnector, Full<Bytes>>,
     /// Largest answer body taken, in bytes.
-    answer_bytes: usize,
+    max_answer_bytes: usize,
 }
 
 impl Client {
     /// Opens a client that takes answers up to `answer_bytes`.
-    pub fn open(answer_bytes: usize) -> Client {
-        Client::open_from(None, answer_bytes)
+    pub fn open(max_answer_bytes: usize) -> Client {
+        Client::open_from(None, max_answer_bytes)
     }
 
     /// Opens a client whose connections come from `local`.
@@ -113,15 +113,15 @@
     /// Hosts know one another by address. On a machine with several, the system would choose
     /// another than the one that the host announced, and every other host would take it for a
     /// stranger.
-    pub fn open_from(local: Option<IpAddr>, answer_bytes: usize) -> Client {
+    pub fn open_from(local: Option<IpAddr>, max_answer_bytes: usize) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_local_address(local);
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT_TIME));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let inner = legacy::Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE_TIME)
-            .pool_max_idle_per_host(IDLE_CONNECTIONS)
+            .pool_idle_timeout(IDLE_TIMEOUT)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
             // The library would send a request again on a new connection when a pooled one turns
             // out closed. It only does so before the first byte, but whether a request goes out
             // twice is decided in one place, and that is not here.
@@ -129,7 +129,7 @@
             .build(connector);
         Client {
             inner,
-            answer_bytes,
+            max_answer_bytes,
         }
     }
 
@@ -154,9 +154,9 @@
         let response = tokio::time::timeout(timeouts.head, self.inner.request(request))
             .await
             .map_err(|_| ClientError::Timeout(timeouts.head))?
-            .map_err(|e| unanswered(&e))?;
+            .map_err(|e| head_error(&e))?;
         let (head, body) = response.into_parts();
-        let body = tokio::time::timeout(timeouts.total, self.pieces(body, timeouts.idle))
+        let body = tokio::time::timeout(timeouts.total, self.read_streaming(body, timeouts.idle))
             .await
             .map_err(|_| ClientError::Timeout(timeouts.total))??;
         Ok(Answer {
@@ -176,19 +176,19 @@
     ) -> Result<Answer, ClientError> {
         let request = Request::post(format!("http://{address}{path}"))
             .body(Full::new(Bytes::from(body)))
-            .map_err(|e| broken(Part::Connect, &e))?;
+            .map_err(|e| stage_error(Stage::Connect, &e))?;
         self.call(request, time).await
     }
 
     async fn answer(&self, request: Request<Full<Bytes>>) -> Result<Answer, ClientError> {
         let response = match self.inner.request(request).await {
             Ok(response) => response,
-            Err(e) => return Err(unanswered(&e)),
+            Err(e) => return Err(head_error(&e)),
         };
         let (head, body) = response.into_parts();
-        let body = match Limited::new(body, self.answer_bytes).collect().await {
+        let body = match Limited::new(body, self.max_answer_bytes).collect().await {
             Ok(whole) => whole.to_bytes(),
-            Err(e) => return Err(self.unread(&*e)),
+            Err(e) => return Err(self.body_error(&*e)),
         };
         Ok(Answer {
             status: head.status,
@@ -198,8 +198,8 @@
     }
 
     /// Reads a body of which a piece comes at least every `idle`.
-    async fn pieces(&self, body: Incoming, idle: Duration) -> Result<Bytes, ClientError> {
-        let mut body = Limited::new(body, self.answer_bytes);
+    async fn read_streaming(&self, body: Incoming, idle: Duration) -> Result<Bytes, ClientError> {
+        let mut body = Limited::new(body, self.max_answer_bytes);
         let mut whole = BytesMut::new();
         loop {
             let frame = tokio::time::timeout(idle, body.frame())
@@ -208,7 +208,7 @@
             let Some(frame) = frame else {
                 return Ok(whole.freeze());
             };
-            let frame = frame.map_err(|e| self.unread(&*e))?;
+            let frame = frame.map_err(|e| self.body_error(&*e))?;
             // What follows the body says nothing here.
             if let Ok(piece) = frame.into_data() {
                 whole.extend_from_slice(&piece);
@@ -217,26 +217,26 @@
     }
 
     /// Why a body did not come whole.
-    fn unread(&self, error: &(dyn std::error::Error + 'static)) -> ClientError {
+    fn body_error(&self, error: &(dyn std::error::Error + 'static)) -> ClientError {
         if error.is::<LengthLimitError>() {
-            return ClientError::Large(self.answer_bytes);
+            return ClientError::Large(self.max_answer_bytes);
         }
         ClientError::Broken {
-            part: Part::Body,
+            part: Stage::Body,
             detail: error.to_string(),
         }
     }
 }
 
 /// Why no head came.
-fn unanswered(error: &legacy::Error) -> ClientError {
+fn head_error(error: &legacy::Error) -> ClientError {
     match error.is_connect() {
-        true => broken(Part::Connect, error),
-        false => broken(Part::Head, error),
+        true => stage_error(Stage::Connect, error),
+        false => stage_error(Stage::Head, error),
     }
 }
 
-fn broken(part: Part, error: &dyn std::error::Error) -> ClientError {
+fn stage_error(part: Stage, error: &dyn std::error::Error) -> ClientError {
     let detail = match error.source() {
         Some(source) => format!("{error}: {source}"),
         None => error.to_string(),
--- a/crates/node/src/wire/mod.rs
+++ b/crates/node/src/wire/mod.rs
@@ -5,10 +5,10 @@
 mod headers;
 mod problem;
 
-pub use client::{Answer, Client, ClientError, Part, StreamTimeouts};
+pub use client::{Answer, Client, ClientError, Stage, StreamTimeouts};
 pub use codec::{CodecError, join_frame, pack, split_frame, unpack};
 pub use headers::{
     ATTEMPTS, CALLER, CLIENT, FINGERPRINT, HOPS, KEY, KIND, OUTCOME, REQUEST, REQUEST_ID,
     REQUEST_TIMEOUT, RETRY_SAFE, TARGET_LOAD, TARGET_SHED, TIMEOUT,
 };
-pub use problem::{Kind, Trouble};
+pub use problem::{CallError, ProblemKind};
--- a/crates/node/src/wire/problem.rs
+++ b/crates/node/src/wire/problem.rs
@@ -10,7 +10,7 @@
 
 /// Kinds of error answers. Each has one status and one title.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ProblemKind {
     /// The request is malformed.
     Malformed,
     /// The service is not in the configuration.
@@ -44,76 +44,86 @@
 }
 
 /// All kinds, to find one by its name.
-const KINDS: [Kind; 15] = [
-    Kind::Malformed,
-    Kind::UnknownService,
-    Kind::TooLarge,
-    Kind::TooSlow,
-    Kind::Overloaded,
-    Kind::NotReady,
-    Kind::Unavailable,
-    Kind::Quarantined,
-    Kind::DeadlinePassed,
-    Kind::TargetFailed,
-    Kind::KeyRefused,
-    Kind::KeyMismatch,
-    Kind::AnswerGone,
-    Kind::KeyMissing,
-    Kind::AnswerTooLarge,
+const ALL_KINDS: [ProblemKind; 15] = [
+    ProblemKind::Malformed,
+    ProblemKind::UnknownService,
+    ProblemKind::TooLarge,
+    ProblemKind::TooSlow,
+    ProblemKind::Overloaded,
+    ProblemKind::NotReady,
+    ProblemKind::Unavailable,
+    ProblemKind::Quarantined,
+    ProblemKind::DeadlinePassed,
+    ProblemKind::TargetFailed,
+    ProblemKind::KeyRefused,
+    ProblemKind::KeyMismatch,
+    ProblemKind::AnswerGone,
+    ProblemKind::KeyMissing,
+    ProblemKind::AnswerTooLarge,
 ];
 
-impl Kind {
+impl ProblemKind {
     /// Name of the kind, the last part of its URI.
     pub fn name(self) -> &'static str {
         self.parts().1
     }
 
     /// The kind of this name.
-    pub fn find(name: &str) -> Option<Kind> {
-        KINDS.into_iter().find(|kind| kind.name() == name)
+    pub fn from_name(name: &str) -> Option<ProblemKind> {
+        ALL_KINDS.into_iter().find(|kind| kind.name() == name)
     }
 
     fn parts(self) -> (StatusCode, &'static str, &'static str) {
         match self {
-            Kind::Malformed => (StatusCode::BAD_REQUEST, "malformed", "malformed request"),
-            Kind::UnknownService => (StatusCode::NOT_FOUND, "unknown-service", "unknown service"),
-            Kind::TooLarge => (
+            ProblemKind::Malformed => (StatusCode::BAD_REQUEST, "malformed", "malformed request"),
+            ProblemKind::UnknownService => {
+                (StatusCode::NOT_FOUND, "unknown-service", "unknown service")
+            }
+            ProblemKind::TooLarge => (
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "too-large",
                 "request too large",
             ),
-            Kind::TooSlow => (
+            ProblemKind::TooSlow => (
                 StatusCode::REQUEST_TIMEOUT,
                 "too-slow",
                 "request took too long to arrive",
             ),
-            Kind::Overloaded => (StatusCode::SERVICE_UNAVAILABLE, "overloaded", "turned away"),
-            Kind::NotReady => (
+            ProblemKind::Overloaded => {
+                (StatusCode::SERVICE_UNAVAILABLE, "overloaded", "turned away")
+            }
+            ProblemKind::NotReady => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "not-ready",
                 "host not ready",
             ),
-            Kind::Unavailable => (
+            ProblemKind::Unavailable => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "unavailable",
                 "no target available",
             ),
-            Kind::Quarantined => (
+            ProblemKind::Quarantined => (
                 StatusCode::FORBIDDEN,
                 "quarantined",
                 "request crashes targets",
             ),
-            Kind::DeadlinePassed => (StatusCode::GATEWAY_TIMEOUT, "deadline", "deadline passed"),
-            Kind::TargetFailed => (StatusCode::BAD_GATEWAY, "target-failed", "target failed"),
-            Kind::KeyRefused => (StatusCode::CONFLICT, "key-refused", "key can no longer run"),
-            Kind::KeyMismatch => (
+            ProblemKind::DeadlinePassed => {
+                (StatusCode::GATEWAY_TIMEOUT, "deadline", "deadline passed")
+            }
+            ProblemKind::TargetFailed => {
+                (StatusCode::BAD_GATEWAY, "target-failed", "target failed")
+            }
+            ProblemKind::KeyRefused => {
+                (StatusCode::CONFLICT, "key-refused", "key can no longer run")
+            }
+            ProblemKind::KeyMismatch => (
                 StatusCode::UNPROCESSABLE_ENTITY,
                 "key-mismatch",
                 "key belongs to another request",
             ),
-            Kind::AnswerGone => (StatusCode::GONE, "answer-gone", "answer no longer held"),
-            Kind::KeyMissing => (StatusCode::BAD_REQUEST, "key-missing", "key required"),
-            Kind::AnswerTooLarge => (
+            ProblemKind::AnswerGone => (StatusCode::GONE, "answer-gone", "answer no longer held"),
+            ProblemKind::KeyMissing => (StatusCode::BAD_REQUEST, "key-missing", "key required"),
+            ProblemKind::AnswerTooLarge => (
                 StatusCode::BAD_GATEWAY,
                 "answer-too-large",
                 "answer too large",
@@ -124,9 +134,9 @@
 
 /// Why a call has no answer, and whether it ran.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trouble {
+pub struct CallError {
     /// What kind of error it is.
-    pub kind: Kind,
+    pub kind: ProblemKind,
     /// Whether the request ran.
     pub run: Run,
     /// What happened, in words for the caller.
@@ -135,10 +145,10 @@
     pub retry_after: Option<Duration>,
 }
 
-impl Trouble {
+impl CallError {
     /// A request that did not run and will not.
-    pub fn not_run(kind: Kind, detail: impl Into<Arc<str>>) -> Trouble {
-        Trouble {
+    pub fn not_run(kind: ProblemKind, detail: impl Into<Arc<str>>) -> CallError {
+        CallError {
             kind,
             run: Run::No,
             detail: detail.into(),
@@ -147,8 +157,8 @@
     }
 
     /// A request of which nobody knows whether it ran.
-    pub fn unknown(kind: Kind, detail: impl Into<Arc<str>>) -> Trouble {
-        Trouble {
+    pub fn unknown(kind: ProblemKind, detail: impl Into<Arc<str>>) -> CallError {
+        CallError {
             kind,
             run: Run::Unknown,
             detail: detail.into(),
@@ -158,7 +168,7 @@
 
     /// The same, with a time after which a new try may help.
     #[must_use]
-    pub fn retry_after(mut self, time: Duration) -> Trouble {
+    pub fn retry_after(mut self, time: Duration) -> CallError {
         self.retry_after = Some(time);
         self
     }
