--- a/crates/node/src/call/body.rs
+++ b/crates/node/src/call/body.rs
@@ -1,4 +1,4 @@
-//! Takes a request in: its body within limits of size and time, its timeout field.
+//! Reads the body of a request within limits of size and time, and its timeout field.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 /// Limits on the body of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyLimits {
-    /// Largest body, in bytes.
+    /// Maximum size of the body, in bytes.
     pub bytes: usize,
-    /// Time the body may take to arrive.
+    /// Maximum time for the body to arrive.
     pub time: Duration,
 }
 
 impl BodyLimits {
-    /// The limits that the settings give.
+    /// Returns the limits of the settings.
     pub fn open(limits: &LimitSettings) -> BodyLimits {
         let bytes = usize::try_from(limits.body_bytes.get()).unwrap_or(usize::MAX);
         BodyLimits {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Reads a whole body, or says why it was not taken. Nothing has run at that point.
+/// Reads a complete body, or returns the reason why it was refused. Nothing has run at that point.
 pub async fn read_body(body: Body, limits: BodyLimits) -> Result<Bytes, CallError> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
@@ -53,7 +53,8 @@
     }
 }
 
-/// The time the caller gives, from its header field, or `default`; never more than `longest`.
+/// Returns the time limit from the caller's header field, or `default` if there is none; at most
+/// `max`.
 pub fn timeout_field(
     headers: &HeaderMap,
     default: Duration,
--- a/crates/node/src/call/headers.rs
+++ b/crates/node/src/call/headers.rs
@@ -1,10 +1,10 @@
-//! Which header fields go on to targets and back to callers.
+//! Selects the header fields that are forwarded to targets and back to callers.
 
 use hyper::{HeaderMap, header::HeaderName};
 
 use crate::wire;
 
-/// Fields that speak of one connection, not of the message (RFC 9110, section 7.6.1).
+/// Fields that belong to one connection, not to the message (RFC 9110, section 7.6.1).
 const CONNECTION_FIELDS: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -21,14 +21,14 @@
 /// Prefix of the fields that only callers and hosts exchange.
 const OWN_PREFIX: &str = "dunlinrock-";
 
-/// Fields of a caller's request that its target gets.
+/// Returns the fields of a caller's request that are sent to the target.
 pub fn target_fields(headers: &HeaderMap) -> HeaderMap {
     filter_fields(headers, |name| {
         name != "host" && name != wire::REQUEST_ID && name != wire::REQUEST_TIMEOUT
     })
 }
 
-/// Fields of a target's answer that the caller gets.
+/// Returns the fields of a target's response that are sent to the caller.
 pub fn answer_fields(headers: &HeaderMap) -> HeaderMap {
     filter_fields(headers, |name| {
         name != wire::TARGET_LOAD && name != wire::TARGET_SHED
@@ -48,7 +48,7 @@
     out
 }
 
-/// Fields that the `Connection` field names as belonging to the connection.
+/// Returns the fields that the `Connection` field lists as belonging to the connection.
 fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
     let mut names = Vec::new();
     for value in headers.get_all("connection") {
--- a/crates/node/src/call/mod.rs
+++ b/crates/node/src/call/mod.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, as the duties pass it around.
+//! A caller's request, as it is passed between workers.
 
 mod body;
 mod headers;
@@ -12,44 +12,48 @@
 pub use body::{BodyLimits, read_body, timeout_field};
 pub use headers::{answer_fields, target_fields};
 
-/// One request, whole.
+/// A complete request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Id of the request, in answers, logs and towards targets.
+    /// Id of the request, in responses, in logs and towards targets.
     pub request: Arc<str>,
-    /// Service asked for.
+    /// Requested service.
     pub service: Arc<str>,
     /// HTTP method.
     pub method: Method,
-    /// Path and query towards the target, from its slash on.
+    /// Path and query for the target, starting with a slash.
     pub path: Arc<str>,
-    /// Header fields that go on to the target.
+    /// Header fields that are forwarded to the target.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
-    /// Region of the host that took it in.
+    /// Region of the host that received the request from the caller.
     pub region: Arc<str>,
     /// Address of the caller.
     pub client: IpAddr,
-    /// Hash of the caller's name, for fair shares.
+    /// Hash of the caller's name, for fair sharing between callers.
     pub caller: u64,
-    /// Hash of what the request is about (its path), for fair shares among keys.
+    /// Hash of the path without its query: the subject of the request, for fair sharing between
+    /// keys.
     pub topic: u64,
-    /// Hash of the kind of work (method and first part of the path), for its expected time.
+    /// Hash of the kind of work (method and first segment of the path), for the expected service
+    /// time.
     pub kind: u64,
-    /// Hash of the whole request, the same when it is sent again.
+    /// Hash of the complete request; a retry has the same one.
     pub fingerprint: u64,
-    /// Hash of the caller's name and the whole request: who may see the answer of a key.
+    /// Hash of the caller's name and the complete request, which decides who may receive the
+    /// response of a key.
     pub identity: u64,
-    /// Whether it may be run more than once.
+    /// Whether the request is idempotent.
     pub repeatable: bool,
-    /// Key of a request that may not be repeated.
+    /// Key of a request that is not idempotent.
     pub key: Option<Arc<str>>,
-    /// What the caller said of earlier attempts of the key.
+    /// Earlier attempts of the key, as stated by the caller.
     pub attempts: Option<Arc<str>>,
-    /// Hand-overs between hosts so far. Two hosts that disagree about an owner while a membership
-    /// change spreads would pass a request to and fro until its deadline; the count ends that.
+    /// Number of hops between hosts so far. While a membership change spreads, two hosts may
+    /// disagree about an owner and would forward a request back and forth until its deadline; the
+    /// limit on hops prevents that.
     pub hops: u8,
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,11 +1,11 @@
-//! Time of this process, as the decisions take it.
+//! The clock that the decisions use.
 
 use std::time::Duration;
 
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// A monotonic clock that counts from the host's start; copies agree.
+/// A monotonic clock that starts at zero with the host. Copies show the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
@@ -19,32 +19,33 @@
         }
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Duration {
         self.origin.elapsed()
     }
 
-    /// Time since the start of an instant; zero for one before it.
+    /// Converts an instant to the time since the start; zero for an instant before the start.
     pub fn at(&self, instant: Instant) -> Duration {
         instant.saturating_duration_since(self.origin)
     }
 
-    /// The instant of a time since the start.
+    /// Converts a time since the start to an instant.
     pub fn instant(&self, time: Duration) -> Instant {
         self.origin + time
     }
 }
 
-/// Time since the machine started, its sleep included.
+/// Returns the time since the machine booted, including time it was suspended.
 ///
-/// The monotonic clock stands still while a machine sleeps, but what it was told grows older.
+/// The monotonic clock stops while a machine is suspended, but the data that the host received
+/// earlier grows older meanwhile.
 pub fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
     let time = time.or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC));
     time.map_or(Duration::ZERO, Duration::from)
 }
 
-/// Whole milliseconds of a time, for logs, headers and messages; the largest number for one beyond it.
+/// Returns a time in whole milliseconds, saturated at `u64::MAX`, for logs, headers and messages.
 pub fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/node/src/dump/mod.rs
+++ b/crates/node/src/dump/mod.rs
@@ -1,4 +1,4 @@
-//! The whole state of a host as JSON, on request.
+//! The complete state of a host as JSON, on request.
 
 use std::time::Duration;
 
@@ -18,10 +18,10 @@
     view::{Member, PoolRoute, View},
 };
 
-/// Time a duty has to answer; one that does not is shown as `null`.
+/// Timeout for a worker's answer; the state of a worker that does not answer is `null`.
 const ASK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Takes the state of every duty.
+/// Collects the state of all workers.
 pub async fn take(shared: &Shared) -> Value {
     let view = shared.view.load_full();
     let pools = ask(&shared.pools, pools::Input::GetState).await;
--- a/crates/node/src/duties/callers/call.rs
+++ b/crates/node/src/duties/callers/call.rs
@@ -20,7 +20,7 @@
     wire::{self, Answer, CallError, ProblemKind},
 };
 
-/// Path before the service's name.
+/// Path prefix before the service's name.
 const PREFIX: &str = "/v1/call/";
 
 pub(super) async fn answer(shared: &Arc<Shared>, clients: &Clients, request: Request) -> Response {
@@ -38,7 +38,7 @@
             shared.metrics.increment(counter(error.run));
             log::debug!(
                 request = &*id, kind = error.kind.name(), run:% = error.run,
-                detail = &*error.detail; "no answer"
+                detail = &*error.detail; "call failed"
             );
             error.response(&id)
         }
@@ -109,7 +109,8 @@
     }
 }
 
-/// A host that is not ready knows nothing of earlier attempts of a key.
+/// Returns the error of a host that is not ready. Such a host does not know about earlier attempts
+/// of a key, so a keyed request gets `run: unknown`.
 fn not_ready(request: &Request) -> CallError {
     let detail = "this host holds no configuration yet, or is catching up";
     let error = match request.headers().contains_key(wire::KEY) {
@@ -123,7 +124,7 @@
     CallError::not_run(ProblemKind::Malformed, detail)
 }
 
-/// Service and path towards the target, query included.
+/// Returns the service and the path for the target, including the query.
 fn split_path(request: &Request) -> Result<(&str, &str), CallError> {
     let whole = request
         .uri()
@@ -238,7 +239,8 @@
         .map_err(|e: dunlinrock_coord::once::KeyError| malformed(&e.to_string()))
 }
 
-/// One hash over several parts, each with its length, so that `ab`, `c` and `a`, `bc` differ.
+/// Returns one hash over several parts. The length of each part is hashed too, so that `ab`, `c`
+/// and `a`, `bc` differ.
 fn hash(parts: &[&[u8]]) -> u64 {
     let mut bytes = Vec::with_capacity(parts.iter().map(|part| part.len() + 8).sum());
     for part in parts {
--- a/crates/node/src/duties/callers/lookup.rs
+++ b/crates/node/src/duties/callers/lookup.rs
@@ -1,7 +1,8 @@
-//! `GET /v1/hosts/{service}`: which hosts to use now.
+//! `GET /v1/hosts/{service}`: returns the hosts that a caller should use now.
 //!
-//! Answers are made when a view is published; a look-up finds the caller's region and sends one of
-//! them, without a lock or a computation, so that callers can always ask, also under saturation.
+//! Answers are composed when a view is published. A look-up only finds the caller's region and
+//! sends one of them, without a lock or a computation, so that look-ups are always served, also
+//! under saturation.
 
 use std::net::IpAddr;
 
@@ -18,7 +19,7 @@
     wire::{CallError, ProblemKind},
 };
 
-/// Path before the service's name.
+/// Path prefix before the service's name.
 const PREFIX: &str = "/v1/hosts/";
 
 pub(super) fn answer(shared: &Shared, request: &Request) -> Response {
@@ -64,8 +65,8 @@
     CallError::not_run(ProblemKind::UnknownService, detail)
 }
 
-/// The client that the look-up is for: `?client=IP`, for those who ask on behalf of others, or the
-/// address of the connection.
+/// Returns the client that the look-up is for: `?client=IP`, for clients that ask on behalf of
+/// others, or the address of the connection.
 fn client(request: &Request) -> Result<IpAddr, CallError> {
     let asked = request.uri().query().and_then(|query| {
         query
--- a/crates/node/src/duties/callers/mod.rs
+++ b/crates/node/src/duties/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Serves callers: look-ups and calls, and the pools owned here.
+//! Serves callers: look-ups and calls. The pools that this host owns run on the same thread.
 
 mod call;
 mod lookup;
@@ -12,8 +12,8 @@
 use super::{pools, spawn};
 use crate::{ring, run::Clients, serve, shared::Shared};
 
-/// Spawns the duty on a bound listener. It ends when `stop` has turned true, the last answer is out,
-/// and the pools were told to stop.
+/// Spawns the worker on a bound listener. It ends when `stop` is true, the last response has been
+/// sent, and the pools have been stopped.
 pub fn open(
     shared: Arc<Shared>,
     listener: std::net::TcpListener,
@@ -63,7 +63,7 @@
         })
 }
 
-/// 200 where this host may be used, 503 where it may not (yet, or any more).
+/// Returns 200 if callers may use this host, and 503 if it is not ready yet or is shutting down.
 fn readiness(shared: &Shared) -> Response {
     let view = shared.view.load();
     let (status, text) = match (view.ready, view.leaving) {
@@ -76,7 +76,7 @@
     response
 }
 
-/// Address of the caller on this connection.
+/// Returns the address of the caller on this connection.
 fn peer(request: &Request) -> Option<SocketAddr> {
     request
         .extensions()
--- a/crates/node/src/duties/control/active_config.rs
+++ b/crates/node/src/duties/control/active_config.rs
@@ -1,8 +1,8 @@
-//! The configuration in force here, made from the pieces that the follower holds.
+//! The active configuration, built from the pieces that the follower holds.
 //!
 //! Client blocks are kept apart from the rest: 760,000 of them as strings in a map would take half
-//! of what a host may use, so they go from their pieces straight into the look-up table. A change
-//! that touches no block leaves the table as it is.
+//! of the memory that a host may use, so they are read from their pieces directly into the look-up
+//! table. A change that affects no block keeps the table.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 /// Prefix of the names of pieces that hold client blocks.
 const BLOCKS_PREFIX: &str = "blocks/";
 
-/// What this host steers by.
+/// The configuration that this host applies.
 #[derive(Clone, Debug)]
 pub(super) struct ActiveConfig {
     /// Revision; 0 before there is one.
@@ -38,13 +38,16 @@
         }
     }
 
-    /// Makes what `copy` holds, taking over what `switch` did not change. Whole or not at all.
+    /// Builds the configuration of `snapshot` and keeps the parts that `update` did not change.
+    /// Fails without a partial result.
     pub(super) fn next(
         &self,
         update: &Update,
         snapshot: &Snapshot,
     ) -> anyhow::Result<ActiveConfig> {
-        let tree = snapshot.tree().context("the snapshot names no tree")?;
+        let tree = snapshot
+            .tree()
+            .context("the snapshot has no valid tree hash")?;
         let listed = pieces::list_tree(tree, &snapshot.pieces)?;
         let mut config = Config::default();
         let blocks_changed = self.revision == 0
--- a/crates/node/src/duties/control/input.rs
+++ b/crates/node/src/duties/control/input.rs
@@ -1,4 +1,4 @@
-//! What the duty takes in and what it answers.
+//! Inputs of the control worker and replies to other hosts.
 
 use std::net::IpAddr;
 
@@ -6,42 +6,43 @@
 use serde_json::Value;
 use tokio::sync::oneshot;
 
-/// Something for the duty to do. What a full ring does is said for each.
+/// Input of the worker. The comment of each variant tells what happens if the channel is full.
 #[derive(Debug)]
 pub enum Input {
-    /// A control message of another host. Full ring: refused; the sender sends its next one.
+    /// A control message of another host. Full channel: refused; the sender sends its next one.
     Message {
-        /// Address it came from.
+        /// Source address.
         from: IpAddr,
-        /// The message, encoded.
+        /// The encoded message.
         frame: Bytes,
-        /// Where its answer goes.
+        /// Channel for the reply.
         reply: oneshot::Sender<Reply>,
     },
-    /// Another host asks for shares and room. Full ring: refused; it asks again a second later.
+    /// A request of another host for traffic shares and grants. Full channel: refused; the host
+    /// asks again a second later.
     Steer {
-        /// Address it came from.
+        /// Source address.
         from: IpAddr,
-        /// The ask, packed.
+        /// The encoded request.
         frame: Bytes,
-        /// Where its answer goes.
+        /// Channel for the reply.
         reply: oneshot::Sender<Reply>,
     },
-    /// Begin a planned stop. Full ring: the asker tries again.
+    /// Begins a graceful shutdown. Full channel: the requester tries again.
     Shutdown,
-    /// Asks for the state. Full ring: the asker goes without.
+    /// Requests the state. Full channel: the request is dropped.
     GetState(oneshot::Sender<Value>),
 }
 
-/// Answer to a message of another host.
+/// Reply to a message of another host.
 #[derive(Debug)]
 pub enum Reply {
-    /// The encoded answer.
+    /// The encoded response.
     Frame(Vec<u8>),
-    /// Taken; there is nothing to answer.
+    /// The message was accepted; there is no response.
     Accepted,
-    /// The sender is no member.
+    /// The sender is not a member.
     NotMember,
-    /// The message cannot be read.
+    /// The message cannot be decoded.
     Unreadable,
 }
--- a/crates/node/src/duties/control/members.rs
+++ b/crates/node/src/duties/control/members.rs
@@ -1,4 +1,4 @@
-//! Who is there: the membership, its messages, and the hosts as other duties see them.
+//! The membership: its settings, its messages, and the members as other workers see them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,7 +18,8 @@
 
 use crate::{host::INCARNATION_BITS, view::Member};
 
-/// Times of the membership, from the settings; the rest as the coordination crate chose them.
+/// Returns the timings of the membership from the settings, and the defaults of the coordination
+/// crate for the others.
 pub(super) fn timings(timing: &TimingSettings) -> Timings {
     Timings {
         heartbeat: Duration::from_millis(timing.heartbeat_ms),
@@ -28,7 +29,7 @@
     }
 }
 
-/// This host, as it introduces itself.
+/// Returns this host as a member.
 pub(super) fn introduce(me: &Member) -> LocalMember {
     LocalMember {
         name: Arc::clone(&me.name),
@@ -40,7 +41,7 @@
     }
 }
 
-/// Every host that is there or may be, by name, as other duties see it.
+/// Returns all hosts that are alive or suspect, by name, as other workers see them.
 pub(super) fn members(
     membership: &Membership,
     me: &Member,
@@ -70,7 +71,7 @@
     members
 }
 
-/// Regions of which a host is there, be it only starting.
+/// Returns the regions with at least one responsive host, including hosts that are still starting.
 pub(super) fn present_regions(membership: &Membership) -> BTreeSet<Arc<str>> {
     let hosts = membership.hosts().iter().filter(|(name, host)| {
         let state = membership.state_of(name);
@@ -94,8 +95,8 @@
     })
 }
 
-/// An epoch of another host's ledger to bind keys to. The start of an incarnation is written in its number,
-/// so no message has to carry epochs.
+/// Estimates the current epoch of another host's ledger, for the bindings of keys. The start time
+/// of an incarnation is contained in its number, so no message has to carry epochs.
 pub(super) fn epoch(incarnation: u64, epoch_ms: u64) -> u64 {
     let started = Duration::from_millis(incarnation >> INCARNATION_BITS);
     let now = SystemTime::now()
@@ -104,7 +105,7 @@
     estimate_epoch(started, now, Duration::from_millis(epoch_ms))
 }
 
-/// Name of the host that a message says it is from.
+/// Returns the name of the host that claims to have sent a message.
 pub(super) fn sender(message: &Message) -> &Arc<str> {
     match message {
         Message::Beat(m) => &m.name,
@@ -120,11 +121,11 @@
     }
 }
 
-/// Whether a message from this address may be the named host's.
+/// Returns whether a message from this address may come from the host that it names.
 ///
-/// A host that is not known yet introduces itself, under an address that must be the one it sends
-/// from. This keeps a host of another deployment or an old address out; it is no protection from
-/// somebody who can send from a host's address.
+/// A host that is not known yet introduces itself with its address, which must be the one that it
+/// sends from. This rejects hosts of another deployment and outdated addresses; it is no protection
+/// against an attacker who can send from a host's address.
 pub(super) fn admits(membership: &Membership, message: &Message, from: IpAddr) -> bool {
     let address = |text: &str| text.parse::<SocketAddr>().map(|address| address.ip()).ok();
     if let Message::SyncAsk(SyncAsk { peers, .. }) = message {
--- a/crates/node/src/duties/control/mod.rs
+++ b/crates/node/src/duties/control/mod.rs
@@ -1,4 +1,5 @@
-//! Knows the other hosts, follows the configuration, moves shares, publishes views.
+//! The control worker: tracks the membership, follows the configuration, shifts traffic shares and
+//! publishes views.
 
 mod active_config;
 mod input;
@@ -19,21 +20,21 @@
 use self::state::Control;
 use crate::{ring, shared::Shared};
 
-/// Path on which hosts take control messages.
+/// Path on which hosts receive control messages.
 pub const CONTROL_PATH: &str = "/peer/v1/control";
-/// Path on which hosts ask for shares and room.
+/// Path on which hosts request traffic shares and grants.
 pub const STEER_PATH: &str = "/peer/v1/steer";
-/// Inputs that may wait for the duty: two heartbeats of each of some hundred hosts.
+/// Capacity of the worker's channel: two heartbeats of each of some hundred hosts.
 pub const QUEUE_CAPACITY: usize = 1024;
 
-/// How a planned stop went.
+/// Result of a graceful shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainReport {
-    /// Time from the request to leave to its end.
+    /// Time from the request for the shutdown to its end.
     pub drain: Duration,
 }
 
-/// Spawns the duty; its thread ends with a planned stop.
+/// Spawns the worker; its thread ends with a graceful shutdown.
 pub fn open(
     shared: Arc<Shared>,
     inputs: ring::Receiver<Input>,
@@ -57,7 +58,7 @@
             Some(result) = finished.recv() => control.on_result(result),
             Some(input) = inputs.recv() => control.input(input),
         }
-        // Nobody was served, so that there is nothing to drain.
+        // No caller was served, so there is nothing to drain.
         let higher_incarnation = shared.higher_incarnation.borrow().map(|_| Duration::ZERO);
         if let Some(drain) = control.ended().or(higher_incarnation) {
             return DrainReport { drain };
--- a/crates/node/src/duties/control/publish.rs
+++ b/crates/node/src/duties/control/publish.rs
@@ -1,4 +1,4 @@
-//! Makes the view that the other duties read.
+//! Builds the view that the other workers read.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
     view::{LoadReading, LookupAnswers, Member, View},
 };
 
-/// What a view is made from.
+/// Values that a view is built from.
 pub(super) struct ViewInputs<'a> {
     pub active: &'a ActiveConfig,
     pub members: &'a BTreeMap<Arc<str>, Arc<Member>>,
@@ -20,21 +20,21 @@
     pub reports: &'a [PoolReport],
     pub quarantines: Vec<QuarantineUpdate>,
     pub ready: bool,
-    /// Whether this host may take work up; see the membership.
+    /// Whether this host may take pools over; see the membership.
     pub caught_up: bool,
     pub leaving: bool,
     pub now: Duration,
 }
 
-/// Publishes views, and keeps what one shares with the next.
+/// Publishes views, and keeps the values that consecutive views share.
 pub(super) struct Publisher {
     number: u64,
     revision: u64,
     pools: BTreeMap<Arc<PoolId>, Vec<(Arc<str>, Target)>>,
     answers: Arc<LookupAnswers>,
-    /// What the answers were made from.
+    /// Inputs of the current answers: revision and members.
     answer_inputs: (u64, Vec<Member>),
-    /// What the pools duty was last told: revision and pools.
+    /// Last specifications sent to the pools worker: revision and pools.
     last_specs: (u64, Vec<Arc<PoolId>>),
 }
 
@@ -69,8 +69,8 @@
         };
         let routes = inputs.routes();
         let services = inputs.services(&routes);
-        // A host that was paused may own nothing any more: it gives up what it has, and takes pools
-        // up again when it knows who else is there.
+        // A host whose process was paused may own no pools any more: it releases the ones it has,
+        // and takes pools over again when it knows the current members.
         let specs = match parts.caught_up && !parts.leaving {
             true => inputs.specs(&routes, &parts.quarantines),
             false => Vec::new(),
@@ -106,7 +106,7 @@
         shared.published.send_replace(self.number);
     }
 
-    /// Composes the answers to look-ups again where what they were made from has changed.
+    /// Recomposes the answers to look-ups if their inputs have changed.
     fn refresh_answers(&mut self, shared: &Shared, parts: &ViewInputs<'_>) {
         let all: Vec<Member> = parts.members.values().map(|m| Member::clone(m)).collect();
         let from = (self.revision, all);
@@ -124,7 +124,7 @@
     }
 }
 
-/// Loads of the pools owned here; those of others come with their answers.
+/// Returns the loads of the pools that this host owns; those of other pools arrive with responses.
 fn own_loads(reports: &[PoolReport], now: Duration) -> BTreeMap<Arc<PoolId>, LoadReading> {
     let own = reports.iter().filter(|report| !report.released);
     own.map(|report| {
--- a/crates/node/src/duties/control/quarantine.rs
+++ b/crates/node/src/duties/control/quarantine.rs
@@ -1,4 +1,5 @@
-//! Words about requests that kill their targets, as hosts pass them on.
+//! Conversion of quarantine updates to and from the records that hosts exchange. A quarantine is
+//! about a request that crashes its targets.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,9 +8,9 @@
 
 use crate::clock::millis;
 
-/// Before the fingerprint of a request under suspicion.
+/// Prefix of the fingerprint of a suspect request.
 const SUSPECT_PREFIX: &str = "suspect:";
-/// Before the fingerprint of a request that is refused.
+/// Prefix of the fingerprint of a request that is refused.
 const CONVICT_PREFIX: &str = "convict:";
 
 pub(super) fn write(update: &QuarantineUpdate) -> Quarantine {
@@ -24,7 +25,8 @@
     }
 }
 
-/// Reads a word; none where it is about something else, or of a kind that this host does not know.
+/// Converts a record; returns `None` if it is not about a request, or has a status that this host
+/// does not know.
 pub(super) fn read(quarantine: &Quarantine) -> Option<QuarantineUpdate> {
     if quarantine.kind != QuarantineKind::Request {
         return None;
--- a/crates/node/src/duties/control/routes.rs
+++ b/crates/node/src/duties/control/routes.rs
@@ -1,10 +1,11 @@
-//! Makes the routes of a view: who owns which pool.
+//! Builds the routes of a view: the owner of each pool.
 //!
-//! One host counts the slots of a pool and queues for it, because many hosts that each send to the
-//! target that looks least busy overrun it together: slots are few (3 to 8 a target) and reports
-//! lag. The owner is chosen by rendezvous hash among the hosts of the pool's domain, so that all
-//! hosts agree without a word, and a host that comes or goes moves only the pools that it wins or
-//! loses. While they disagree, for about a heartbeat, a request is handed on once more.
+//! One host counts the slots of a pool and queues requests for it. Many hosts that each send to the
+//! target that looks least busy would overload it together: slots are few (3 to 8 per target) and
+//! load reports lag. The owner is chosen by rendezvous hashing among the hosts of the pool's
+//! domain, so all hosts agree without messages, and a host that joins or leaves moves only the
+//! pools that it wins or loses. While hosts disagree, for about a heartbeat, a request is forwarded
+//! one more time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,10 +26,10 @@
 
 /// Delay within a failure domain.
 const SAME_DOMAIN_DELAY: Duration = Duration::from_micros(100);
-/// Delay assumed where the configuration has no link between two regions.
+/// Assumed delay between two regions without a link in the configuration.
 const DEFAULT_LINK_DELAY: Duration = Duration::from_millis(100);
 
-/// Targets of each pool of a configuration.
+/// Returns the targets of each pool of a configuration.
 pub(super) fn pools(config: &Config) -> BTreeMap<Arc<PoolId>, Vec<(Arc<str>, Target)>> {
     let mut pools: BTreeMap<Arc<PoolId>, Vec<(Arc<str>, Target)>> = BTreeMap::new();
     for (name, target) in &config.targets {
@@ -44,9 +45,10 @@
     pools
 }
 
-/// The host that owns a pool: one of its domain, else one of its region. Any host where no host was
-/// ever seen in that region; where the region's hosts fell silent nobody owns its pools, since what
-/// they still send to its targets cannot be known from here.
+/// Returns the host that owns a pool: a host of its domain, else a host of its region. If no host
+/// was ever seen in that region, any host may own the pool. If the region's hosts became
+/// unresponsive, the pool has no owner, since the requests that they still send to its targets are
+/// unknown here.
 pub(super) fn owner(
     config: &Config,
     id: &PoolId,
@@ -67,20 +69,20 @@
     members.get(&name).cloned()
 }
 
-/// What the routes are made from.
+/// Values that the routes are built from.
 pub(super) struct RouteInputs<'a> {
     pub config: &'a Config,
     pub me: &'a Member,
     pub members: &'a BTreeMap<Arc<str>, Arc<Member>>,
     pub pools: &'a BTreeMap<Arc<PoolId>, Vec<(Arc<str>, Target)>>,
     pub loads: &'a BTreeMap<Arc<PoolId>, LoadReading>,
-    /// Regions that hosts were seen in.
+    /// Regions in which hosts were seen.
     pub seen: &'a BTreeSet<Arc<str>>,
     pub before: &'a BTreeMap<Arc<PoolId>, Arc<PoolRoute>>,
 }
 
 impl RouteInputs<'_> {
-    /// The route to each pool.
+    /// Returns the route of each pool.
     pub(super) fn routes(&self) -> BTreeMap<Arc<PoolId>, Arc<PoolRoute>> {
         let routes = self.pools.iter();
         routes
@@ -108,8 +110,8 @@
         PoolRoute::open(parts, reading, before)
     }
 
-    /// What is assumed of a pool of which nothing was heard: its slots, and no load. It counts as
-    /// heard when this host began, so that any word replaces it.
+    /// Returns the load assumed for a pool without a load report: its slots, and no work. Its time
+    /// is this host's start, so any report replaces it.
     fn assumed_load(&self, targets: &[(Arc<str>, Target)]) -> LoadReading {
         let usable = targets
             .iter()
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Every service with its pools by region.
+    /// Returns each service with its pools by region.
     pub(super) fn services(
         &self,
         routes: &BTreeMap<Arc<PoolId>, Arc<PoolRoute>>,
@@ -148,7 +150,7 @@
         services
     }
 
-    /// The pools that this host owns.
+    /// Returns the specifications of the pools that this host owns.
     pub(super) fn specs(
         &self,
         routes: &BTreeMap<Arc<PoolId>, Arc<PoolRoute>>,
@@ -178,7 +180,7 @@
 
 fn addresses(targets: &[(Arc<str>, Target)]) -> BTreeMap<Arc<str>, SocketAddr> {
     let parsed = targets.iter().filter_map(|(name, target)| {
-        // The configuration's checks refuse other addresses before an apply.
+        // The checks before an apply reject other addresses.
         Some((Arc::clone(name), target.address.parse().ok()?))
     });
     parsed.collect()
@@ -203,7 +205,7 @@
     }
 }
 
-/// One-way delay between two hosts, by the configuration.
+/// Returns the one-way delay between two hosts according to the configuration.
 fn delay(config: &Config, me: &Member, other: &Member) -> Duration {
     if me.name == other.name {
         return Duration::ZERO;
--- a/crates/node/src/duties/control/shutdown.rs
+++ b/crates/node/src/duties/control/shutdown.rs
@@ -1,40 +1,41 @@
-//! The steps of a planned stop.
+//! The steps of a graceful shutdown.
 
 use std::time::Duration;
 
 use dunlinrock_schema::settings::TimingSettings;
 
-/// Time beyond the settings' drain time for the ledger's last words.
+/// Time beyond the drain time of the settings for the ledger's last messages.
 const MARGIN: Duration = Duration::from_secs(5);
 
-/// A planned stop.
+/// A graceful shutdown.
 ///
-/// 1. Others are told at once; look-ups no longer name this host, its pools go to other owners.
-/// 2. Answers that callers have cached are honoured until they have expired.
-/// 3. What runs ends, and the ledger hands its records over.
-/// 4. The host is taken off the list, and the process ends.
+/// 1. Other hosts are notified at once; look-ups no longer return this host, and other hosts take
+///    its pools over.
+/// 2. The host keeps serving until the answers that callers have cached expire.
+/// 3. Running requests end, and the ledger transfers its records.
+/// 4. The host is removed from the platform's list, and the process ends.
 ///
-/// Ending sooner would meet callers with a refused connection while their answer still names this
-/// host; a request that may not be repeated would then have one side of its key missing.
+/// Ending sooner would refuse connections of callers whose cached answer still contains this host;
+/// for a request that is not idempotent, one of the two hosts of its key would then be missing.
 #[derive(Clone, Debug)]
 pub(super) struct Shutdown {
     since: Duration,
     step: u8,
-    /// Whether the ledger has handed its records over.
+    /// Whether the ledger has transferred its records.
     pub handed_over: bool,
     ended: Option<Duration>,
 }
 
-/// What to do now.
+/// Next action of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
-    /// Nothing.
+    /// No action now.
     Wait,
-    /// Tell the ledger to hand its records over, with this time for open requests.
+    /// Let the ledger transfer its records, with this time limit for open requests.
     HandOver(Duration),
-    /// Look whether it has.
+    /// Query whether the ledger has finished.
     AskLedger,
-    /// Take the host off the list.
+    /// Remove the host from the platform's list.
     Deregister,
 }
 
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Time the stop took, once it is over.
+    /// Returns the duration of the shutdown, once it has ended.
     pub(super) fn drain_time(&self) -> Option<Duration> {
         self.ended.map(|at| at.saturating_sub(self.since))
     }
@@ -57,11 +58,11 @@
         self.ended.get_or_insert(now);
     }
 
-    /// The next step; `busy` tells whether a pool of this host still runs or holds requests.
+    /// Returns the next step. `busy` is whether a pool of this host still runs or queues requests.
     pub(super) fn step(&mut self, timing: &TimingSettings, busy: bool, now: Duration) -> Step {
         let elapsed = now.saturating_sub(self.since);
         let max_drain = Duration::from_millis(timing.drain_ms);
-        // A peer composes answers with this host until it has heard the word, a heartbeat later.
+        // Peers compose answers with this host until they receive the notice, one heartbeat later.
         let cached = Duration::from_millis(timing.answer_ttl_ms + 2 * timing.heartbeat_ms);
         match self.step {
             0 if elapsed < cached => Step::Wait,
--- a/crates/node/src/duties/control/state.rs
+++ b/crates/node/src/duties/control/state.rs
@@ -1,4 +1,4 @@
-//! State of the control duty: its parts, and what passes between them.
+//! State of the control worker and the data flow between its components.
 
 use std::{
     collections::BTreeMap,
@@ -45,10 +45,10 @@
     wire::Client,
 };
 
-/// Largest answer to a control message, in bytes: pieces that were asked for.
+/// Maximum size of a response to a control message, in bytes: requested pieces are the largest.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// State of the control duty.
+/// State of the control worker.
 pub(super) struct Control {
     shared: Arc<Shared>,
     remote: RemoteCalls,
@@ -56,16 +56,17 @@
     follower: Follower,
     role: relay::RelayRole,
     watching: watch::Sender<bool>,
-    /// What this host announces on the platform's list; nothing once it has ended.
+    /// This host's entry on the platform's list; `None` once it has ended.
     registration: watch::Sender<Option<Listed>>,
     active: ActiveConfig,
     steering: Steering,
     publisher: Publisher,
     members: BTreeMap<Arc<str>, Arc<Member>>,
     reports: Vec<PoolReport>,
-    /// Requests that kill their targets, with the time until which that holds.
+    /// Quarantined requests, which crash their targets, with the time at which the quarantine
+    /// expires.
     quarantines: BTreeMap<u64, (QuarantineUpdate, Duration)>,
-    /// Hosts that wait for shares and room until the next tick.
+    /// Requests of hosts for shares and grants, answered at the next tick.
     waiting: Vec<(SteerAsk, oneshot::Sender<Reply>)>,
     shutdown: Option<Shutdown>,
 }
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Time that the planned stop took, once it is over.
+    /// Returns the duration of the graceful shutdown, once it has ended.
     pub(super) fn ended(&self) -> Option<Duration> {
         self.shutdown.as_ref()?.drain_time()
     }
@@ -116,7 +117,7 @@
     pub(super) fn input(&mut self, input: Input) {
         match input {
             Input::Message { from, frame, reply } => {
-                // Whoever sent it may have given up waiting.
+                // The sender may have stopped waiting.
                 let _ = reply.send(self.on_message(from, &frame));
             }
             Input::Steer { from, frame, reply } => self.hold_steer_ask(from, &frame, reply),
@@ -162,10 +163,10 @@
         }
     }
 
-    /// One heartbeat.
+    /// Runs one heartbeat.
     pub(super) fn tick(&mut self) {
         let now = self.shared.now();
-        // What a pause has changed is taken in before the fence opens again.
+        // Changes during a pause of this process are processed before the fence opens again.
         let actions = self.membership.tick(now);
         self.act(actions);
         self.shared.fence.renew(now);
@@ -181,7 +182,7 @@
         self.advance_shutdown(now);
     }
 
-    /// Takes a control message in and answers it where it asks something.
+    /// Processes a control message and replies if it is a request.
     fn on_message(&mut self, from: IpAddr, frame: &Bytes) -> Reply {
         let Ok(message) = coord_wire::decode::<Message>(frame) else {
             return Reply::Unreadable;
@@ -209,7 +210,9 @@
     fn on_answer(&mut self, from: &Arc<str>, frame: &Bytes) {
         match coord_wire::decode::<Message>(frame) {
             Ok(message) => self.on_decoded(message),
-            Err(e) => log::warn!(from = &**from, error:% = e; "an answer cannot be read"),
+            Err(e) => {
+                log::warn!(from = &**from, error:% = e; "the response of a host cannot be decoded")
+            }
         }
     }
 
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Does what the membership asks for.
+    /// Executes the actions of the membership.
     fn act(&mut self, actions: Vec<member::Action>) {
         let now = self.shared.now();
         let mut changed = false;
@@ -248,7 +251,7 @@
                     state,
                 } => {
                     changed = true;
-                    log::info!(host = &*name, incarnation = incarnation, state:% = state; "host");
+                    log::info!(host = &*name, incarnation = incarnation, state:% = state; "host state changed");
                     if state == HostState::Gone {
                         self.shared
                             .ledger
@@ -257,7 +260,7 @@
                 }
                 member::Action::DomainSilent { domain, silent } => {
                     changed = true;
-                    log::warn!(domain = &*domain, silent = silent; "domain");
+                    log::warn!(domain = &*domain, silent = silent; "domain silence changed");
                 }
                 member::Action::Quarantined(quarantine) => {
                     if let Some(update) = quarantine::read(&quarantine) {
@@ -271,7 +274,7 @@
                     changed = true;
                     if !caught_up {
                         log::warn!(
-                            "this host was paused; it takes nothing up before it has caught up"
+                            "this process was paused; it takes no pools over before it has caught up"
                         );
                         self.steering.restart();
                     }
@@ -279,7 +282,7 @@
                 member::Action::HigherIncarnation { incarnation } => {
                     log::warn!(
                         incarnation = self.shared.me.incarnation, earlier = incarnation;
-                        "an earlier process of this host has the higher number, by its clock; begun anew"
+                        "an earlier process of this host has the higher incarnation, by its clock; starting again"
                     );
                     self.shared
                         .higher_incarnation
@@ -306,7 +309,7 @@
         self.remote.send(to, peers, message);
     }
 
-    /// Does what the follower asks for.
+    /// Executes the actions of the follower.
     fn follow(&mut self, actions: Vec<follow::Action>) {
         for action in actions {
             match action {
@@ -341,7 +344,7 @@
         }
     }
 
-    /// Puts a newer configuration in force, and passes it on.
+    /// Activates a newer configuration and forwards it to the relay's children.
     fn switch(&mut self, switch: &follow::Update) {
         let Some(snapshot) = self.follower.snapshot() else {
             return;
@@ -350,13 +353,13 @@
             Ok(next) => next,
             Err(e) => {
                 let revision = switch.entry.revision;
-                log::error!(revision = revision, error:% = e; "a configuration is not usable");
+                log::error!(revision = revision, error:% = e; "the configuration cannot be used");
                 return;
             }
         };
         log::info!(
             revision = next.revision, apply = &*switch.entry.id, by = &*switch.entry.by;
-            "configuration in force"
+            "configuration activated"
         );
         self.shared.metrics.increment(Counter::Revisions);
         self.membership.set_revision(next.revision);
@@ -375,7 +378,8 @@
         self.publish(now);
     }
 
-    /// Works out again whether this host watches the store, and whom it asks and tells.
+    /// Recomputes this host's relay role: whether it watches the store, its upstreams and its
+    /// children.
     fn update_role(&mut self) {
         let role = relay::role(&self.shared.me.name, &self.membership.members());
         if role != self.role {
@@ -400,7 +404,8 @@
         }
     }
 
-    /// Keeps words that say more than what was known, and passes them to the pools; which.
+    /// Stores updates that raise the known status of a request, passes them to the pools, and
+    /// returns them.
     fn apply_quarantines(
         &mut self,
         quarantines: &[QuarantineUpdate],
@@ -442,12 +447,12 @@
         for (ask, reply) in std::mem::take(&mut self.waiting) {
             let lent = grants.remove(&ask.name).unwrap_or_default();
             let give = self.steering.answer(ask.all, lent);
-            // Whoever asked may have given up waiting.
+            // The requester may have stopped waiting.
             let _ = reply.send(Reply::Frame(coord_wire::encode(&give)));
         }
     }
 
-    /// Holds an ask until the next tick, when the room is divided among all that asked.
+    /// Holds a request until the next tick, when the headroom is divided among all requesters.
     fn hold_steer_ask(&mut self, from: IpAddr, frame: &Bytes, reply: oneshot::Sender<Reply>) {
         let Ok(ask) = coord_wire::decode::<SteerAsk>(frame) else {
             let _ = reply.send(Reply::Unreadable);
@@ -470,7 +475,7 @@
         self.waiting.push((ask, reply));
     }
 
-    /// Becomes a serving host once it holds all that serving needs.
+    /// Changes the state of this host to serving once all conditions are met.
     fn serve(&mut self, now: Duration) {
         let state = match (&self.shutdown, self.is_ready()) {
             (Some(_), _) => HostState::Leaving,
@@ -528,7 +533,7 @@
         if self.shutdown.is_some() {
             return;
         }
-        log::info!(host = &*self.shared.me.name; "leaving");
+        log::info!(host = &*self.shared.me.name; "shutdown begins");
         let now = self.shared.now();
         self.shutdown = Some(Shutdown::open(now));
         self.registration
@@ -560,8 +565,9 @@
             }
             Step::AskLedger => self.remote.ask_ledger(&self.shared.ledger),
             Step::Deregister => {
-                // Its own last word. Those who would have to agree on its silence may not know it
-                // alike: a host that just started in its place knows it from nobody's list.
+                // The final announcement of this host. The hosts that would have to agree on its
+                // silence may differ in what they know: a host that just started in its place has
+                // not seen it on any list.
                 let actions = self.membership.set_state(now, HostState::Gone);
                 self.act(actions);
                 self.registration.send_replace(None);
@@ -569,7 +575,7 @@
         }
     }
 
-    /// Revisions and ids of the applies that the root held here lists, newest first.
+    /// Returns revisions and ids of the applies that the local root lists, newest first.
     fn applies(&self) -> Vec<Value> {
         let root = self.follower.snapshot().map(|snapshot| &snapshot.root);
         let entries = root
--- a/crates/node/src/duties/control/steering.rs
+++ b/crates/node/src/duties/control/steering.rs
@@ -1,8 +1,9 @@
-//! Shares of traffic and grants of headroom, exchanged with other hosts.
+//! Traffic shares and headroom grants, exchanged with other hosts.
 //!
-//! Every second or two a host asks a few others for their shares, so that it neither starts from the
-//! goal where traffic flows already nor runs ahead of the slowest, and asks some hosts of each
-//! region that it sends work to for room. Both go in one message and come back in one.
+//! Every second or two a host requests the shares of a few others, so that it neither starts from
+//! the desired split while traffic already flows otherwise, nor shifts faster than the slowest
+//! host. It also requests grants from some hosts of each region that it sends requests to. Both are
+//! contained in one message and its response.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,23 +28,23 @@
     view::Member,
 };
 
-/// Hosts whose shares a host goes by. With all of a small deployment; of a large one as many as a
-/// row each second from each fits the budget for control.
+/// Number of hosts whose shares a host follows. In a small deployment these are all hosts; in a
+/// large one as many as fit the budget for control traffic, with one table per second from each.
 const SAMPLE_SIZE: usize = 8;
-/// Time between two asks: two fit the life of a grant, so that one may be lost.
+/// Interval between requests: two fit the TTL of a grant, so one may be lost.
 const ASK_INTERVAL: Duration = Duration::from_millis(1400);
-/// Rounds of asks of which one asks for shares while nothing moves here. They are asked for in case
-/// a peer is behind; a peer that moves asks this host.
+/// Number of rounds of which one requests shares while no shares change here. It covers peers that
+/// are behind; a peer whose shares change asks this host.
 const STEADY_ROUNDS: u32 = 6;
-/// Time between two looks at the traffic of a host that has none: with a round trip, the first
-/// requests for another region get room within the time that they may wait in a queue.
+/// Measuring interval of a host without traffic. With a round trip, the first requests for another
+/// region get a grant within the time that they may wait in a queue.
 const IDLE_INTERVAL: Duration = Duration::from_millis(100);
 /// Weight of the last second in rates and sizes.
 const SMOOTHING_WEIGHT: f64 = 0.3;
-/// Rate below which a lane counts as idle, in requests a second. Room is not asked for; the next
-/// request passes by the allowance for few.
+/// Rate below which a flow counts as idle, in requests a second. No grant is requested for it; its
+/// next request uses the limiter of requests without a grant.
 const IDLE_RATE: f64 = 0.05;
-/// Bytes of a request or an answer of which nothing was seen yet.
+/// Assumed size of a request or a response before one was measured, in bytes.
 const DEFAULT_BYTES: f64 = 2_000.0;
 
 /// A message to send.
@@ -53,21 +54,21 @@
     pub ask: SteerAsk,
 }
 
-/// Shares and grants of this host.
+/// Traffic shares and grants of this host.
 pub(super) struct Steering {
     me: Member,
     shares: TrafficSplit,
     grantor: Grantor,
     grantee: Arc<Mutex<Grantee>>,
-    /// Shares of the hosts that this one goes by.
+    /// Traffic shares of the hosts that this one follows.
     peer_shares: BTreeMap<Arc<str>, SplitTable>,
     traffic: TrafficTable,
     desired: DesiredSplits,
-    /// Regions of which hosts were seen.
+    /// Regions in which hosts were seen.
     seen_regions: BTreeSet<Arc<str>>,
     lost_regions: BTreeSet<Arc<str>>,
     next_ask: Duration,
-    /// Rounds of asks so far.
+    /// Rounds of requests so far.
     round: u32,
     measured_at: Duration,
 }
@@ -102,13 +103,14 @@
         &self.seen_regions
     }
 
-    /// After a pause: the others have gone on without this host, so it starts from their shares.
+    /// Resets the shares after the process was paused: the other hosts continued meanwhile, so this
+    /// host starts from their shares.
     pub(super) fn restart(&mut self) {
         self.shares.reset();
         self.peer_shares.clear();
     }
 
-    /// One step of shares.
+    /// Advances the shares by one step.
     pub(super) fn step(
         &mut self,
         config: &Config,
@@ -143,7 +145,7 @@
         self.shares.advance(&self.desired, &ceilings, now);
     }
 
-    /// Takes over what hosts of other regions do with their own callers.
+    /// Adopts the shares that hosts of other regions apply to their own callers.
     fn follow_peers(&mut self, members: &BTreeMap<Arc<str>, Arc<Member>>) {
         let mut peers: BTreeMap<Arc<str>, Vec<&SplitTable>> = BTreeMap::new();
         for (name, table) in &self.peer_shares {
@@ -157,20 +159,21 @@
         self.shares.adopt_remote(&self.me.region, &peers);
     }
 
-    /// A region without a host that is there is lost: nobody lends its room, and what its targets
-    /// still do cannot be known from here.
+    /// Updates the set of lost regions. A region without a responsive host is lost: no host grants
+    /// its headroom, and the load of its targets is unknown here.
     fn update_lost(&mut self, config: &Config, present: BTreeSet<Arc<str>>) {
         let is_lost = |region: &&Arc<str>| !present.contains(*region);
         let lost_regions: BTreeSet<Arc<str>> =
             config.regions.keys().filter(is_lost).cloned().collect();
         if lost_regions != self.lost_regions {
-            log::warn!(regions:? = lost_regions; "regions without a host that is heard");
+            log::warn!(regions:? = lost_regions; "regions without a responsive host");
         }
         self.lost_regions = lost_regions;
         self.seen_regions.extend(present);
     }
 
-    /// The hosts whose shares this one goes by, the same ones while they are there.
+    /// Returns the hosts whose shares this one follows; the same ones as long as they are
+    /// responsive.
     fn sample(&self, members: &BTreeMap<Arc<str>, Arc<Member>>) -> Vec<Arc<Member>> {
         let others = members
             .values()
@@ -183,7 +186,7 @@
             .collect()
     }
 
-    /// Takes in what was measured since the last time.
+    /// Processes the measurements since the last call.
     pub(super) fn measure(
         &mut self,
         config: &Config,
@@ -200,7 +203,8 @@
         self.measured_at = now;
         let totals = meter.drain();
         if self.update_rates(config, &totals, time) {
-            // Room for a lane that was idle is not asked for before; its requests wait by now.
+            // A grant for a flow that was idle has not been requested before, and its requests
+            // already wait.
             self.next_ask = now;
         }
         for name in config.services.keys() {
@@ -211,7 +215,7 @@
         }
     }
 
-    /// Takes the traffic of the last while in; tells whether an idle lane has woken up.
+    /// Updates the rates and sizes of flows; returns whether an idle flow became active.
     fn update_rates(&mut self, config: &Config, totals: &TrafficTotals, time: f64) -> bool {
         let mut became_active = false;
         for service in config.services.keys() {
@@ -230,7 +234,7 @@
                 let rate = *count.unwrap_or(&0) as f64 / time;
                 let activates = flow.rate == 0.0 && rate > IDLE_RATE;
                 became_active |= activates;
-                // The first figure of a lane is taken whole: smoothed from zero, the room asked for
+                // The first rate of a flow is not smoothed: smoothed from zero, the requested grant
                 // would be a third of what is needed, for seconds.
                 flow.rate += (rate - flow.rate) * if activates { 1.0 } else { SMOOTHING_WEIGHT };
                 if flow.rate < IDLE_RATE {
@@ -248,13 +252,14 @@
         became_active
     }
 
-    /// Whether no lane has traffic.
+    /// Returns whether no flow has traffic.
     fn is_idle(&self) -> bool {
         let mut flows = self.traffic.values().flat_map(BTreeMap::values);
         flows.all(|flow| flow.rate == 0.0)
     }
 
-    /// Use of the targets that this host owns, of one service; none where it owns none.
+    /// Returns the usage of the targets that this host owns, for one service; `None` if it owns
+    /// none.
     fn local_usage(
         &self,
         service: &Arc<str>,
@@ -285,7 +290,7 @@
         })
     }
 
-    /// Sets what the region's links and slots leave to lend.
+    /// Sets the capacity of the region's links and slots that may be granted.
     pub(super) fn set_limits(&mut self, config: &Config) {
         let region = config.regions.get(&self.me.region);
         let headroom = region.map_or(0.0, |region| region.headroom);
@@ -302,7 +307,8 @@
         self.grantor.set_limits(headroom, links);
     }
 
-    /// Asks to send now: for shares to the sample, for room to hosts of the regions work goes to.
+    /// Returns the requests that are due: for shares to the sample, for grants to hosts of the
+    /// regions that receive traffic.
     pub(super) fn due_asks(
         &mut self,
         members: &BTreeMap<Arc<str>, Arc<Member>>,
@@ -334,7 +340,7 @@
         due_asks.into_values().collect()
     }
 
-    /// Whether every share is at its goal.
+    /// Returns whether all shares equal the desired split.
     fn is_steady(&self) -> bool {
         let flows = self.desired.flows.iter();
         let mut flows = flows.flat_map(|(service, flows)| flows.keys().map(move |c| (service, c)));
@@ -359,7 +365,8 @@
             grantee.request(needs, grantors.len(), now)
         };
         for name in grantors {
-            // This host lends to itself as to any other, for callers of other regions.
+            // This host grants headroom to itself as to any other host, for callers of other
+            // regions.
             if *name == self.me.name {
                 self.grantor.on_request(request.clone(), now);
                 continue;
@@ -388,7 +395,7 @@
         }
     }
 
-    /// Notes what another host wants; it is answered with [`Steering::gives`].
+    /// Records the needs of another host; [`Steering::answer`] replies to it.
     pub(super) fn record_ask(&mut self, ask: &SteerAsk, now: Duration) {
         if ask.needs.is_empty() {
             return;
@@ -402,7 +409,7 @@
         self.grantor.on_request(ask, now);
     }
 
-    /// Room to lend to all that asked, by host.
+    /// Returns the grants for all hosts that requested some, by host.
     pub(super) fn grants(&mut self, now: Duration) -> BTreeMap<Arc<str>, Vec<Lent>> {
         let mut lent: BTreeMap<Arc<str>, Vec<Lent>> = BTreeMap::new();
         for grant in self.grantor.grant(now) {
@@ -418,7 +425,7 @@
         lent
     }
 
-    /// Answer to a host that asked.
+    /// Returns the response to a host's request.
     pub(super) fn answer(&self, all: bool, lent: Vec<Lent>) -> SteerGive {
         let mut shares = self.shares.table();
         if !all {
@@ -435,7 +442,7 @@
         }
     }
 
-    /// Takes the answer of a host in, asked at this host's `now`.
+    /// Applies the response of a host, which was received at this host's time `now`.
     pub(super) fn apply_answer(&mut self, from: &Member, answer: SteerGive, now: Duration) {
         let SteerGive {
             name,
@@ -460,7 +467,8 @@
     }
 }
 
-/// All shares of a host that sent only those that move: the others are at their goals.
+/// Returns all shares of a host that sent only the changing ones: the others equal the desired
+/// split.
 fn with_desired(desired: &DesiredSplits, moving: SplitTable) -> SplitTable {
     let mut table = SplitTable::new();
     for (service, flows) in &desired.flows {
--- a/crates/node/src/duties/control/tasks.rs
+++ b/crates/node/src/duties/control/tasks.rs
@@ -1,6 +1,6 @@
-//! Calls of the control duty to the platform and to other hosts, each a task of its own.
+//! Calls of the control worker to the platform and to other hosts, each in its own task.
 //!
-//! The duty itself never waits: a store that does not answer must not delay a heartbeat.
+//! The worker itself never waits: a store that does not answer must not delay a heartbeat.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -31,49 +31,49 @@
     wire::Client,
 };
 
-/// What a task brings back.
+/// Result of a task.
 #[derive(Debug)]
 pub(super) enum TaskResult {
     /// The platform's list.
     Listing(Listing),
-    /// A root, from the store.
+    /// A root from the store.
     Root(Root),
-    /// Pieces that were asked for.
+    /// Requested pieces.
     Pieces(Source, Vec<Arc<[u8]>>),
-    /// A source did not answer.
+    /// A source that did not answer.
     Failed(Source),
-    /// The answer of another host to a control message.
+    /// Response of another host to a control message.
     Answer(Arc<str>, Bytes),
-    /// The answer of another host to an ask for shares and room.
+    /// Response of another host to a request for traffic shares and grants.
     Steer(Arc<Member>, SteerGive),
     /// State of the ledger.
     Ledger(LedgerReport),
-    /// State of the pools owned here.
+    /// State of the pools that this host owns.
     Pools(Vec<PoolReport>),
-    /// The host is off the platform's list, as far as that could be done.
+    /// This host was removed from the platform's list, or the removal failed.
     Deregistered,
 }
 
-/// Where tasks bring their results. Unbounded, and bounded by what the duty starts: a few messages
-/// a heartbeat, each with an end in time.
+/// Channel for the results of tasks. It is unbounded; the number of results is limited by the tasks
+/// that the worker starts: a few messages per heartbeat, each with a timeout.
 pub(super) type ResultSender = mpsc::UnboundedSender<TaskResult>;
 
-/// Time a watch of the root waits in the store. Each is one call, so that a watching host makes
-/// three a minute; a connection that died without a word is noticed after that long.
+/// Time that a watch of the root waits in the store. Each watch is one call, so a watching host
+/// makes three calls a minute; a silently broken connection is noticed after this time.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause after a failed store call, so that a store that is down is not called without end.
+/// Backoff after a failed store call, so that an unavailable store is not called in a tight loop.
 const STORE_BACKOFF: Duration = Duration::from_millis(500);
-/// Reads of the list between two announcements of this host. With the default of a read a second a
-/// host is announced every 4 s, so that a list that drops silent hosts after some 10 s may miss one
-/// announcement, and a list of 2,400 hosts takes 600 a second.
+/// Number of reads of the list between two registrations of this host. With the default of one read
+/// a second, a host registers every 4 s: a list that drops silent hosts after some 10 s may miss
+/// one registration, and a list of 2,400 hosts receives 600 a second.
 const READS_PER_REGISTRATION: u32 = 4;
-/// Time for the last messages of a host that ends to go out: a round trip between regions, and a
-/// new connection before it.
+/// Time for sending the last messages of a host that ends: a round trip between regions, and
+/// opening a connection before it.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
-/// Time a message to another host may take.
+/// Timeout of a message to another host.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What tasks call with.
+/// Clients and settings for the calls of tasks.
 #[derive(Clone)]
 pub(super) struct RemoteCalls {
     /// Name of this host.
@@ -86,12 +86,13 @@
 }
 
 impl RemoteCalls {
-    /// Reads the list again and again, and announces what `me` holds every few rounds; once that is
-    /// nothing, takes this host off the list and ends.
+    /// Reads the list periodically, and registers the entry in `me` once every few reads. When `me`
+    /// becomes `None`, removes this host from the list and ends.
     ///
-    /// The platform drops a host that falls silent. One announcement at the start would leave hosts
-    /// that start later without anybody to turn to, and hosts of other domains forgotten here.
-    /// Announcing and withdrawing are one task's, so that no announcement overtakes the withdrawal.
+    /// The platform drops hosts that stop registering. With a single registration at the start,
+    /// hosts that start later would find no other host, and hosts of other domains would be
+    /// forgotten here. One task both registers and deregisters, so that no registration arrives
+    /// after the deregistration.
     pub(super) fn keep_registered(&self, mut me: watch::Receiver<Option<Listed>>, every: Duration) {
         let remote = self.clone();
         tokio::spawn(async move {
@@ -105,13 +106,13 @@
                 due = due.saturating_sub(1);
                 match remote.list.read().await {
                     Ok(listing) => remote.report_result(TaskResult::Listing(listing)),
-                    Err(e) => log::debug!(error:% = e; "the list of hosts was not read"),
+                    Err(e) => log::debug!(error:% = e; "the list of hosts could not be read"),
                 }
                 tokio::select! {
                     () = tokio::time::sleep(every) => {}
                     changed = me.changed() => match changed {
                         Ok(()) => due = 0,
-                        // The duty ended without a planned stop.
+                        // The worker ended without a graceful shutdown.
                         Err(_) => return,
                     },
                 }
@@ -124,7 +125,7 @@
     pub(super) fn watch_root(&self, mut on: watch::Receiver<bool>) {
         let remote = self.clone();
         tokio::spawn(async move {
-            // A version that no key has: the first watch answers at once.
+            // A version that no key has, so the first watch returns at once.
             let mut known = u64::MAX;
             while on.wait_for(|on| *on).await.is_ok() {
                 remote.metrics.increment(Counter::StoreCalls);
@@ -136,7 +137,7 @@
                     Ok(None) => {}
                     Err(e) => {
                         remote.metrics.increment(Counter::StoreFailures);
-                        log::debug!(error:% = e; "the root was not watched");
+                        log::debug!(error:% = e; "the watch of the root failed");
                         tokio::time::sleep(STORE_BACKOFF).await;
                     }
                 }
@@ -148,7 +149,7 @@
         let Some(value) = &found.value else { return };
         match coord_wire::decode::<Root>(value) {
             Ok(root) => self.report_result(TaskResult::Root(root)),
-            Err(e) => log::error!(error:% = e; "the root in the store cannot be read"),
+            Err(e) => log::error!(error:% = e; "the root in the store cannot be decoded"),
         }
     }
 
@@ -161,7 +162,7 @@
                 Ok(found) => remote.report_root(&found),
                 Err(e) => {
                     remote.metrics.increment(Counter::StoreFailures);
-                    log::debug!(error:% = e; "the root was not read");
+                    log::debug!(error:% = e; "the root could not be read");
                     remote.report_result(TaskResult::Failed(Source::Store));
                 }
             }
@@ -189,7 +190,7 @@
         });
     }
 
-    /// Sends a control message and brings its answer back, if it has one.
+    /// Sends a control message and reports its response, if there is one.
     pub(super) fn send(&self, to: &Arc<str>, address: SocketAddr, message: &Message) {
         let frame = coord_wire::encode(message);
         self.metrics.add(Counter::ControlOut, frame.len() as u64);
@@ -209,7 +210,7 @@
                 }
                 Ok(answer) if answer.status.is_success() && !asks => {}
                 other => {
-                    log::debug!(to = &*name, answer:? = other.map(|a| a.status); "no answer");
+                    log::debug!(to = &*name, answer:? = other.map(|a| a.status); "control message failed");
                     if asks {
                         remote.report_result(TaskResult::Failed(Source::Peer(name)));
                     }
@@ -218,7 +219,7 @@
         });
     }
 
-    /// Asks another host for its shares and for room.
+    /// Requests the traffic shares of another host, and grants.
     pub(super) fn steer(&self, to: Arc<Member>, ask: &SteerAsk) {
         let frame = coord_wire::encode(ask);
         self.metrics.add(Counter::SteerOut, frame.len() as u64);
@@ -240,22 +241,23 @@
         });
     }
 
-    /// Takes the host off the list; one that does not answer lags a little more than usual.
+    /// Removes this host from the list. If the list does not answer, other hosts notice the
+    /// shutdown a little later than usual.
     async fn deregister(&self) {
         if let Err(e) = self.list.deregister(&self.name).await {
-            log::warn!(error:% = e; "the list was not told that this host is gone");
+            log::warn!(error:% = e; "this host could not be removed from the list of hosts");
         }
-        // The duty ends with this, and what it is still sending with it.
+        // The worker ends after this result, and messages that are still being sent end with it.
         tokio::time::sleep(FLUSH_TIME).await;
         self.report_result(TaskResult::Deregistered);
     }
 
-    /// Asks the pools duty for its state.
+    /// Requests the state of the pools worker.
     pub(super) fn ask_pools(&self, queue: &ring::Sender<pools::Input>) {
         self.ask(queue, pools::Input::GetState, TaskResult::Pools);
     }
 
-    /// Asks the ledger duty for its state.
+    /// Requests the state of the ledger worker.
     pub(super) fn ask_ledger(&self, queue: &ring::Sender<ledger::Input>) {
         self.ask(queue, ledger::Input::GetState, TaskResult::Ledger);
     }
@@ -267,7 +269,7 @@
         to_result: fn(R) -> TaskResult,
     ) {
         let (reply, answer) = oneshot::channel();
-        // A full ring: the next tick asks again.
+        // If the channel is full, the next tick asks again.
         if queue.try_send(input(reply)).is_err() {
             return;
         }
@@ -279,7 +281,7 @@
         });
     }
 
-    /// The duty is gone only when the host ends.
+    /// Reports a result. The worker only stops receiving when the host ends.
     fn report_result(&self, result: TaskResult) {
         let _ = self.results.send(result);
     }
--- a/crates/node/src/duties/ledger/input.rs
+++ b/crates/node/src/duties/ledger/input.rs
@@ -1,4 +1,4 @@
-//! What the duty takes in and what it tells the holders of attempts.
+//! Inputs of the ledger worker and events for the tasks that run attempts.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,59 +7,60 @@
 };
 use tokio::sync::{mpsc, oneshot};
 
-/// Something for the duty to do. What a full ring does is said for each.
+/// Input of the worker. The comment of each variant tells what happens if the channel is full.
 #[derive(Debug)]
 pub enum Input {
-    /// An attempt of a caller. Full ring: turned away; this attempt has not run.
+    /// An attempt of a caller. Full channel: the attempt is refused and has not run.
     Request {
         /// The attempt.
         request: Request,
-        /// Where its holder listens.
+        /// Channel for the events of the attempt.
         events: EventSender,
     },
-    /// The holder of an attempt is gone. Full ring: delivered later.
+    /// The task of an attempt has ended. Full channel: sent later.
     Cancel {
         /// The attempt.
         ticket: u64,
     },
-    /// A run has ended. Full ring: delivered later, since callers wait for it.
+    /// A run has ended. Full channel: sent later, since callers wait for it.
     Finished {
-        /// Its key.
+        /// Key of the run.
         key: Key,
-        /// How it ended.
+        /// Result of the run.
         outcome: Outcome,
     },
-    /// A message of another host. Full ring: dropped, as if the network had lost it; the sender
-    /// sends it again.
+    /// A message of another host. Full channel: dropped, as if it were lost in the network; the
+    /// sender sends it again.
     Message {
-        /// Incarnation that sent it.
+        /// Incarnation of the sender.
         from: u64,
         /// The message.
         message: Message,
     },
-    /// An incarnation is gone for good. Full ring: delivered later.
+    /// An incarnation has permanently ended. Full channel: sent later.
     Gone(u64),
-    /// Planned stop: the records go to these incarnations. Full ring: delivered later.
+    /// Graceful shutdown: the records are transferred to these incarnations. Full channel: sent
+    /// later.
     HandOver {
         /// Live incarnations.
         peers: Vec<u64>,
-        /// Time for open requests to end first.
+        /// Time limit for open requests to end before that.
         time: Duration,
     },
-    /// Asks for the state. Full ring: the asker goes without.
+    /// Requests the state. Full channel: the request is dropped.
     GetState(oneshot::Sender<LedgerReport>),
-    /// Looks at what is due.
+    /// Executes due timers.
     Tick,
-    /// Ends the duty.
+    /// Stops the worker.
     Stop,
 }
 
-/// What a holder is told.
+/// Event for the task of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Run the request now; this comes once for a key.
+    /// Run the request now. Sent once for a key.
     Run,
-    /// The answer, as it was given with [`Input::Finished`].
+    /// The response, as it was passed in [`Input::Finished`].
     Answer(Arc<[u8]>),
     /// The attempt is refused.
     Refused {
@@ -67,35 +68,36 @@
         run: RunStatus,
         /// Why.
         reason: RefusalReason,
-        /// When a new try may help.
+        /// Time after which a retry may succeed.
         retry_after: Option<Duration>,
     },
 }
 
-/// A holder's ear. Unbounded because an attempt is told two things at the most.
+/// Sending end of the event channel of an attempt's task. Unbounded, because an attempt receives at
+/// most two events.
 #[derive(Clone, Debug)]
 pub struct EventSender(mpsc::UnboundedSender<Event>);
 
 impl EventSender {
-    /// Opens an ear.
+    /// Creates an event channel.
     pub fn channel() -> (EventSender, mpsc::UnboundedReceiver<Event>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (EventSender(sender), receiver)
     }
 
-    /// Tells the holder; `false` where it is gone.
+    /// Sends an event; returns `false` if the task has ended.
     pub(super) fn send(&self, event: Event) -> bool {
         self.0.send(event).is_ok()
     }
 }
 
-/// State of the ledger, for dumps and planned stops.
+/// State of the ledger, for dumps and graceful shutdowns.
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerReport {
-    /// What it holds.
+    /// Counts of the ledger's content.
     pub counts: LedgerStats,
-    /// Its epoch.
+    /// Current epoch.
     pub epoch: u64,
-    /// Whether a planned stop has handed everything over.
+    /// Whether a graceful shutdown has transferred all records.
     pub stopped: bool,
 }
--- a/crates/node/src/duties/ledger/mod.rs
+++ b/crates/node/src/duties/ledger/mod.rs
@@ -1,8 +1,8 @@
-//! The request ledger: what may run at most once, and what has.
+//! The request ledger: which keyed requests may run, and which have run.
 //!
-//! The worker drives [`dunlinrock_coord::once::Ledger`]. A task, the task that carries one attempt,
-//! hands it in and is told to run the request, or gets the answer or the refusal. Messages to other
-//! hosts go out on the duty's own runtime; they may be lost, and the ledger sends them again.
+//! The worker drives [`dunlinrock_coord::once::Ledger`]. The task of an attempt submits it, and
+//! then receives an event to run the request, its response, or its refusal. Messages to other hosts
+//! are sent on the worker's own runtime; they may be lost, and the ledger sends them again.
 
 mod input;
 mod post;
@@ -35,25 +35,25 @@
     wire::Client,
 };
 
-/// Inputs that may wait for the duty; see the pools duty, whose load it shares.
+/// Capacity of the worker's channel; as that of the pools worker, which has the same load.
 pub const QUEUE_CAPACITY: usize = 4096;
-/// Largest answer to a ledger message, in bytes: there is none.
+/// Maximum size of a response to a ledger message, in bytes; it has no body.
 const MAX_ANSWER_BYTES: usize = 1024;
-/// Time between two looks at the clock at the most, so that the epoch given out never lags by more.
+/// Maximum interval between wake-ups, so that the published epoch never lags by more.
 const MAX_WAKE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A running duty.
+/// A running ledger worker.
 #[derive(Debug)]
 pub struct Handle {
-    /// Its ring.
+    /// Channel to the worker.
     pub sender: ring::Sender<Input>,
-    /// Epoch to bind keys to now.
+    /// Epoch for the bindings of new keys.
     pub epoch: Arc<AtomicU64>,
-    /// Its thread.
+    /// Thread of the worker.
     pub thread: JoinHandle<()>,
 }
 
-/// Limits of the ledger, from the host's settings.
+/// Returns the limits of the ledger from the host's settings.
 pub fn limits(timing: &TimingSettings) -> Limits {
     Limits {
         claim_timeout: Duration::from_millis(timing.claim_ms.get()),
@@ -62,7 +62,7 @@
     }
 }
 
-/// Spawns the duty for this incarnation.
+/// Spawns the worker for this incarnation.
 pub fn open(
     me: &Member,
     limits: Limits,
@@ -89,12 +89,13 @@
 
 struct Worker {
     ledger: Ledger,
-    /// Holders by ticket. Invariant: an attempt that waits in the ledger has one here.
+    /// Event channels of attempts by ticket. Invariant: each attempt that waits in the ledger has
+    /// an entry.
     tasks: BTreeMap<u64, EventSender>,
     view: Arc<ArcSwap<View>>,
     clock: Clock,
     epoch: Arc<AtomicU64>,
-    /// Address that messages go out from.
+    /// Source address of messages.
     local: IpAddr,
 }
 
@@ -144,7 +145,7 @@
                     epoch: self.ledger.epoch(now),
                     stopped: self.ledger.is_stopped(),
                 };
-                // Whoever asked may have given up waiting.
+                // The requester may have stopped waiting.
                 let _ = reply.send(report);
                 Vec::new()
             }
@@ -162,13 +163,14 @@
                         .get(&attempt_id)
                         .is_some_and(|task| task.send(Event::Run));
                     if !sent {
-                        // The caller went between its request and the claim. Nothing was sent.
+                        // The caller disconnected between its request and the claim. Nothing was
+                        // sent.
                         let outcome = Outcome::NotRun { retry_after: None };
                         let more = self.ledger.handle_outcome(&key, outcome, self.clock.now());
                         self.execute(more, client);
                     }
                 }
-                // The run goes on: a retry with the same key then finds its answer.
+                // The run continues: a retry with the same key then gets its response.
                 Action::Cancel { .. } => {}
                 Action::Answer { attempt_id, answer } => {
                     self.end(attempt_id, Event::Answer(answer))
--- a/crates/node/src/duties/mod.rs
+++ b/crates/node/src/duties/mod.rs
@@ -1,4 +1,4 @@
-//! The duties of a host. Each has a thread of its own and a ring through which the others reach it.
+//! The workers of a host. Each one has a thread and a channel through which the others reach it.
 
 pub mod callers;
 pub mod control;
@@ -10,7 +10,7 @@
 
 use tokio::runtime::Builder;
 
-/// Spawns a duty: a named thread with a runtime of its own that runs one future to its end.
+/// Spawns a worker: a named thread with its own runtime that runs one future to completion.
 pub(crate) fn spawn<F, W>(name: &str, worker: W) -> io::Result<JoinHandle<()>>
 where
     F: Future<Output = ()>,
--- a/crates/node/src/duties/peers/handlers.rs
+++ b/crates/node/src/duties/peers/handlers.rs
@@ -1,4 +1,4 @@
-//! What this host does for other hosts.
+//! Handlers of the requests of other hosts.
 
 use std::{net::IpAddr, sync::Arc, time::Duration};
 
@@ -23,16 +23,16 @@
     wire::{Answer, CallError, ProblemKind},
 };
 
-/// Room for the head of a request that is handed over, in bytes beyond its body.
+/// Maximum size of the head of a forwarded request, in bytes beyond its body.
 const MAX_HEAD_BYTES: usize = 64 << 10;
-/// Time a body of another host may take to arrive.
+/// Maximum time for a body of another host to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest control message, in bytes: a piece of the configuration is the largest part.
+/// Maximum size of a control message, in bytes. Its largest part is a piece of the configuration.
 const MAX_CONTROL_BYTES: usize = 4 << 20;
-/// Time the control duty has to answer a message.
+/// Timeout for the control worker's reply to a message.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs a request at a pool that its sender takes for this host's.
+/// Runs a forwarded request at a pool whose owner, according to the sender, is this host.
 pub(super) async fn run(shared: &Arc<Shared>, clients: &Clients, request: Request) -> Response {
     let (pool, call) = match take_call(shared, request).await {
         Ok(taken) => taken,
@@ -57,7 +57,7 @@
     )
 }
 
-/// Takes in a keyed request that a third host passes on.
+/// Runs a keyed request that a third host forwards.
 pub(super) async fn call(shared: &Arc<Shared>, clients: &Clients, request: Request) -> Response {
     let (_, call) = match take_call(shared, request).await {
         Ok(taken) => taken,
@@ -76,7 +76,7 @@
     answer(&result, None)
 }
 
-/// Takes in a message for the ledger.
+/// Accepts a message for the ledger worker.
 pub(super) async fn ledger(shared: &Shared, request: Request) -> Response {
     let from = peer(&request);
     let Ok(frame) = read_body(request.into_body(), body_limits(MAX_CONTROL_BYTES)).await else {
@@ -100,12 +100,12 @@
         message,
     }) {
         Ok(()) => StatusCode::NO_CONTENT.into_response(),
-        // As if the network had lost it: its sender sends it again.
+        // This counts as a lost message: its sender sends it again.
         Err(_) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
 }
 
-/// Takes in a message for the control duty and gives its answer back.
+/// Passes a message to the control worker and returns its reply.
 pub(super) async fn control(shared: &Shared, request: Request) -> Response {
     let counts = (Counter::ControlIn, Counter::ControlOut);
     ask(shared, request, counts, |from, frame, reply| {
@@ -114,7 +114,7 @@
     .await
 }
 
-/// Takes in an ask for shares and room.
+/// Passes a request for traffic shares and grants to the control worker and returns its reply.
 pub(super) async fn steer(shared: &Shared, request: Request) -> Response {
     let counts = (Counter::SteerIn, Counter::SteerOut);
     ask(shared, request, counts, |from, frame, reply| {
@@ -160,7 +160,7 @@
     }
 }
 
-/// The whole state of this host, as JSON.
+/// Returns the complete state of this host as JSON.
 pub(super) async fn dump(shared: &Shared) -> Response {
     let text = dump::take(shared).await.to_string();
     let mut response = Response::new(Body::from(Full::from(text)));
@@ -189,7 +189,7 @@
     .await;
     let frame: Bytes = frame.map_err(|_| StatusCode::BAD_REQUEST.into_response())?;
     read_call(&frame).map_err(|e| {
-        log::warn!(error:% = e; "a request of another host could not be read");
+        log::warn!(error:% = e; "a forwarded request could not be decoded");
         StatusCode::BAD_REQUEST.into_response()
     })
 }
@@ -205,7 +205,7 @@
     match write_answer(result, load) {
         Ok(frame) => Response::new(Body::from(Full::from(frame))),
         Err(e) => {
-            log::error!(error:% = e; "an answer to another host could not be written");
+            log::error!(error:% = e; "a response to another host could not be encoded");
             StatusCode::INTERNAL_SERVER_ERROR.into_response()
         }
     }
--- a/crates/node/src/duties/peers/mod.rs
+++ b/crates/node/src/duties/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Serves other hosts: requests for pools owned here, ledger and control messages, dumps.
+//! Serves other hosts: requests for the pools of this host, ledger and control messages, dumps.
 
 mod handlers;
 
@@ -20,15 +20,16 @@
 
 /// Path of the dump.
 pub const DUMP_PATH: &str = "/peer/v1/dump";
-/// Connections of other hosts served at once: each of 2,400 hosts may keep several, but a host
-/// talks to its own domain and a few relays.
+/// Maximum number of concurrent connections of other hosts. Each of 2,400 hosts may keep several,
+/// but a host only talks to the hosts of its own domain and to a few relays.
 const MAX_CONNECTIONS: usize = 4096;
-/// Largest head, in bytes: hosts send few fields.
+/// Maximum size of a request head, in bytes; hosts send few fields.
 const MAX_HEADER_BYTES: usize = 16 << 10;
-/// Time a head may take.
+/// Maximum time for a request head to arrive.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Spawns the duty on a bound listener; it ends when `stop` turns true and the last answer is out.
+/// Spawns the worker on a bound listener. It ends when `stop` is true and the last response has
+/// been sent.
 pub fn open(
     shared: Arc<Shared>,
     listener: std::net::TcpListener,
@@ -85,7 +86,7 @@
         })
 }
 
-/// Address of the host on this connection.
+/// Returns the address of the host on this connection.
 fn peer(request: &Request) -> Option<SocketAddr> {
     request
         .extensions()
--- a/crates/node/src/duties/pools/fence.rs
+++ b/crates/node/src/duties/pools/fence.rs
@@ -1,11 +1,12 @@
-//! Keeps a host that was paused from starting what it held.
+//! Keeps a paused host from starting requests that it still holds.
 //!
-//! Failure: a host is stopped for seconds, others take its pools over, and it wakes. Its queues
-//! still hold requests and its slots look free, so that it would send to targets that the new owner
-//! counts as its own, before its control duty has had a moment to notice. Symptom: targets overrun
-//! and shed. The control duty marks each of its ticks; while the last one is older than the silence
-//! after which others suspect this host, nothing starts. That is enough because nobody takes a pool
-//! over sooner, and the control duty gives the pools up in its first tick after a pause.
+//! A host's process is stopped for seconds, other hosts take its pools over, and it resumes. Its
+//! queues still hold requests and its slots look free, so it would send to targets that the new
+//! owner counts as its own, before its control worker notices the pause; the targets would be
+//! overloaded and shed requests. The control worker therefore renews the fence at each of its
+//! ticks. While the last tick is older than the silence after which other hosts suspect this host,
+//! nothing starts. That is sufficient because no host takes a pool over sooner, and the control
+//! worker gives the pools up in its first tick after a pause.
 
 use std::{
     sync::{
@@ -15,7 +16,7 @@
     time::Duration,
 };
 
-/// The mark of the control duty's last tick, and the age from which nothing starts.
+/// Time of the control worker's last tick, and the age at which the fence closes.
 #[derive(Clone, Debug)]
 pub struct Fence {
     last_tick: Arc<AtomicU64>,
@@ -23,7 +24,7 @@
 }
 
 impl Fence {
-    /// A fence that closes when the mark is older than `age`.
+    /// Creates a fence that closes when the last tick is older than `max_age`.
     pub fn open(max_age: Duration) -> Fence {
         Fence {
             last_tick: Arc::new(AtomicU64::new(0)),
@@ -31,13 +32,13 @@
         }
     }
 
-    /// Marks a tick.
+    /// Records a tick.
     pub fn renew(&self, now: Duration) {
         let micros = u64::try_from(now.as_micros()).unwrap_or(u64::MAX);
         self.last_tick.store(micros, Ordering::Release);
     }
 
-    /// Whether nothing may start now.
+    /// Returns whether requests must not start now.
     pub fn is_closed(&self, now: Duration) -> bool {
         let last = Duration::from_micros(self.last_tick.load(Ordering::Acquire));
         now.saturating_sub(last) > self.max_age
--- a/crates/node/src/duties/pools/input.rs
+++ b/crates/node/src/duties/pools/input.rs
@@ -1,4 +1,4 @@
-//! What the duty takes in and what it tells the holders of requests.
+//! Inputs of the pools worker and events for the tasks that run requests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,102 +9,103 @@
 
 use super::{PoolId, PoolSpec};
 
-/// Something for the duty to do. What a full ring does is said for each.
+/// Input of the worker. The comment of each variant tells what happens if the channel is full.
 #[derive(Debug)]
 pub enum Input {
-    /// These pools are this host's now, and no others. Sent again with the next view.
+    /// The set of pools that this host owns now. Sent again with the next view.
     SetPools(Vec<PoolSpec>),
-    /// A request asks for a slot. Full ring: turned away, it has not run.
+    /// A request for a slot. Full channel: refused; the request has not run.
     Offer {
-        /// The pool asked.
+        /// Requested pool.
         pool: Arc<PoolId>,
         /// The request.
         offer: Offer,
-        /// Where its holder listens.
+        /// Channel for the events of the request.
         events: EventSender,
     },
-    /// A run at a target has ended. Full ring: delivered later, since it frees a slot.
+    /// A run at a target has ended. Full channel: sent later, since it frees a slot.
     Finish {
         /// The pool.
         pool: Arc<PoolId>,
         /// The request.
         ticket: u64,
-        /// The target that ran it.
+        /// Target of the run.
         target: Arc<str>,
-        /// How it ended.
+        /// Outcome of the run.
         outcome: Outcome,
-        /// The target's word about its own load, where its answer brought one.
+        /// Load that the target reported, if its response contains it.
         report: Option<LoadReport>,
     },
-    /// A holder is gone: its request leaves the queue, its runs have been aborted. Full ring:
-    /// delivered later.
+    /// The task of a request has ended: the request leaves the queue, and its runs have been
+    /// aborted. Full channel: sent later.
     Cancel {
         /// The pool.
         pool: Arc<PoolId>,
         /// The request.
         ticket: u64,
     },
-    /// Words of other hosts about requests that kill their targets. Full ring: delivered later.
+    /// Quarantine updates of other hosts, for requests that crash their targets. Full channel: sent
+    /// later.
     Quarantines(Vec<QuarantineUpdate>),
-    /// Asks for the state of every pool. Full ring: the asker goes without.
+    /// Requests the state of each pool. Full channel: the request is dropped.
     GetState(oneshot::Sender<Vec<PoolReport>>),
-    /// Looks at what is due.
+    /// Executes due timers.
     Tick,
-    /// Ends the duty.
+    /// Stops the worker.
     Stop,
 }
 
-/// What a holder is told.
+/// Event for the task of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// Send the request to this target.
     Start(Arc<str>),
-    /// Drop the run at this target.
+    /// Abort the run at this target.
     Abort(Arc<str>),
-    /// What a run's end means for the request.
+    /// Consequence of the end of a run for the request.
     Ended(Completion),
-    /// The request is turned away.
+    /// The request is refused.
     Refused {
         /// Why.
         reason: RefusalReason,
-        /// When a new try may help.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
-        /// Whether an earlier run of it may have had an effect.
+        /// Whether an earlier run of the request may have had an effect.
         ran: bool,
     },
     /// Another host owns the pool; the request has not run here.
     NotOwner,
 }
 
-/// A holder's ear. Unbounded because a request has a handful of events in its life: one for each
-/// run, abort and end, and the retry budget bounds the runs.
+/// Sending end of the event channel of a request's task. Unbounded, because a request receives only
+/// a few events: one for each run, abort and end, and the retry budget limits the runs.
 #[derive(Clone, Debug)]
 pub struct EventSender(mpsc::UnboundedSender<Event>);
 
 impl EventSender {
-    /// Opens an ear.
+    /// Creates an event channel.
     pub fn channel() -> (EventSender, mpsc::UnboundedReceiver<Event>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (EventSender(sender), receiver)
     }
 
-    /// Tells the holder, which may be gone.
+    /// Sends an event; the task may have ended.
     pub(super) fn send(&self, event: Event) {
         let _ = self.0.send(event);
     }
 }
 
-/// One pool's state, for other hosts and dumps.
+/// State of a pool, for other hosts and dumps.
 #[derive(Clone, Debug)]
 pub struct PoolReport {
-    /// Which pool.
+    /// Id of the pool.
     pub id: Arc<PoolId>,
-    /// Summary for other hosts.
+    /// Load, as it is sent to other hosts.
     pub load: Load,
-    /// All of it.
+    /// Complete state.
     pub state: PoolState,
-    /// Words about requests that kill their targets, all that hold.
+    /// Quarantine updates that have not expired.
     pub quarantines: Vec<QuarantineUpdate>,
-    /// Whether it is only kept until its last run ends.
+    /// Whether another host owns the pool and this one only waits for its last run to end.
     pub released: bool,
 }
--- a/crates/node/src/duties/pools/mod.rs
+++ b/crates/node/src/duties/pools/mod.rs
@@ -1,14 +1,14 @@
-//! The pools this host owns: who gets which slot of which target.
+//! The pools that this host owns, and the assignment of their targets' slots to requests.
 //!
-//! The duty drives the decisions of [`dunlinrock_decide::admit`] and nothing else. A holder, the
-//! task that carries one request, offers it and then gets events: where to send it, what to abort,
-//! or that it is turned away. The duty never waits for a holder: events go into a channel that the
-//! holder owns, and one that is gone is cancelled.
+//! The worker drives the decisions of [`dunlinrock_decide::admit`] and does nothing else. The task
+//! of a request offers it and then receives events: to which target to send it, what to abort, or
+//! that it is refused. The worker never waits for a task: events are sent into an unbounded
+//! channel, and a request whose task has ended is cancelled.
 //!
-//! It shares its thread with the callers' duty, whose requests need it most: a decision takes about
-//! a microsecond, and waking another thread and being woken by it took some tens, twice a request.
-//! The notes of the path (`docs/notes/threads.md`) have the figures. Other duties reach it through
-//! its ring all the same.
+//! The worker shares its thread with the callers worker, whose requests use it most: a decision
+//! takes about a microsecond, while waking another thread and being woken by it took some tens,
+//! twice per request. `docs/notes/threads.md` has the figures. Other workers reach it through its
+//! channel all the same.
 
 mod fence;
 mod input;
@@ -25,14 +25,15 @@
 };
 use crate::{clock::Clock, ring};
 
-/// Inputs that may wait for the duty. Each request makes two or three; at 20,000 requests a second
-/// this is a hundred milliseconds of work, beyond which an offer is better turned away at once.
+/// Capacity of the worker's channel. Each request sends two or three inputs; at 20,000 requests a
+/// second the capacity is a hundred milliseconds of work, beyond which an offer is better refused
+/// at once.
 pub const QUEUE_CAPACITY: usize = 4096;
 
-/// Pause between two inputs while the fence is closed.
+/// Interval between two inputs while the fence is closed.
 const DEFER_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Drives the pools until [`Input::Stop`] comes.
+/// Drives the pools until [`Input::Stop`] arrives.
 pub(super) async fn drive(clock: Clock, fence: Fence, mut inputs: ring::Receiver<Input>) {
     let mut pools: BTreeMap<Arc<PoolId>, OwnedPool> = BTreeMap::new();
     let mut deferred = Vec::new();
@@ -54,7 +55,7 @@
         }
         if fence.is_closed(clock.now()) {
             defer(&mut deferred, input);
-            // The next input comes with the control duty's next tick.
+            // The fence can only open with the control worker's next tick.
             tokio::time::sleep(DEFER_INTERVAL).await;
             continue;
         }
@@ -65,8 +66,8 @@
     }
 }
 
-/// Puts an input by while the fence is closed. An offer has not run here: its holder looks who owns
-/// the pool now.
+/// Defers an input while the fence is closed. An offer is rejected, since it has not run here: its
+/// task looks up the pool's current owner.
 fn defer(deferred: &mut Vec<Input>, input: Input) {
     match input {
         Input::Offer { events, .. } => events.send(Event::NotOwner),
@@ -110,7 +111,7 @@
         }
         Input::GetState(reply) => {
             let reports = pools.iter_mut().map(|(id, owned)| owned.report(id, now));
-            // Whoever asked may have given up waiting.
+            // The requester may have stopped waiting.
             let _ = reply.send(reports.collect());
         }
         Input::Tick | Input::Stop => {
@@ -121,8 +122,8 @@
     }
 }
 
-/// Takes over what this host owns now. A pool that went to another host gives its waiting requests
-/// back to their holders, which hand them to the new owner, and is kept until its last run ends.
+/// Updates the set of owned pools. A pool that another host owns now returns its queued requests to
+/// their tasks, which forward them to the new owner, and is kept until its last run ends.
 fn set_pools(pools: &mut BTreeMap<Arc<PoolId>, OwnedPool>, specs: Vec<PoolSpec>, clock: Clock) {
     let now = clock.now();
     let mut released: Vec<Arc<PoolId>> = pools.keys().cloned().collect();
--- a/crates/node/src/duties/pools/pool.rs
+++ b/crates/node/src/duties/pools/pool.rs
@@ -1,4 +1,4 @@
-//! One pool of this host and the holders of its requests.
+//! A pool of this host with the tasks of its requests.
 
 use std::{collections::BTreeMap, mem, sync::Arc, time::Duration};
 
@@ -8,22 +8,22 @@
 
 use super::{Event, EventSender, PoolId, PoolReport, PoolSpec};
 
-/// A pool and the holders of the requests it holds.
+/// A pool and the tasks of its requests.
 ///
-/// Invariant: a ticket that the pool holds has an entry in `holders`, unless its holder is gone.
+/// Invariant: each ticket in the pool has an entry in `tasks`, unless its task has ended.
 #[derive(Debug)]
 pub(super) struct OwnedPool {
     pool: Pool,
     tasks: BTreeMap<u64, RequestTask>,
-    /// Another host owns the pool now; this one only waits for its last runs to end.
+    /// Whether another host owns the pool now. A released pool only waits for its last runs to end.
     released: bool,
 }
 
-/// The task that carries a request.
+/// Task of a request.
 #[derive(Debug)]
 struct RequestTask {
     events: EventSender,
-    /// Whether the request runs at a target now; else it waits.
+    /// Whether the request runs at a target now; otherwise it is queued.
     running: bool,
 }
 
@@ -47,7 +47,7 @@
         self.poll(now);
     }
 
-    /// Gives waiting requests back to their holders; running ones stay until they end.
+    /// Returns queued requests to their tasks; running requests stay until they end.
     pub(super) fn release(&mut self, now: Duration) {
         self.released = true;
         let (running, waiting) = mem::take(&mut self.tasks)
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether another host owns the pool and its last run here has ended.
+    /// Returns whether another host owns the pool and its last run here has ended.
     pub(super) fn is_done(&self) -> bool {
         self.released && self.tasks.is_empty()
     }
@@ -144,7 +144,7 @@
     pub(super) fn cancel(&mut self, ticket: u64, now: Duration) {
         self.tasks.remove(&ticket);
         if let Cancelled::Running(targets) = self.pool.cancel(ticket, now) {
-            // The holder dropped its connections before it said that it is gone.
+            // The task dropped its connections before it sent the cancellation.
             for target in targets {
                 self.pool.finish(ticket, &target, Outcome::Cancelled, now);
             }
@@ -164,14 +164,15 @@
             id: Arc::clone(id),
             load: self.pool.load(now),
             state: self.pool.state(now),
-            // All that hold, whoever asks: the control duty tells what is new to it, and a dump must
-            // not take a word away before other hosts have heard of it.
+            // All unexpired updates, regardless of the requester: the control worker broadcasts
+            // those that are new to it, and a dump must not consume an update before other hosts
+            // have received it.
             quarantines: self.pool.all_updates(now),
             released: self.released,
         }
     }
 
-    /// Does all that is due.
+    /// Executes all due actions.
     pub(super) fn poll(&mut self, now: Duration) {
         for action in self.pool.poll(now) {
             match action {
@@ -208,7 +209,8 @@
                 task.running = true;
                 task.events.send(Event::Start(target));
             }
-            // Its holder went between the offer and now, and its cancel is still in the ring.
+            // The task ended between the offer and now, and its cancellation is still in the
+            // channel.
             None => {
                 self.pool.finish(ticket, &target, Outcome::Cancelled, now);
             }
--- a/crates/node/src/duties/pools/spec.rs
+++ b/crates/node/src/duties/pools/spec.rs
@@ -1,27 +1,27 @@
-//! What a host is told about a pool it owns.
+//! Specification of a pool that a host owns.
 
 use std::sync::Arc;
 
 use dunlinrock_decide::admit::{PoolConfig, QuarantineUpdate, TargetSpec};
 
-/// Names a pool: the targets of one service in one failure domain.
+/// Id of a pool: the targets of one service in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PoolId {
-    /// Service that its targets run.
+    /// Service of its targets.
     pub service: Arc<str>,
-    /// Failure domain that they stand in.
+    /// Failure domain of its targets.
     pub domain: Arc<str>,
 }
 
-/// A pool to own.
+/// A pool that this host owns.
 #[derive(Clone, Debug)]
 pub struct PoolSpec {
-    /// Which pool.
+    /// Id of the pool.
     pub id: Arc<PoolId>,
     /// Its rules.
     pub rules: PoolConfig,
     /// Its targets.
     pub targets: Vec<TargetSpec>,
-    /// Requests known to kill their targets, for a pool that is new here.
+    /// Known quarantine updates, for a pool that is new at this host.
     pub quarantines: Vec<QuarantineUpdate>,
 }
--- a/crates/node/src/host/listen.rs
+++ b/crates/node/src/host/listen.rs
@@ -1,10 +1,10 @@
-//! Binds the addresses of a host.
+//! Binds the listening addresses of a host.
 
 use std::net::{SocketAddr, TcpListener};
 
 use anyhow::Context;
 
-/// Binds an address of the settings for `duty`.
+/// Binds the address that the setting `duty` holds.
 pub(super) fn bind(duty: &str, address: &str) -> anyhow::Result<TcpListener> {
     let parsed: SocketAddr = address
         .parse()
--- a/crates/node/src/host/mod.rs
+++ b/crates/node/src/host/mod.rs
@@ -1,4 +1,4 @@
-//! One entry host, running.
+//! A running entry host.
 
 mod listen;
 
@@ -29,14 +29,15 @@
     view::{Member, View},
 };
 
-/// Bits of an incarnation below its time in milliseconds since 1970. They are random, so that two
-/// processes that start under one name in the same millisecond differ.
+/// Number of random bits in an incarnation, below its start time in milliseconds since 1970. They
+/// make the incarnations of two processes differ that start under one name in the same millisecond.
 pub(crate) const INCARNATION_BITS: u32 = 20;
 
-/// Pause before a full ring is tried again.
+/// Interval at which a send to a full channel is retried.
 const SEND_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A running host. Dropped without [`Host::start_shutdown`], it goes on until the process ends.
+/// A running host. If it is dropped without [`Host::start_shutdown`], it runs until the process
+/// ends.
 #[derive(Debug)]
 pub struct Host {
     shared: Arc<Shared>,
@@ -45,7 +46,7 @@
     threads: Threads,
 }
 
-/// Threads of the duties that serve.
+/// Threads of the workers that serve requests.
 #[derive(Debug)]
 struct Threads {
     callers: JoinHandle<()>,
@@ -54,20 +55,21 @@
 }
 
 impl Host {
-    /// Binds the host's addresses and spawns its duties.
+    /// Binds the host's addresses and starts its workers.
     ///
     /// # Errors
     ///
-    /// When an address of the settings is malformed or cannot be bound, or a thread does not start.
+    /// Returns an error if an address of the settings is malformed or cannot be bound, or if a
+    /// thread cannot be started.
     pub fn spawn(settings: Settings) -> anyhow::Result<Host> {
         Host::spawn_above(settings, 0)
     }
 
-    /// The same, with an incarnation above that of an earlier process.
+    /// Starts a host as [`Host::spawn`] does, with an incarnation above that of an earlier process.
     ///
     /// # Errors
     ///
-    /// As [`Host::spawn`].
+    /// Returns an error in the cases of [`Host::spawn`].
     pub fn spawn_above(settings: Settings, earlier: u64) -> anyhow::Result<Host> {
         let callers = listen::bind("callers", &settings.callers)?;
         let peers = listen::bind("peers", &settings.peers)?;
@@ -133,32 +135,32 @@
         })
     }
 
-    /// Address on which callers are served.
+    /// Returns the address that callers connect to.
     pub fn callers_addr(&self) -> SocketAddr {
         self.shared.me.callers
     }
 
-    /// Address on which other hosts are served.
+    /// Returns the address that other hosts connect to.
     pub fn peers_addr(&self) -> SocketAddr {
         self.shared.me.peers
     }
 
-    /// Name of the host.
+    /// Returns the name of the host.
     pub fn name(&self) -> &Arc<str> {
         &self.shared.me.name
     }
 
-    /// Revision in force here; 0 before there is one.
+    /// Returns the revision of the active configuration; 0 before there is one.
     pub fn revision(&self) -> u64 {
         self.shared.view.load().revision
     }
 
-    /// Whether this host may be used.
+    /// Returns whether callers may use this host.
     pub fn is_ready(&self) -> bool {
         self.shared.view.load().ready
     }
 
-    /// Waits until a view passes `test`.
+    /// Waits until a published view satisfies `test`.
     pub async fn wait_for(&self, test: impl Fn(&View) -> bool) {
         let mut published = self.shared.published.subscribe();
         while !test(&self.shared.view.load()) {
@@ -169,14 +171,14 @@
         }
     }
 
-    /// What the host shares among its duties, for programs that embed it.
+    /// Returns the state that the workers share, for programs that embed a host.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Waits until an earlier process of this name turns out to have the higher incarnation, which it gives.
-    /// The host serves nobody then and ends by itself; [`Host::spawn_above`] takes its place after
-    /// [`Host::wait`].
+    /// Waits until an earlier process of this name turns out to have a higher incarnation, and
+    /// returns that incarnation. This host then serves no callers and ends on its own;
+    /// [`Host::spawn_above`] starts its replacement after [`Host::wait`].
     pub async fn higher_incarnation(&self) -> u64 {
         let mut higher_incarnation = self.shared.higher_incarnation.subscribe();
         let earlier = higher_incarnation.wait_for(Option::is_some).await;
@@ -187,8 +189,9 @@
             .unwrap_or_default()
     }
 
-    /// Begins a planned stop: others are told at once, cached look-ups are honoured until they have
-    /// expired, requests in flight end, records are handed on.
+    /// Begins a graceful shutdown. Other hosts are notified at once; this host keeps serving until
+    /// the look-up answers that callers have cached expire, waits for requests in flight, and hands
+    /// its records over.
     pub fn start_shutdown(&self) {
         if self
             .shared
@@ -196,23 +199,23 @@
             .try_send(control::Input::Shutdown)
             .is_err()
         {
-            log::warn!("the control duty is busy; ask again to leave");
+            log::warn!("the control worker's queue is full; request the shutdown again");
         }
     }
 
-    /// Waits for the end of a planned stop and returns the time it took.
+    /// Waits for the end of the graceful shutdown and returns its duration.
     ///
     /// # Errors
     ///
-    /// When a duty has died.
+    /// Returns an error if a worker thread panicked.
     pub fn wait(self) -> anyhow::Result<Duration> {
         let report = self
             .control
             .join()
-            .map_err(|_| anyhow::anyhow!("the control duty died"))?;
+            .map_err(|_| anyhow::anyhow!("the control worker panicked"))?;
         self.stop.send_replace(true);
         join(self.threads.peers)?;
-        // The pools end after the last request of another host has left them.
+        // The pools worker stops after the last request of another host has left its pools.
         send_blocking(&self.shared.pools, pools::Input::Stop);
         join(self.threads.callers)?;
         send_blocking(&self.shared.ledger, ledger::Input::Stop);
@@ -221,7 +224,7 @@
         Ok(report.drain)
     }
 
-    /// Epoch of the request ledger.
+    /// Returns the current epoch of the request ledger.
     pub fn epoch(&self) -> u64 {
         self.shared.epoch.load(Ordering::Relaxed)
     }
@@ -231,10 +234,10 @@
     let name = thread.thread().name().unwrap_or("duty").to_owned();
     thread
         .join()
-        .map_err(|_| anyhow::anyhow!("the {name} duty died"))
+        .map_err(|_| anyhow::anyhow!("the {name} worker panicked"))
 }
 
-/// Pushes a command, waiting while the ring is full; its duty empties it in milliseconds.
+/// Sends a command and blocks while the channel is full; its worker empties it within milliseconds.
 fn send_blocking<T>(queue: &ring::Sender<T>, command: T) {
     let mut command = command;
     while let Err(ring::Full(back)) = queue.try_send(command) {
@@ -257,9 +260,12 @@
     Ok(Some(parsed))
 }
 
-/// A number that no earlier process of this name had: the time, then random bits. The time makes a
-/// later process's number the higher one, which is how other hosts tell which of two is the newer; where
-/// clocks jump it may be the lower one, and the process begins anew above the earlier one.
+/// Returns an incarnation that no earlier process of this name had: the time, followed by random
+/// bits.
+///
+/// The time makes the number of a later process higher, which is how other hosts tell which of two
+/// processes is newer. If the machine's clock was set back, the number may be lower; the process
+/// then starts again with an incarnation above the earlier one.
 fn incarnation() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,10 +1,11 @@
-//! One entry host: duties on threads of their own, rings between them, HTTP around them.
+//! One entry host: a few worker threads, bounded channels between them, and HTTP servers around
+//! them.
 //!
 //! ```
 //! use dunlinrock_node::Host;
 //! use dunlinrock_schema::settings::Settings;
 //!
-//! // Port 0 takes a free one. Nobody serves at the store's and the list's addresses here.
+//! // Port 0 binds a free port. Nothing listens at the addresses of the store and the list here.
 //! let settings: Settings = serde_json::from_str(
 //!     r#"{
 //!         "name": "cluj-1", "region": "cluj", "domain": "cluj-a",
@@ -15,14 +16,14 @@
 //! .unwrap();
 //! let host = Host::spawn(settings).unwrap();
 //!
-//! // It answers, and is not ready before it holds a configuration.
+//! // The host listens, and is not ready before it has a configuration.
 //! assert_ne!(host.callers_addr().port(), 0);
 //! assert!(!host.is_ready());
 //! ```
 //!
-//! A [`Host`] performs what `dunlinrock-decide` and `dunlinrock-coord` decide. [`duties`] says which
-//! thread does what, [`view`] what a host holds to be true, [`run`] how a request is run, [`dump`]
-//! and [`metrics`] what can be seen of it.
+//! A [`Host`] does the I/O for the decisions of `dunlinrock-decide` and `dunlinrock-coord`.
+//! [`duties`] has the worker threads, [`view`] the host's current knowledge of the cluster, [`run`]
+//! the way of a request to a target, [`dump`] and [`metrics`] what operators can observe.
 
 pub mod call;
 pub mod clock;
--- a/crates/node/src/metrics/counter.rs
+++ b/crates/node/src/metrics/counter.rs
@@ -1,45 +1,45 @@
-//! The counters of a host.
+//! Counters of a host.
 
 /// A counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Counter {
     /// Look-ups answered.
     Lookups,
-    /// Calls taken in.
+    /// Calls received.
     Calls,
-    /// Calls answered with a target's whole answer.
+    /// Calls answered with a target's complete response.
     Answered,
-    /// Calls told that they did not run.
+    /// Calls answered with `run: no`: they did not run.
     NotRun,
-    /// Calls told that nobody knows whether they ran.
+    /// Calls answered with `run: unknown`: they may have run.
     Unknown,
-    /// Calls told that they ran and the answer is gone.
+    /// Calls answered with `run: yes`: they ran, and the response is lost.
     Ran,
     /// Requests run for other hosts.
     Runs,
-    /// Ledger messages taken in.
+    /// Ledger messages received.
     LedgerMessages,
-    /// Control messages taken in.
+    /// Control messages received.
     ControlMessages,
-    /// Bytes of control messages taken in.
+    /// Bytes of control messages received.
     ControlIn,
     /// Bytes of control messages sent.
     ControlOut,
-    /// Bytes of steering messages taken in.
+    /// Bytes of steering messages received.
     SteerIn,
     /// Bytes of steering messages sent.
     SteerOut,
-    /// Messages refused because their sender is no member.
+    /// Messages refused because their sender is not a member.
     UnknownSenders,
     /// Calls to the platform's store.
     StoreCalls,
     /// Calls to the platform's store that failed.
     StoreFailures,
-    /// Configurations taken into force.
+    /// Configurations activated.
     Revisions,
 }
 
-/// All counters, in the order of their values.
+/// All counters, in the order of their discriminants.
 pub const COUNTERS: [Counter; 17] = [
     Counter::Lookups,
     Counter::Calls,
@@ -61,7 +61,7 @@
 ];
 
 impl Counter {
-    /// Name of the metric, after the prefix of the settings.
+    /// Returns the name of the metric, which follows the prefix of the settings.
     pub fn name(self) -> &'static str {
         match self {
             Counter::Lookups => "lookups",
--- a/crates/node/src/metrics/mod.rs
+++ b/crates/node/src/metrics/mod.rs
@@ -1,7 +1,7 @@
 //! Counters and timers of a host, sent as StatsD over UDP.
 //!
-//! A count is an atomic that the control duty sends at each heartbeat: look-ups come by the ten
-//! thousand, and a datagram for each would cost more than the look-up.
+//! A counter is an atomic that the control worker sends at each heartbeat: tens of thousands of
+//! look-ups arrive per second, and a datagram for each would cost more than the look-up.
 
 mod counter;
 
@@ -18,10 +18,10 @@
 
 pub use counter::{COUNTERS, Counter};
 
-/// Datagrams that may wait to be sent; more are dropped.
+/// Maximum number of queued datagrams; further ones are dropped.
 const MAX_QUEUED_DATAGRAMS: usize = 8192;
 
-/// Counters and timers; shared by the duties.
+/// Counters and timers, shared by the workers.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     inner: Arc<Inner>,
@@ -35,7 +35,7 @@
 }
 
 impl Metrics {
-    /// Opens metrics that are sent to `receiver`; without one they are only counted.
+    /// Creates metrics that are sent to `receiver`; without a receiver they are only counted.
     pub fn open(prefix: &str, receiver: Option<SocketAddr>) -> anyhow::Result<Metrics> {
         let client = receiver.map(|to| client(prefix, to)).transpose()?;
         let zeros = || COUNTERS.iter().map(|_| AtomicU64::new(0)).collect();
@@ -48,19 +48,19 @@
         })
     }
 
-    /// Counts one.
+    /// Increments a counter by one.
     pub fn increment(&self, counter: Counter) {
         self.add(counter, 1);
     }
 
-    /// Counts several.
+    /// Increments a counter by `n`.
     pub fn add(&self, counter: Counter, n: u64) {
         if let Some(total) = self.inner.totals.get(counter as usize) {
             total.fetch_add(n, Ordering::Relaxed);
         }
     }
 
-    /// Total of a counter since the start.
+    /// Returns the total of a counter since the start.
     pub fn total(&self, counter: Counter) -> u64 {
         self.inner
             .totals
@@ -68,10 +68,10 @@
             .map_or(0, |total| total.load(Ordering::Relaxed))
     }
 
-    /// Sends a time.
+    /// Sends a duration.
     pub fn time(&self, name: &str, time: Duration) {
         if let Some(client) = &self.inner.client {
-            // A metric that is lost is missed by nobody but a graph.
+            // A lost datagram only affects graphs.
             let _ = client.time(name, time);
         }
     }
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Sends what was counted since the last flush.
+    /// Sends the increments since the last flush.
     pub fn flush(&self) {
         let Some(client) = &self.inner.client else {
             return;
--- a/crates/node/src/operate/apply.rs
+++ b/crates/node/src/operate/apply.rs
@@ -1,4 +1,4 @@
-//! Drives an apply against the store until its end is certain.
+//! Runs an apply against the store until its result is known.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
 
 use crate::store::{Store, execute};
 
-/// An apply that was given up before its end was certain.
+/// An apply that timed out before its result was known.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error(
     "the store gave no certain answer in {time:?}; apply {id} {state}",
@@ -22,17 +22,17 @@
 pub struct UncertainApply {
     /// Id of the apply.
     pub id: Arc<str>,
-    /// Time it was tried for.
+    /// Time after which it was given up.
     pub time: Duration,
     /// Whether its write may have reached the store.
     pub in_doubt: bool,
 }
 
-/// Applies `config` as a whole; gives up after `time`.
+/// Applies `config` atomically; gives up after `time`.
 ///
 /// # Errors
 ///
-/// [`UncertainApply`] where the store did not answer in time.
+/// Returns [`UncertainApply`] if the store did not answer in time.
 pub async fn apply(
     store: &Store,
     config: &Config,
--- a/crates/node/src/operate/mod.rs
+++ b/crates/node/src/operate/mod.rs
@@ -1,4 +1,4 @@
-//! What operators do with the store, for the command line and for programs that embed it.
+//! Operators' access to the store, for the command line and for programs that embed it.
 
 mod apply;
 mod read;
--- a/crates/node/src/operate/read.rs
+++ b/crates/node/src/operate/read.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration in force.
+//! Reads the active configuration from the store.
 
 use anyhow::Context;
 use dunlinrock_coord::{
@@ -10,20 +10,20 @@
 
 use crate::store::{ROOT_KEY, Store, execute};
 
-/// The configuration in force, with its root.
+/// The active configuration with its root.
 #[derive(Clone, Debug)]
 pub struct ActiveConfig {
     /// The root.
     pub root: Root,
-    /// The whole configuration.
+    /// The complete configuration.
     pub config: Config,
 }
 
-/// Reads the configuration in force; `None` where none was applied yet.
+/// Reads the active configuration; returns `None` if none has been applied yet.
 ///
 /// # Errors
 ///
-/// When the store does not answer, or holds something that cannot be read.
+/// Returns an error if the store does not answer or its content cannot be read.
 pub async fn read(store: &Store) -> anyhow::Result<Option<ActiveConfig>> {
     let found = store.get(ROOT_KEY).await?;
     let Some(value) = found.value else {
@@ -34,7 +34,7 @@
     Ok(Some(ActiveConfig { root, config }))
 }
 
-/// Fetches the pieces of a root that `held` lacks and joins them.
+/// Fetches the pieces of a root that `held` lacks, and joins all pieces.
 async fn fetch(store: &Store, root: &Root, held: &mut Pieces) -> anyhow::Result<Config> {
     let tree = Hash::read(&root.now.tree).context("the root names no tree")?;
     loop {
--- a/crates/node/src/ring/mod.rs
+++ b/crates/node/src/ring/mod.rs
@@ -1,9 +1,9 @@
-//! Bounded rings that join the duties of a host.
+//! Bounded channels between the workers of a host.
 //!
-//! A ring has many senders and one receiver, which waits for the next item without blocking its
-//! thread. A full ring gives the item back: what then happens is the sender's to say, because only
-//! it knows whether the item is a caller's request (turned away, it has not run), a report (the
-//! next one replaces it) or a command (tried again).
+//! A channel has many senders and one receiver, which waits for the next item without blocking its
+//! thread. A full channel returns the item to the sender, because only the sender knows what to do
+//! with it: a caller's request is refused (it has not run), a report is dropped (the next one
+//! replaces it), a command is sent again.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -13,23 +13,24 @@
 use rtrb::{Consumer, Producer, PushError, RingBuffer};
 use tokio::sync::Notify;
 
-/// Pause before a full ring is tried again. A duty empties its ring of some thousand items in a few
-/// milliseconds; trying more often would only take its processor time.
+/// Interval at which a send to a full channel is retried. A worker empties its channel of some
+/// thousand items in a few milliseconds; shorter intervals would only take processor time from it.
 const RETRY_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The sending end of a ring; clones share the ring.
+/// Sending end of a channel; clones share the channel.
 #[derive(Debug)]
 pub struct Sender<T> {
-    /// Stands before `wake`, since fields are dropped in their order: see [`Wake`].
+    /// Declared before `wake`, since fields are dropped in order of declaration: see [`Wake`].
     producer: Arc<Mutex<Producer<T>>>,
     wake: Wake,
 }
 
-/// Wakes the receiver, also when it is dropped.
+/// Wakes the receiver, also on drop.
 ///
-/// The receiver finds out that the last sender has gone by looking again. Woken before the producer
-/// is gone, it would look too early and wait for good; so this is dropped after it. A permit stored
-/// while the receiver is awake is used up by its next wait, so the last drop is never missed.
+/// The receiver notices that the last sender is gone when it polls again. A wake-up before the
+/// producer is dropped would come too early, and the receiver would then wait indefinitely; so this
+/// field is dropped after the producer. A permit that is stored while the receiver is awake is
+/// consumed by its next wait, so the last drop is never missed.
 #[derive(Debug)]
 struct Wake(Arc<Notify>);
 
@@ -39,18 +40,18 @@
     }
 }
 
-/// The receiving end of a ring.
+/// Receiving end of a channel.
 #[derive(Debug)]
 pub struct Receiver<T> {
     consumer: Consumer<T>,
     wake: Arc<Notify>,
 }
 
-/// A ring had no room; the item comes back.
+/// The channel is full; contains the item that was not sent.
 #[derive(Debug)]
 pub struct Full<T>(pub T);
 
-/// Opens a ring for `capacity` items.
+/// Creates a channel with space for `capacity` items.
 pub fn channel<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
     let (producer, consumer) = RingBuffer::new(capacity);
     let wake = Arc::new(Notify::new());
@@ -71,7 +72,7 @@
 }
 
 impl<T> Sender<T> {
-    /// Appends an item, or gives it back where the ring is full.
+    /// Sends an item, or returns it in [`Full`] if the channel is full.
     pub fn try_send(&self, item: T) -> Result<(), Full<T>> {
         let mut producer = self.producer.lock().unwrap_or_else(PoisonError::into_inner);
         let result = producer.push(item);
@@ -87,8 +88,9 @@
 }
 
 impl<T: Send + 'static> Sender<T> {
-    /// Appends an item that must not be lost, such as the word that a slot is free again: a full
-    /// ring is tried again by a task of its own until it has room. To be called on a runtime.
+    /// Sends an item that must not be lost, such as the notice that a slot is free again. If the
+    /// channel is full, a spawned task retries until the item is sent. Must be called within a
+    /// Tokio runtime.
     pub fn send_retrying(&self, item: T) {
         let Err(Full(item)) = self.try_send(item) else {
             return;
@@ -105,7 +107,8 @@
 }
 
 impl<T> Receiver<T> {
-    /// Waits for the next item; `None` once every sender is gone and the ring is empty.
+    /// Waits for the next item. Returns `None` once all senders are dropped and the channel is
+    /// empty.
     pub async fn recv(&mut self) -> Option<T> {
         loop {
             if let Some(item) = self.try_recv() {
@@ -118,17 +121,17 @@
         }
     }
 
-    /// Takes the next item if there is one.
+    /// Returns the next item, if there is one.
     pub fn try_recv(&mut self) -> Option<T> {
         self.consumer.pop().ok()
     }
 
-    /// Items that wait now.
+    /// Returns the number of items in the channel.
     pub fn len(&self) -> usize {
         self.consumer.slots()
     }
 
-    /// Whether no item waits now.
+    /// Returns whether the channel is empty.
     pub fn is_empty(&self) -> bool {
         self.consumer.is_empty()
     }
--- a/crates/node/src/run/clients.rs
+++ b/crates/node/src/run/clients.rs
@@ -1,18 +1,18 @@
-//! Clients of a duty that runs requests.
+//! HTTP clients of a worker that runs requests.
 
 use crate::{shared::Shared, wire::Client};
 
-/// Clients of a duty that runs requests; clones share their pools of connections.
+/// HTTP clients of a worker that runs requests; clones share the connection pools.
 #[derive(Clone, Debug)]
 pub struct Clients {
-    /// To targets, by whichever way the system chooses.
+    /// Client for targets. The system chooses its source address.
     pub targets: Client,
-    /// To other hosts, from the address that this host announced.
+    /// Client for other hosts. Connections originate from the address that this host registered.
     pub hosts: Client,
 }
 
 impl Clients {
-    /// Opens clients within the host's limits.
+    /// Creates clients with the limits of the settings.
     pub fn open(shared: &Shared) -> Clients {
         let max_bytes = shared.limits.answer_bytes.get();
         let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
--- a/crates/node/src/run/dispatch.rs
+++ b/crates/node/src/run/dispatch.rs
@@ -1,4 +1,4 @@
-//! Chooses the region and the pool for a request and has it run there.
+//! Chooses the region and the pool for a request and runs it there.
 
 use std::{
     sync::{Arc, PoisonError},
@@ -24,26 +24,26 @@
     wire::{Answer, CallError, ProblemKind},
 };
 
-/// Pools that a request is offered to at the most. The second helps when the load of the first was
-/// heard too long ago, or its owner just died. More would multiply the offers of a region that is
-/// full, where each of its pools refuses.
+/// Maximum number of pools that a request is offered to. The second one helps if the load of the
+/// first was reported too long ago, or if its owner has just crashed. More would multiply the
+/// offers in a region that is full, where each pool refuses.
 const MAX_POOLS: usize = 2;
 
-/// Hand-overs between hosts at the most: one to the owner, one more where the owner changed since.
+/// Maximum number of hops between hosts: one to the owner, one more if the owner has changed since.
 pub const MAX_HOPS: u8 = 2;
 
-/// Bytes of a request's head, for the use of a link.
+/// Assumed size of a request head, in bytes, for the use of a link.
 const ASSUMED_HEAD_BYTES: f64 = 500.0;
-/// Bytes of an answer, for the use of a link, before its size is known.
+/// Assumed size of a response, in bytes, for the use of a link, before its size is known.
 const ASSUMED_ANSWER_BYTES: f64 = 2_000.0;
 
-/// Least time at an owner for a hand-over to be worth it.
+/// Minimum remaining time at the owner for which a request is forwarded.
 const MIN_FORWARD_TIME: Duration = Duration::from_millis(2);
 
-/// Pause before a new view is looked for when the owner of a pool has changed under a request.
+/// Time to wait for a new view when the owner of a pool has changed during a request.
 const VIEW_WAIT: Duration = Duration::from_millis(20);
 
-/// Runs `call` in the region that its service's shares give it.
+/// Runs `call` in the region that the traffic shares of its service select.
 pub async fn dispatch(
     shared: &Shared,
     clients: &Clients,
@@ -77,7 +77,7 @@
     }))
 }
 
-/// Runs `call` at one pool, wherever its owner is.
+/// Runs `call` at one pool, at this host or at the host that owns the pool.
 pub(crate) async fn run_at_pool(
     shared: &Shared,
     clients: &Clients,
@@ -91,8 +91,8 @@
         if call.hops >= MAX_HOPS {
             return Err(owner_changing(&route.id));
         }
-        // With less time than the way there and back the owner's `run: no` could not arrive, and
-        // the caller would be told that nobody knows.
+        // If the remaining time is shorter than the round trip, the owner's `run: no` could not
+        // arrive in time, and the caller would be told `run: unknown`.
         if call.deadline.saturating_duration_since(Instant::now())
             < 2 * route.delay + MIN_FORWARD_TIME
         {
@@ -122,11 +122,13 @@
     CallError::not_run(ProblemKind::Unavailable, detail).retry_after(Duration::from_millis(250))
 }
 
-/// Whether another pool may be tried: the request certainly did not run and was not judged by what
-/// it is, or the host that had it is lost and it may run more than once; and there is time.
+/// Returns whether another pool may be tried: there is time, the request was not refused because of
+/// its content, and either it certainly did not run, or the host that had it is unreachable and the
+/// request is idempotent.
 ///
-/// Not where a target failed: its pool has tried another one, as far as that was wise. A request
-/// that kills its targets would go on to kill as many in the next pool, which has not heard of it.
+/// No other pool is tried after a target failed: its pool has already retried at another target
+/// where that was safe. A request that crashes its targets would crash as many in the next pool,
+/// which does not know about it yet.
 fn may_try_next(error: &CallError, call: &Call) -> bool {
     let judged = matches!(
         error.kind,
@@ -143,8 +145,8 @@
     }
     let from = view.region(call.client, &shared.me.region);
     shared.traffic.record_arrival(&call.service, &from);
-    // The same request draws the same region again: a refused one whose each try drew another
-    // would soon be served, and the regions that are left would get more than their shares.
+    // A retry of a request draws the same region: if each attempt drew another one, refused
+    // requests would soon be served, and the remaining regions would get more than their shares.
     let picked = view.shares.pick_region(&call.service, &from, call.identity);
     let region = picked
         .map(Arc::clone)
@@ -156,11 +158,11 @@
     Ok(region)
 }
 
-/// Takes room that the region's hosts lent, waiting for it as long as a request may wait at all.
+/// Acquires a grant of the region's hosts, waiting for it at most for the service's queue time.
 ///
-/// A share that no grant covers must not go out, nor to another region instead: many hosts that
-/// each exceed their grants a little overrun a region together, and what is sent home instead moves
-/// traffic outside the cap.
+/// Without a grant the request must not be sent, nor may it be sent to another region: many hosts
+/// that each exceed their grants a little would overload a region together, and requests sent to
+/// the local region instead would move traffic outside the cap.
 async fn acquire_grant(
     shared: &Shared,
     view: &View,
@@ -192,7 +194,7 @@
     }
 }
 
-/// Takes room that the region's hosts lent to this one.
+/// Takes one request from the grants of the region's hosts.
 fn take_grant(shared: &Shared, call: &Call, region: &str) -> Result<(), NoCapacity> {
     let mut grantee = shared
         .grantee
@@ -205,7 +207,8 @@
     grantee.try_acquire(region, &call.service, sizes, shared.now())
 }
 
-/// Counts an answer, and puts right what was taken of a link before its size was known.
+/// Records a response, and corrects the use of the link, which was assumed before the size of the
+/// response was known.
 fn record_answer(shared: &Shared, call: &Call, region: &str, answer: &Answer) {
     shared
         .traffic
--- a/crates/node/src/run/forward.rs
+++ b/crates/node/src/run/forward.rs
@@ -1,4 +1,4 @@
-//! Hands a request to the host that owns its pool.
+//! Forwards a request to the host that owns its pool.
 
 use std::{str::FromStr, sync::Arc, time::Duration};
 
@@ -26,11 +26,12 @@
     wire::{self, Answer, CallError, ClientError, CodecError, ProblemKind},
 };
 
-/// Path on which hosts take requests for the pools they own.
+/// Path on which hosts receive requests for the pools that they own.
 pub const RUN_PATH: &str = "/peer/v1/run";
 
-/// Hands `call` to the owner of a pool and waits for its answer until the deadline. The answer
-/// brings the pool's load along: fresh where it is used most, and at no cost where it is not.
+/// Forwards `call` to the owner of a pool and waits for the response until the deadline. The
+/// response carries the pool's load, so load readings are most recent where they are used most, and
+/// cost nothing where they are not used.
 pub(super) async fn forward(
     shared: &Shared,
     clients: &Clients,
@@ -45,21 +46,21 @@
     result
 }
 
-/// Passes a keyed request on to the owner of its key.
+/// Forwards a keyed request to the owner of its key.
 pub(super) async fn forward_keyed(
     clients: &Clients,
     owner: &Member,
     call: &Call,
 ) -> Result<Answer, CallError> {
     let (result, _) = post_call(clients, owner, CALL_PATH, "", call).await;
-    // That this attempt was not sent says nothing of the earlier ones of the key.
+    // That this attempt was not sent does not mean that earlier attempts of the key did not run.
     result.map_err(|error| CallError {
         run: relayed_run(error.run, call),
         ..error
     })
 }
 
-/// What a caller may be told of a key whose owner was not reached.
+/// Returns the `run` that the caller may be told for a key whose owner was not reached.
 fn relayed_run(run: Run, call: &Call) -> Run {
     let first = call
         .attempts
@@ -98,8 +99,8 @@
     (Err(error), None)
 }
 
-/// A status other than 200 comes before the other host takes the frame in, but for one: it could
-/// not write its answer.
+/// Returns the error for a status other than 200. The other host sends such a status before it
+/// accepts the frame, with one exception: it could not encode its response.
 fn refused(owner: &Member, answer: &Answer) -> CallError {
     if answer.status == StatusCode::INTERNAL_SERVER_ERROR {
         return CallError::unknown(
@@ -143,7 +144,7 @@
     }
 }
 
-/// Reads a request that another host handed over.
+/// Decodes a request that another host forwarded.
 pub fn read_call(frame: &Bytes) -> anyhow::Result<(PoolId, Call)> {
     let (head, body): (RunHead, Bytes) = wire::split_frame(frame)?;
     let pool = PoolId {
@@ -173,7 +174,7 @@
     Ok((pool, call))
 }
 
-/// Writes what became of a request, for another host or for the ledger.
+/// Encodes the result of a request, for another host or for the ledger.
 pub fn write_answer(
     result: &Result<Answer, CallError>,
     load: Option<Load>,
@@ -201,7 +202,7 @@
     }
 }
 
-/// Reads what [`write_answer`] wrote.
+/// Decodes a result that [`write_answer`] encoded.
 pub fn read_answer(frame: &Bytes) -> Result<(Result<Answer, CallError>, Option<Load>), CodecError> {
     let (head, body): (RunAnswer, Bytes) = wire::split_frame(frame)?;
     let result = match head.end {
@@ -246,7 +247,7 @@
     }
 }
 
-/// A word that this host does not know is read as the one that claims least.
+/// Decodes an error. Values that this host does not know become the ones that claim least.
 fn read_error(head: &TroubleHead) -> CallError {
     CallError {
         kind: ProblemKind::from_name(&head.kind).unwrap_or(ProblemKind::TargetFailed),
--- a/crates/node/src/run/in_pool.rs
+++ b/crates/node/src/run/in_pool.rs
@@ -1,4 +1,4 @@
-//! Carries one request through a pool that this host owns.
+//! Runs one request in a pool that this host owns.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,21 +19,22 @@
     wire::{Answer, CallError, ProblemKind},
 };
 
-/// Retry hint for a host whose own rings are full: they empty in milliseconds.
+/// Retry hint when the host's own queues are full; they empty within milliseconds.
 const FULL_QUEUE_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// What became of a request in a pool.
+/// Result of a request in a pool.
 #[derive(Debug)]
 pub enum PoolOutcome {
-    /// A target's whole answer.
+    /// Complete response of a target.
     Answer(Answer),
-    /// It has no answer.
+    /// The request has no response.
     Error(CallError),
-    /// Another host owns the pool; the request has not run.
+    /// Another host owns the pool; the request has not run here.
     NotOwner,
 }
 
-/// A request in a pool. Dropped before its end, it leaves the queue and frees its slots.
+/// Cancels a request in a pool when dropped while armed: the request leaves the queue and frees its
+/// slots.
 struct CancelGuard<'a> {
     shared: &'a Shared,
     pool: Arc<PoolId>,
@@ -66,10 +67,10 @@
 
 type Attempts<'a> = FuturesUnordered<BoxFuture<'a, (Arc<str>, AttemptResult)>>;
 
-/// Offers `call` to the pool and carries it to its end.
+/// Offers `call` to the pool and drives it to its end.
 ///
-/// Dropping the future cancels the request: in the queue it has not run, at a target its connection
-/// is closed, which the target takes as cancellation.
+/// Dropping the future cancels the request: in the queue it has not run, and at a target its
+/// connection is closed, which the target treats as cancellation.
 pub async fn run_in_pool(
     shared: &Shared,
     clients: &Clients,
@@ -165,7 +166,7 @@
     async move {
         let mut ran = match address {
             Some(address) => target::send(&clients.targets, call, address).await,
-            // The pool duty is ahead of this request's view by one configuration.
+            // The pools worker already has a newer configuration than this request's view.
             None => AttemptResult {
                 outcome: Outcome::Refused,
                 answer: None,
--- a/crates/node/src/run/keyed.rs
+++ b/crates/node/src/run/keyed.rs
@@ -1,4 +1,4 @@
-//! Carries one attempt of a request that may not be repeated.
+//! Runs one attempt of a keyed request, which is not idempotent.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,10 +16,10 @@
     wire::{Answer, CallError, ProblemKind},
 };
 
-/// Retry hint for a host whose ledger ring is full: it empties in milliseconds.
+/// Retry hint when the ledger's queue is full; it empties within milliseconds.
 const FULL_QUEUE_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// An attempt in the ledger. Dropped before its end, it no longer waits there.
+/// Cancels an attempt in the ledger when dropped while armed: it no longer waits for the result.
 struct CancelGuard<'a> {
     shared: &'a Shared,
     ticket: u64,
@@ -36,10 +36,10 @@
     }
 }
 
-/// Has the ledger decide whether `call` runs here, and waits for its answer.
+/// Lets the ledger decide whether `call` runs here, and waits for the result.
 ///
-/// The run itself is a task of its own: a caller that goes away does not break off what was sent,
-/// since a retry with the same key will ask for its answer.
+/// The run is a task of its own: a caller that disconnects does not abort a request that was sent,
+/// since a retry with the same key will ask for its response.
 pub async fn run_keyed(
     shared: &Arc<Shared>,
     clients: &Clients,
@@ -106,13 +106,13 @@
     tokio::spawn(async move {
         let outcome = match dispatch(&shared, &clients, &call).await {
             Err(error) if error.run == Run::No => {
-                log::info!(request = &*call.request, detail = &*error.detail; "not run");
+                log::info!(request = &*call.request, detail = &*error.detail; "request not run");
                 Outcome::NotRun {
                     retry_after: error.retry_after,
                 }
             }
             Err(error) => {
-                log::warn!(request = &*call.request, detail = &*error.detail; "run without answer");
+                log::warn!(request = &*call.request, detail = &*error.detail; "request sent, without a complete response");
                 Outcome::Indeterminate
             }
             Ok(answer) => match forward::write_answer(&Ok(answer), None) {
--- a/crates/node/src/run/mod.rs
+++ b/crates/node/src/run/mod.rs
@@ -1,4 +1,5 @@
-//! Runs a request: chooses its pool, waits for a slot, sends it, hands it to the pool's owner.
+//! Runs a request: chooses its pool, waits for a slot and sends it to a target, or forwards it to
+//! the pool's owner.
 
 mod clients;
 mod dispatch;
--- a/crates/node/src/run/relay.rs
+++ b/crates/node/src/run/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a keyed request on to its owner, for a caller that asked a third host.
+//! Forwards a keyed request to the owner of its key, for a caller that sent it to a third host.
 
 use dunlinrock_coord::once::Key;
 
@@ -9,14 +9,14 @@
     wire::{Answer, CallError, ProblemKind},
 };
 
-/// Path on which hosts take keyed requests that a third host passes on.
+/// Path on which hosts receive keyed requests that a third host forwards.
 pub const CALL_PATH: &str = "/peer/v1/call";
 
-/// Passes `call` on to the owner of its key.
+/// Forwards `call` to the owner of its key.
 ///
-/// Only ever to the owner: the caller counts this attempt as one to the owner, and a closed owner
-/// says `run: no` on the word that all attempts came to it. An attempt passed on to the witness
-/// without the caller's knowledge would make that `no` a false one.
+/// The request is never forwarded to the witness: the caller counts this attempt as one at the
+/// owner, and a closed owner answers `run: no` on the premise that all attempts were sent to it. An
+/// attempt forwarded to the witness without the caller's knowledge would make that `no` wrong.
 pub async fn relay(
     shared: &Shared,
     clients: &Clients,
--- a/crates/node/src/run/target.rs
+++ b/crates/node/src/run/target.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one target and tells how the run ended.
+//! Sends a request to one target and reports the result of the run.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,29 +13,30 @@
     wire::{self, Answer, Client, ClientError, Stage},
 };
 
-/// Time in which a target that broke off must take a connection to count as alive.
+/// Timeout for connecting to a target that closed a connection early; a target that accepts within
+/// it counts as alive.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time for which a new connection must stay open. A process takes some milliseconds to end; nobody
-/// waits for this but the one request whose connection broke.
+/// Time for which the new connection must stay open. A process takes some milliseconds to exit;
+/// only the request whose connection broke waits for this.
 const PROBE_HOLD_TIME: Duration = Duration::from_millis(50);
 
-/// How a run ended.
+/// Result of one attempt at a target.
 #[derive(Debug)]
 pub(super) struct AttemptResult {
-    /// What the pool is told.
+    /// Outcome that is reported to the pool.
     pub outcome: Outcome,
-    /// The whole answer, where there is one.
+    /// Complete response, if there is one.
     pub answer: Option<Answer>,
-    /// What went wrong, where something did.
+    /// Description of the failure, if the attempt failed.
     pub detail: String,
-    /// The target's word about its load.
+    /// Load that the target reported.
     pub report: Option<LoadReport>,
-    /// Time from its start to its end.
+    /// Duration of the attempt.
     pub time: Duration,
 }
 
-/// Sends `call` to the target at `address` and waits for its whole answer until the deadline.
+/// Sends `call` to the target at `address` and waits for its complete response until the deadline.
 pub(super) async fn send(client: &Client, call: &Call, address: SocketAddr) -> AttemptResult {
     let time = call.deadline.saturating_duration_since(Instant::now());
     let request = match request(call, address, time) {
@@ -56,13 +57,14 @@
     }
 }
 
-/// Tells a target that died from one that closed a connection.
+/// Tells a target that crashed from one that only closed a connection.
 ///
-/// A kept connection that a live target closes just as a request goes out looks the same as a
-/// crash. Taken for one, it would put an innocent request under suspicion; a target that crashed
-/// does not take a new connection, so one attempt to connect tells the two apart. While a process
-/// ends, its listener may outlive its connections for a moment and take the attempt: then the new
-/// connection breaks too, and one that stays for [`PROBE_HOLD_TIME`] is a live target's.
+/// A kept-alive connection that a live target closes just as a request is sent looks the same as a
+/// crash. If it counted as a crash, an innocent request would become a suspect. A crashed target
+/// does not accept a new connection, so one attempt to connect tells the two apart. While a process
+/// exits, its listener may outlive its connections for a moment and accept the attempt: then the
+/// new connection breaks too, and only a live target's connection stays open for
+/// [`PROBE_HOLD_TIME`].
 async fn probe_target(address: SocketAddr) -> Outcome {
     let connected = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await;
     let Ok(Ok(stream)) = connected else {
@@ -121,8 +123,8 @@
     }
 }
 
-/// Reads `busy/slots;leaving;cold`, as targets put it into their answers. A field that does not
-/// read so is passed over: the host's own counts are exact without it.
+/// Parses `busy/slots;leaving;cold`, the format of targets in their responses. A malformed field is
+/// ignored: the host's own counts are exact without it.
 pub(crate) fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
     let text = headers.get(wire::TARGET_LOAD)?.to_str().ok()?;
     let mut parts = text.split(';');
--- a/crates/node/src/run/ungranted.rs
+++ b/crates/node/src/run/ungranted.rs
@@ -1,30 +1,33 @@
-//! Lets a few requests go without a grant.
+//! Admits a small rate of requests without a grant.
 //!
-//! Load: a caller that comes now and then where it usually does not, by an old answer or an address
-//! in no block. Room is asked for by what was measured, so for such a caller there never is any, and
-//! each of its first tries would be turned away. All hosts together let so few through that the
-//! headroom which grants leave free in each region covers them; a crowd meets the grants.
+//! Such a request comes from a caller that only now and then uses a region that it usually does not
+//! use, because of an old answer or an address in no client block. Grants are requested by measured
+//! traffic, so there is never one for this caller, and each of its first attempts would be refused.
+//! All hosts together admit so few of these requests that the headroom which grants leave free in
+//! each region covers them; larger traffic needs grants.
 
 use std::{
     sync::{Mutex, PoisonError},
     time::Duration,
 };
 
-/// Time for which one request uses the allowance of the whole fleet up: 60 a second. At 10 ms of
-/// work each that is six tenths of one slot.
+/// Interval between requests of all hosts together: 60 requests a second. At 10 ms of work each,
+/// that is six tenths of one slot.
 const EMISSION_INTERVAL: Duration = Duration::from_micros(16_667);
-/// Requests that may come at once at one host.
+/// Maximum burst at one host, in requests.
 const BURST: u32 = 5;
 
-/// The allowance of one host, its part of the fleet's, as a virtual schedule (GCRA).
+/// Rate limiter of one host, with its fraction of the rate of all hosts, as a virtual schedule
+/// (GCRA).
 #[derive(Debug, Default)]
 pub struct UngrantedLimiter {
-    /// When the allowance is whole again, on the host's clock.
+    /// When the full burst is available again, on the host's clock.
     full_at: Mutex<Duration>,
 }
 
 impl UngrantedLimiter {
-    /// Takes a place of a host of a fleet of `hosts`; `false` where its part is used up.
+    /// Takes one request from the limit of one of `hosts` hosts; returns `false` if the limit is
+    /// used up.
     pub fn try_acquire(&self, hosts: usize, now: Duration) -> bool {
         let interval = EMISSION_INTERVAL * u32::try_from(hosts.max(1)).unwrap_or(u32::MAX);
         let mut full_at = self.full_at.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/node/src/serve/mod.rs
+++ b/crates/node/src/serve/mod.rs
@@ -1,8 +1,8 @@
-//! Accepts connections and serves them with limits.
+//! Accepts connections and serves HTTP on them with limits.
 //!
-//! `viz::serve` does not set `TCP_NODELAY`, and pipelined requests then stall for about 40 ms a
-//! batch; nor does it bound connections or the time that a head may take. So connections are
-//! accepted here, and `viz` routes what arrives on them.
+//! `viz::serve` does not set `TCP_NODELAY`, so pipelined requests stall for about 40 ms per batch;
+//! nor does it limit the number of connections or the time for a request head. Connections are
+//! therefore accepted here, and `viz` only routes the requests.
 
 mod write_timeout;
 
@@ -21,27 +21,29 @@
 /// Limits on the connections of one listener.
 #[derive(Clone, Debug)]
 pub struct ConnectionLimits {
-    /// Connections served at once; the next waits in the listener's backlog.
+    /// Maximum number of concurrent connections; further ones wait in the listener's backlog.
     pub connections: usize,
-    /// Largest head, in bytes; more is answered 431.
+    /// Maximum size of a request head, in bytes; a larger one is answered with 431.
     pub header_bytes: usize,
-    /// Time a head may take to arrive.
+    /// Maximum time for a request head to arrive.
     pub header_time: Duration,
 }
 
-/// Time for which the other side may take nothing of an answer before its connection is closed.
+/// Maximum time without progress in writing a response before the connection is closed.
 ///
-/// Without it a caller that asks for large answers and reads none keeps its connections for good:
-/// a few thousand of them take every connection a host serves, and one keeps a planned stop from
-/// ending. A caller on a link that lost packets takes something every few seconds at the least.
+/// Without this timeout a caller that requests large responses and reads none of them would keep
+/// its connections indefinitely: a few thousand of them take every connection that a host serves,
+/// and a single one keeps a graceful shutdown from ending. A caller on a lossy link still reads
+/// something every few seconds.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause after a failed accept, in milliseconds. Out of file descriptors, accept fails at once
-/// and again; without the pause the loop takes the whole core just when the host needs it.
+/// Backoff after a failed accept, in milliseconds. When file descriptors run out, accept keeps
+/// failing immediately; without the backoff the loop would use a whole core just when the host
+/// needs it.
 const ACCEPT_BACKOFF_MS: u64 = 20;
 
-/// Serves `tree` on `listener` until `stop` turns true, then ends idle connections and lets each
-/// busy one finish its answer.
+/// Serves `tree` on `listener` until `stop` becomes true. Then closes idle connections and lets
+/// busy ones finish their current response.
 pub async fn serve(
     listener: TcpListener,
     tree: Arc<Tree>,
@@ -72,7 +74,8 @@
             }
         }
     }
-    // Each open connection holds a permit: once all are back, the last answer has gone out.
+    // Each open connection holds a permit: once all permits are returned, the last response has
+    // been sent.
     let all = u32::try_from(limits.connections).unwrap_or(u32::MAX);
     let _ = permits.acquire_many(all).await;
     Ok(())
@@ -110,7 +113,7 @@
     }
 }
 
-/// Waits until `stop` turns true, or its sender is gone.
+/// Waits until `stop` becomes true or its sender is dropped.
 async fn stopped(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|stopped| *stopped).await;
 }
--- a/crates/node/src/serve/write_timeout.rs
+++ b/crates/node/src/serve/write_timeout.rs
@@ -1,4 +1,4 @@
-//! A connection whose other side must take something of what is sent, again and again.
+//! A TCP stream with a timeout on stalled writes.
 
 use std::{
     io,
@@ -13,12 +13,12 @@
     time::{Instant, Sleep, sleep},
 };
 
-/// A connection that fails once it took no byte to send for a time.
+/// A stream whose writes fail when no byte can be sent for `time`.
 #[derive(Debug)]
 pub(super) struct WriteTimeout {
     stream: TcpStream,
     time: Duration,
-    /// Runs while a byte waits to be sent.
+    /// Runs while a write is pending.
     timer: Pin<Box<Sleep>>,
     pending: bool,
 }
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Passes on what became of a write; one that has waited for too long has failed.
+    /// Returns the result of a write, or an error if the write has been pending for too long.
     fn enforce<T>(
         &mut self,
         context: &mut Context<'_>,
@@ -48,7 +48,7 @@
             self.timer.as_mut().reset(Instant::now() + self.time);
         }
         ready!(self.timer.as_mut().poll(context));
-        let detail = "the other side takes nothing of the answer";
+        let detail = "write timeout: the peer does not read the response";
         Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, detail)))
     }
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the duties of one host share.
+//! State shared by the workers of a host.
 
 use std::{
     sync::{
@@ -26,54 +26,55 @@
     view::{Member, View},
 };
 
-/// What the duties of one host share: read by all, the rings written by many.
+/// State shared by the workers of a host. All of them read it; several of them send into each
+/// channel.
 #[derive(Debug)]
 pub struct Shared {
     /// The host's settings.
     pub settings: Settings,
-    /// Limits of the settings, defaults filled in.
+    /// Limits from the settings, with defaults filled in.
     pub limits: LimitSettings,
-    /// Times of the settings, defaults filled in.
+    /// Times from the settings, with defaults filled in.
     pub timing: TimingSettings,
     /// This host, as it announces itself.
     pub me: Member,
-    /// Time of this process.
+    /// Monotonic clock of this process.
     pub clock: Clock,
-    /// The newest view.
+    /// The current view.
     pub view: Arc<ArcSwap<View>>,
-    /// What other regions' hosts lent to this one.
+    /// Grants that hosts of other regions gave this host.
     pub grantee: Arc<Mutex<Grantee>>,
-    /// The few requests that go without a grant.
+    /// Limiter of the requests that are sent without a grant.
     pub ungranted_limiter: UngrantedLimiter,
-    /// What is measured of the traffic.
+    /// Traffic measured at this host.
     pub traffic: TrafficMeter,
-    /// Number of the newest view, for those who wait for one.
+    /// Number of the current view, for subscribers that wait for a newer one.
     pub published: watch::Sender<u64>,
-    /// Incarnation of an earlier process of this name, if it is higher than this one's.
+    /// Incarnation of an earlier process of this name, if it is higher than that of this process.
     pub higher_incarnation: watch::Sender<Option<u64>>,
-    /// Keeps a host that was paused from starting what it held.
+    /// Fence that keeps a paused host from starting requests that it still holds.
     pub fence: Fence,
-    /// To the pools duty.
+    /// Channel to the pools worker.
     pub pools: ring::Sender<pools::Input>,
-    /// To the ledger duty.
+    /// Channel to the ledger worker.
     pub ledger: ring::Sender<ledger::Input>,
-    /// Epoch of the request ledger, as its duty keeps it.
+    /// Current epoch of the request ledger, stored by the ledger worker.
     pub epoch: Arc<AtomicU64>,
-    /// To the control duty.
+    /// Channel to the control worker.
     pub control: ring::Sender<control::Input>,
     /// Counters and timers.
     pub metrics: Metrics,
-    /// Last ticket given out.
+    /// Next ticket.
     pub tickets: AtomicU64,
 }
 
 impl Shared {
-    /// A ticket that no other request of this host has.
+    /// Returns a ticket that no other request of this host has.
     pub fn ticket(&self) -> u64 {
         self.tickets.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Time since the host's start.
+    /// Returns the time since the host started.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
--- a/crates/node/src/store/list.rs
+++ b/crates/node/src/store/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving hosts.
+//! Client of the platform's registry of hosts, which lists serving and leaving hosts.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,10 +10,10 @@
 use super::StoreError;
 use crate::wire::{Answer, Client};
 
-/// Largest listing taken, in bytes: some thousands of hosts at about 250 bytes each.
+/// Maximum size of a listing, in bytes: some thousands of hosts at about 250 bytes each.
 const MAX_LISTING_BYTES: usize = 4 << 20;
 
-/// A connection to the platform's list.
+/// Client of the platform's list of hosts.
 #[derive(Clone, Debug)]
 pub struct HostList {
     client: Client,
@@ -22,7 +22,7 @@
 }
 
 impl HostList {
-    /// Opens a connection; nothing is sent yet. A call fails after `timeout`.
+    /// Creates a client without connecting. A call fails after `timeout`.
     pub fn open(address: SocketAddr, timeout: Duration) -> HostList {
         HostList {
             client: Client::open(MAX_LISTING_BYTES),
@@ -38,7 +38,7 @@
         serde_json::from_slice(&answer.body).map_err(|e| self.failed(&e.to_string()))
     }
 
-    /// Announces a host on the list.
+    /// Registers a host on the list, or refreshes its registration.
     pub async fn register(&self, host: &Listed) -> Result<(), StoreError> {
         let body = serde_json::to_vec(host).map_err(|e| self.failed(&e.to_string()))?;
         let request = Request::put(format!("http://{}/v1/hosts/{}", self.address, host.name))
@@ -48,7 +48,7 @@
         Ok(())
     }
 
-    /// Takes a host off the list.
+    /// Removes a host from the list.
     pub async fn deregister(&self, name: &str) -> Result<(), StoreError> {
         let request = Request::delete(format!("http://{}/v1/hosts/{name}", self.address));
         self.send(request.body(Full::default())).await?;
--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -1,7 +1,7 @@
-//! The platform's key-value service and its list of hosts, behind a few functions.
+//! Clients of the platform's key-value store and of its list of hosts.
 //!
-//! This folder is the only code that knows the service's protocol (HTTP with `ETag`, `If-Match`
-//! and `Prefer: wait`). Another service means another version of [`Store`], nothing else.
+//! Only this module knows the store's protocol (HTTP with `ETag`, `If-Match` and `Prefer: wait`).
+//! Support for another store means another implementation of [`Store`] and no other change.
 
 mod list;
 mod operations;
@@ -22,15 +22,15 @@
 
 /// Version of a key that does not exist.
 pub const NO_VERSION: u64 = 0;
-/// Largest value the store takes, in bytes.
+/// Maximum size of a value in the store, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
-/// Time beyond a watch's wait after which the watch counts as lost.
+/// Time beyond a watch's wait after which the watch counts as failed.
 const WATCH_MARGIN: Duration = Duration::from_secs(2);
 
-/// What a store call did not do, and whether it may have taken effect.
+/// Error of a store call. Its variants tell whether the call may have taken effect.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The store did not see the call, or said that it did nothing.
+    /// The store did not receive the call, or reported that it did nothing.
     #[error("the store at {address} is not available: {detail}")]
     Unavailable {
         /// Address of the store.
@@ -38,7 +38,7 @@
         /// What was seen.
         detail: String,
     },
-    /// The call may have taken effect: its answer was lost.
+    /// The call may have taken effect: its response was lost.
     #[error("the store at {address} gave no answer; a write may have taken effect: {detail}")]
     Indeterminate {
         /// Address of the store.
@@ -46,7 +46,7 @@
         /// What was seen.
         detail: String,
     },
-    /// The store refused the call for good.
+    /// The store refused the call; a retry does not help.
     #[error("the store at {address} refused the call: {detail}")]
     Refused {
         /// Address of the store.
@@ -56,25 +56,25 @@
     },
 }
 
-/// Result of a compare-and-swap that the store answered.
+/// Result of a conditional write that the store answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SwapResult {
-    /// The write took effect; the key's new version.
+    /// The write took effect; contains the new version of the key.
     Done(u64),
-    /// Another version was there; which.
+    /// The key has another version; contains that version.
     Conflict(u64),
 }
 
 /// A value with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Versioned {
-    /// Version of the key; [`NO_VERSION`] where it does not exist.
+    /// Version of the key; [`NO_VERSION`] if the key does not exist.
     pub version: u64,
-    /// The value; `None` where the key does not exist.
+    /// The value; `None` if the key does not exist.
     pub value: Option<Bytes>,
 }
 
-/// A connection to the platform's key-value service.
+/// Client of the platform's key-value store.
 #[derive(Clone, Debug)]
 pub struct Store {
     client: Client,
@@ -84,7 +84,7 @@
 }
 
 impl Store {
-    /// Opens a connection; nothing is sent yet. `prefix` goes before every key, and a call fails
+    /// Creates a client without connecting. `prefix` is prepended to every key, and a call fails
     /// after `timeout`.
     pub fn open(address: SocketAddr, prefix: &str, timeout: Duration) -> Store {
         Store {
@@ -104,7 +104,8 @@
         self.versioned(&answer)
     }
 
-    /// Waits up to `wait` until a key has another version than `known`; `None` where it has not.
+    /// Waits up to `wait` until the version of a key differs from `known`; returns `None` if it
+    /// does not.
     pub async fn watch(
         &self,
         key: &str,
@@ -125,7 +126,7 @@
         Ok((found.version != known).then_some(found))
     }
 
-    /// Writes a key where its version is `version` ([`NO_VERSION`]: where it does not exist).
+    /// Writes a key if its version is `version` ([`NO_VERSION`]: if it does not exist).
     pub async fn compare_and_swap(
         &self,
         key: &str,
@@ -141,7 +142,7 @@
         self.swap_result(&answer)
     }
 
-    /// Writes a key whatever its version is.
+    /// Writes a key regardless of its version.
     pub async fn put(&self, key: &str, value: Bytes) -> Result<SwapResult, StoreError> {
         let request = self.request(Method::PUT, key);
         let answer = self
@@ -167,7 +168,7 @@
         Ok(own.collect())
     }
 
-    /// Deletes a key where its version is `version`.
+    /// Deletes a key if its version is `version`.
     pub async fn delete(&self, key: &str, version: u64) -> Result<SwapResult, StoreError> {
         let request = self
             .request(Method::DELETE, key)
--- a/crates/node/src/store/operations.rs
+++ b/crates/node/src/store/operations.rs
@@ -1,4 +1,4 @@
-//! The operations that the root's machines ask for, on the store.
+//! Executes the store operations that the state machines of `dunlinrock_coord::root` request.
 
 use bytes::Bytes;
 use dunlinrock_coord::{
@@ -13,18 +13,18 @@
 /// Prefix of the keys of pieces; the hash follows.
 pub const PIECE_PREFIX: &str = "pieces/";
 
-/// Key of a piece.
+/// Returns the key of a piece.
 pub fn piece_key(hash: &Hash) -> String {
     format!("{PIECE_PREFIX}{hash}")
 }
 
-/// Does one operation. Whatever the store did not answer for certain is [`StoreReply::Failed`], and
-/// the machine that asked finds out by reading.
+/// Executes one operation. Returns [`StoreReply::Failed`] if the store's answer leaves the effect
+/// uncertain; the requesting state machine then finds out by reading.
 pub async fn execute(store: &Store, op: StoreOp) -> StoreReply {
     match try_execute(store, op).await {
         Ok(answer) => answer,
         Err(e) => {
-            log::debug!(error:% = e; "a store operation failed");
+            log::debug!(error:% = e; "store operation failed");
             StoreReply::Failed
         }
     }
--- a/crates/node/src/traffic/mod.rs
+++ b/crates/node/src/traffic/mod.rs
@@ -1,7 +1,7 @@
-//! What this host measures of its traffic, for the decisions between regions.
+//! Traffic measured at this host, as input to the decisions between regions.
 //!
-//! The duties that serve add to a few sums under a lock that is held for nanoseconds; the control
-//! duty takes them once a second and starts anew.
+//! The serving workers add to a few totals under a lock that is held for nanoseconds. The control
+//! worker reads and resets the totals once a second.
 
 use std::{
     collections::BTreeMap,
@@ -10,54 +10,54 @@
     time::Duration,
 };
 
-/// Sums since they were last taken.
+/// Totals since the last [`TrafficMeter::drain`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TrafficTotals {
-    /// Requests taken in, by service and region of callers.
+    /// Requests that arrived, by service and region of callers.
     pub arrivals: BTreeMap<Arc<str>, BTreeMap<Arc<str>, u64>>,
-    /// Sizes of requests and answers, by service.
+    /// Sizes of requests and responses, by service.
     pub sizes: BTreeMap<Arc<str>, Sizes>,
-    /// Work at the pools owned here, by service.
+    /// Work of the pools that this host owns, by service.
     pub work: BTreeMap<Arc<str>, Work>,
 }
 
-/// Sums of sizes.
+/// Total sizes of requests and responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sizes {
-    /// Answers counted.
+    /// Number of responses.
     pub count: u64,
     /// Bytes of their requests.
     pub request: u64,
-    /// Bytes of their answers.
+    /// Bytes of the responses.
     pub answer: u64,
 }
 
-/// Sums of work.
+/// Total work of runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Work {
     /// Runs that ended.
     pub count: u64,
-    /// Time that they took, in all.
+    /// Their total duration.
     pub time: Duration,
-    /// Time taken by those that came from hosts of this host's region.
+    /// Total duration of the runs whose requests came from hosts of this host's region.
     pub local_time: Duration,
 }
 
-/// Sums that the duties add to.
+/// Meter that the workers add to.
 #[derive(Debug, Default)]
 pub struct TrafficMeter {
     totals: Mutex<TrafficTotals>,
 }
 
 impl TrafficMeter {
-    /// Counts a request of a caller.
+    /// Records the arrival of a caller's request.
     pub fn record_arrival(&self, service: &Arc<str>, callers: &Arc<str>) {
         let mut totals = self.lock();
         let flows = totals.arrivals.entry(Arc::clone(service)).or_default();
         *flows.entry(Arc::clone(callers)).or_default() += 1;
     }
 
-    /// Counts an answer.
+    /// Records the sizes of a request and its response, in bytes.
     pub fn record_answer(&self, service: &Arc<str>, request: usize, answer: usize) {
         let mut totals = self.lock();
         let sizes = totals.sizes.entry(Arc::clone(service)).or_default();
@@ -66,8 +66,8 @@
         sizes.answer += answer as u64;
     }
 
-    /// Counts a run at a pool owned here; `home` tells whether its request came from a host of this
-    /// host's region.
+    /// Records a run at a pool that this host owns. `local` is whether its request came from a host
+    /// of this host's region.
     pub fn record_run(&self, service: &Arc<str>, time: Duration, local: bool) {
         let mut totals = self.lock();
         let work = totals.work.entry(Arc::clone(service)).or_default();
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Takes the sums and starts anew.
+    /// Returns the totals and resets them.
     pub fn drain(&self) -> TrafficTotals {
         mem::take(&mut self.lock())
     }
--- a/crates/node/src/view/lookup.rs
+++ b/crates/node/src/view/lookup.rs
@@ -1,9 +1,9 @@
-//! Answers to look-ups, made beforehand.
+//! Answers to look-ups, composed in advance.
 //!
-//! Load: callers look up again each time an answer expires, all of them, also while everything else
-//! is overloaded; at the size aimed for that is 880,000 a second over the fleet. Composing an answer
-//! takes longer than sending it, and hosts and weights change far less often than callers ask, so
-//! every answer is composed once and only sent after that.
+//! Callers repeat their look-up each time an answer expires, all of them, also while everything
+//! else is overloaded; at the intended size that is 880,000 look-ups a second over all hosts.
+//! Composing an answer takes longer than sending it, and hosts and weights change far less often
+//! than callers ask. Every answer is therefore composed once and then only sent.
 
 use std::{collections::BTreeMap, net::IpAddr, sync::Arc};
 
@@ -17,18 +17,19 @@
 
 use super::Member;
 
-/// Different answers made for the callers of one region. Each block of callers always gets the same
-/// one, so its connections stay warm; with 16, a region of five hosts spreads its callers over
-/// sixty possible orders well enough, and 16 answers of about 700 bytes for each of 15 services and
-/// 22 regions come to 4 MB.
+/// Number of different answers for the callers of one region. Each block of callers always gets the
+/// same answer, so its connections stay open. With 16, a region of five hosts spreads its callers
+/// well enough over sixty possible orders, and 16 answers of about 700 bytes for each of 15
+/// services and 22 regions take 4 MB.
 pub const VARIANTS_PER_REGION: u64 = 16;
 
-/// Bits of an IPv4 address that stand for its block: its neighbours share a way to the host.
+/// Number of leading bits of an IPv4 address that identify its block: addresses within a block
+/// share a network path to the host.
 const BLOCK_BITS_V4: u32 = 24;
-/// Bits of an IPv6 address that stand for its block.
+/// Number of leading bits of an IPv6 address that identify its block.
 const BLOCK_BITS_V6: u32 = 48;
 
-/// Answers to look-ups by service and region of callers.
+/// Prepared answers to look-ups, by service and region of callers.
 #[derive(Debug, Default)]
 pub struct LookupAnswers {
     bodies: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Vec<Bytes>>>,
@@ -70,7 +71,7 @@
         LookupAnswers { bodies }
     }
 
-    /// The answer for a caller, ready to send.
+    /// Returns the encoded answer for a caller.
     pub fn find(&self, service: &str, region: &str, client: IpAddr) -> Option<Bytes> {
         let answers = self.bodies.get(service)?.get(region)?;
         let at = block_hash(client) % answers.len().max(1) as u64;
@@ -78,7 +79,7 @@
     }
 }
 
-/// Hash of the block that an address belongs to.
+/// Returns the hash of the block that an address belongs to.
 fn block_hash(client: IpAddr) -> u64 {
     match client.to_canonical() {
         IpAddr::V4(v4) => rapidhash_v3(&(v4.to_bits() >> (32 - BLOCK_BITS_V4)).to_be_bytes()),
@@ -100,7 +101,7 @@
     }
 }
 
-/// An answer without service and region; none where no host may be used.
+/// Composes an answer without service and region; returns `None` if no host is usable.
 fn compose(
     table: &HostTable,
     chosen_hosts: &ChosenHosts,
@@ -134,8 +135,8 @@
     })
 }
 
-/// The witness for an owner: a host of another failure domain, so that one loss does not take both;
-/// else any other; else the owner itself, where it is the only host.
+/// Returns the witness for an owner: a host of another failure domain, so that the loss of one
+/// domain does not affect both; else any other host; else the owner itself, if it is the only host.
 fn witness<'a>(owner: &'a Arc<Member>, chosen: &[&'a Arc<Member>]) -> &'a Arc<Member> {
     let others = || {
         chosen
--- a/crates/node/src/view/member.rs
+++ b/crates/node/src/view/member.rs
@@ -7,20 +7,20 @@
 pub struct Member {
     /// Its name.
     pub name: Arc<str>,
-    /// Its incarnation; a restart is another.
+    /// Its incarnation; each restart has another one.
     pub incarnation: u64,
     /// Its region.
     pub region: Arc<str>,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Address callers reach it on.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Address other hosts reach it on.
+    /// Address for other hosts.
     pub peers: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Whether it has been silent for a while.
+    /// Whether it has been unresponsive for a while.
     pub suspect: bool,
-    /// Epoch of its request ledger, as last heard.
+    /// Last known epoch of its request ledger.
     pub epoch: u64,
 }
--- a/crates/node/src/view/mod.rs
+++ b/crates/node/src/view/mod.rs
@@ -1,7 +1,7 @@
-//! What a host holds to be true now: configuration, members, who owns what, where traffic goes.
+//! The view: a snapshot of configuration, members, pool owners and traffic shares.
 //!
-//! The control duty makes a view and publishes it whole; the other duties read the newest one
-//! without a lock. So no request ever sees one half of a configuration and one half of the next.
+//! The control worker builds a view and replaces the previous one atomically; the other workers
+//! read the current view without a lock. So no request sees a mix of two configurations.
 
 mod lookup;
 mod member;
@@ -22,20 +22,21 @@
 };
 use crate::duties::pools::PoolId;
 
-/// A host's view. Published whole, never changed.
+/// A host's view. It is immutable once published.
 #[derive(Debug)]
 pub struct View {
-    /// Number of this view, one more for each that is published.
+    /// Sequence number of this view, incremented by one with each published view.
     pub number: u64,
     /// Revision of the configuration; 0 before there is one.
     pub revision: u64,
     /// The configuration.
     pub config: Arc<Config>,
-    /// Whether this host holds a configuration and has heard from others since it last paused.
+    /// Whether this host has a configuration and has heard from other hosts since its process last
+    /// paused.
     pub ready: bool,
-    /// Whether this host is leaving.
+    /// Whether this host is shutting down.
     pub leaving: bool,
-    /// Live hosts by name, this one included.
+    /// Live hosts by name, including this one.
     pub members: BTreeMap<Arc<str>, Arc<Member>>,
     /// Live hosts by incarnation.
     pub incarnations: BTreeMap<u64, Arc<Member>>,
@@ -43,18 +44,18 @@
     pub pools: BTreeMap<Arc<PoolId>, Arc<PoolRoute>>,
     /// Every service of the configuration.
     pub services: BTreeMap<Arc<str>, Arc<ServiceRoute>>,
-    /// Shares of traffic that this host goes by.
+    /// Traffic shares that this host applies.
     pub shares: Arc<TrafficSplit>,
-    /// Answers to look-ups.
+    /// Prepared answers to look-ups.
     pub answers: Arc<LookupAnswers>,
     /// Client blocks and their regions.
     pub blocks: Arc<Blocks>,
-    /// Requests known to kill their targets.
+    /// Quarantined requests: those known to crash their targets.
     pub quarantines: Arc<Vec<QuarantineUpdate>>,
 }
 
 impl View {
-    /// What a host holds before it has heard of anything.
+    /// Returns the view of a host that has received nothing yet.
     pub fn empty() -> View {
         View {
             number: 0,
@@ -73,14 +74,15 @@
         }
     }
 
-    /// Region that a client address is near to; `fallback` where no block holds it.
+    /// Returns the region of the client block that contains the address; `fallback` if no block
+    /// does.
     pub fn region(&self, client: IpAddr, fallback: &Arc<str>) -> Arc<str> {
         self.blocks
             .find(client)
             .map_or_else(|| Arc::clone(fallback), Arc::clone)
     }
 
-    /// Rules of a service.
+    /// Returns the rules of a service.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name).map(|route| &route.rules)
     }
--- a/crates/node/src/view/route.rs
+++ b/crates/node/src/view/route.rs
@@ -1,4 +1,4 @@
-//! Where the requests of a service go.
+//! Routes of services to their pools.
 
 use std::{
     collections::BTreeMap,
@@ -16,43 +16,44 @@
 use super::Member;
 use crate::duties::pools::PoolId;
 
-/// One service.
+/// Route of one service.
 #[derive(Debug)]
 pub struct ServiceRoute {
-    /// Its rules.
+    /// Rules of the service.
     pub rules: Arc<Service>,
-    /// Its pools by region.
+    /// Pools of the service by region.
     pub regions: BTreeMap<Arc<str>, Vec<Arc<PoolRoute>>>,
 }
 
-/// One pool and the host that owns it.
+/// A pool and the host that owns it.
 #[derive(Debug)]
 pub struct PoolRoute {
-    /// Which pool.
+    /// Id of the pool.
     pub id: Arc<PoolId>,
-    /// Host that owns it; none while no host is live.
+    /// Host that owns it; `None` while no host is live.
     pub owner: Option<Arc<Member>>,
     /// Addresses of its targets by name.
     pub targets: BTreeMap<Arc<str>, SocketAddr>,
     /// One-way delay to the owner.
     pub delay: Duration,
-    /// Its load, as last heard.
+    /// Last reported load.
     reading: Mutex<LoadReading>,
-    /// Requests that this host has handed to it since that was heard.
+    /// Requests that this host has forwarded to the owner since the load was reported.
     sent_since: AtomicU32,
 }
 
-/// The load of a pool as last heard, and when.
+/// Last reported load of a pool, with the time of the report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReading {
-    /// The load.
+    /// Reported load.
     pub load: Load,
-    /// When it was heard, on this host's clock.
+    /// Time of the report, on this host's clock.
     pub at: Duration,
 }
 
 impl PoolRoute {
-    /// Makes a route; what `before` heard or sent since `heard` is taken over.
+    /// Creates a route. Takes over the reading and the counter of `before` if its reading is at
+    /// least as new as `reading`.
     pub fn open(parts: RouteParts, reading: LoadReading, before: Option<&PoolRoute>) -> PoolRoute {
         let last = before
             .map(|route| (route.load_reading(), route.sent_since()))
@@ -75,34 +76,35 @@
         }
     }
 
-    /// Its load, as last heard.
+    /// Returns the last reported load.
     pub fn load_reading(&self) -> LoadReading {
         *self.reading.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes its owner's word about its load, which counts what was handed over before it.
+    /// Records the load that the owner reported. The report includes the requests that were
+    /// forwarded before it, so their counter is reset.
     pub fn update_load(&self, load: Load, at: Duration) {
         *self.reading.lock().unwrap_or_else(PoisonError::into_inner) = LoadReading { load, at };
         self.sent_since.store(0, Ordering::Relaxed);
     }
 
-    /// Counts a request that is handed over.
+    /// Counts a request that is forwarded to the owner.
     pub fn record_sent(&self) {
         self.sent_since.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Requests handed over since the load was heard.
+    /// Returns the number of requests forwarded since the load was reported.
     pub fn sent_since(&self) -> u32 {
         self.sent_since.load(Ordering::Relaxed)
     }
 }
 
-/// What a route is made from.
+/// Values that a route is created from.
 #[derive(Debug)]
 pub struct RouteParts {
-    /// Which pool.
+    /// Id of the pool.
     pub id: Arc<PoolId>,
-    /// Host that owns it; none while no host is live.
+    /// Host that owns it; `None` while no host is live.
     pub owner: Option<Arc<Member>>,
     /// Addresses of its targets by name.
     pub targets: BTreeMap<Arc<str>, SocketAddr>,
--- a/crates/node/src/wire/client.rs
+++ b/crates/node/src/wire/client.rs
@@ -1,4 +1,4 @@
-//! A pooled HTTP client that returns whole answers or a typed failure.
+//! A pooled HTTP client that returns complete responses or a typed error.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -13,50 +13,50 @@
     rt::{TokioExecutor, TokioTimer},
 };
 
-/// Idle connections kept to one address.
+/// Maximum number of idle connections per address.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// Time an idle connection is kept.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time in which a connection must open. Within a region a round trip takes a few milliseconds and
-/// between regions some tens; one lost SYN is sent again after a second, so that 400 ms tells a
-/// dead address from a far one without waiting for that.
+/// Timeout for opening a connection. A round trip takes a few milliseconds within a region and some
+/// tens between regions; a lost SYN is retransmitted after a second. 400 ms therefore tells a dead
+/// address from a distant one without waiting for that retransmission.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How far a call had come when it failed.
+/// Stage that a call had reached when it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// No connection: not a byte was sent.
+    /// No connection was opened: nothing was sent.
     Connect,
-    /// Something may have been sent, and no whole head came back.
+    /// The request may have been sent, and no complete response head was received.
     Head,
-    /// The head came back, the body did not come whole.
+    /// The response head was received, its body was not received completely.
     Body,
 }
 
-/// A call that gave no whole answer.
+/// Error of a call without a complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// The other side was not reached, or broke off.
+    /// The server was not reached, or closed the connection early.
     #[error("{part:?} failed: {detail}")]
     Broken {
-        /// How far the call had come.
+        /// Stage that the call had reached.
         part: Stage,
-        /// The library's words.
+        /// Error text of the HTTP library.
         detail: String,
     },
-    /// The time given ran out after something may have been sent.
+    /// The timeout expired after the request may have been sent.
     #[error("no whole answer in {0:?}")]
     Timeout(Duration),
-    /// The answer began, and then nothing more came for the time given.
+    /// The response began, and then no data arrived within the idle timeout.
     #[error("no more of the answer in {0:?}")]
     Stalled(Duration),
-    /// The answer's body is larger than the limit, in bytes.
+    /// The response body exceeds the limit, in bytes.
     #[error("the answer is larger than {0} bytes")]
     Large(usize),
 }
 
 impl ClientError {
-    /// Whether the other side certainly never saw the request.
+    /// Returns whether the request certainly did not reach the server.
     pub fn is_unsent(&self) -> bool {
         matches!(
             self,
@@ -68,51 +68,52 @@
     }
 }
 
-/// How long an answer may take that may be large.
+/// Timeouts for a response that may be large.
 ///
-/// A limit on the whole alone breaks off what would have come: an answer of some hundred kilobytes over a
-/// narrow link that others use as well takes seconds, and begun anew it takes as long again and fills the
-/// link besides. As long as it goes on, the other side is there; that it has gone shows by a pause.
+/// A total timeout alone aborts transfers that would have completed: a response of some hundred
+/// kilobytes takes seconds over a narrow, shared link, and a retry takes as long again and adds
+/// load to the link. As long as data arrives the server is alive; a dead server is detected by the
+/// idle timeout.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamTimeouts {
-    /// Until its head.
+    /// Until the response head.
     pub head: Duration,
-    /// Between two pieces of its body.
+    /// Between two chunks of the body.
     pub idle: Duration,
-    /// For all of it, from the head on.
+    /// For the complete body, counted from the head on.
     pub total: Duration,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Its status.
+    /// Status of the response.
     pub status: StatusCode,
-    /// Its header fields.
+    /// Header fields of the response.
     pub headers: HeaderMap,
-    /// Its body, complete.
+    /// Complete body of the response.
     pub body: Bytes,
 }
 
-/// A pooled client; clones share the pool. Used on one thread's runtime.
+/// A client with a connection pool; clones share the pool. It must be used on one thread's runtime.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: legacy::Client<HttpConnector, Full<Bytes>>,
-    /// Largest answer body taken, in bytes.
+    /// Maximum size of a response body, in bytes.
     max_answer_bytes: usize,
 }
 
 impl Client {
-    /// Opens a client that takes answers up to `answer_bytes`.
+    /// Creates a client that accepts response bodies of up to `max_answer_bytes`.
     pub fn open(max_answer_bytes: usize) -> Client {
         Client::open_from(None, max_answer_bytes)
     }
 
-    /// Opens a client whose connections come from `local`.
+    /// Creates a client whose connections originate from `local`.
     ///
-    /// Hosts know one another by address. On a machine with several, the system would choose
-    /// another than the one that the host announced, and every other host would take it for a
-    /// stranger.
+    /// Hosts identify one another by address. On a machine with several addresses, the system could
+    /// choose another one than the host registered, and all other hosts would reject it as a
+    /// non-member.
     pub fn open_from(local: Option<IpAddr>, max_answer_bytes: usize) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_local_address(local);
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Sends a request and waits for its whole answer, at most `time`.
+    /// Sends a request and waits up to `time` for the complete response.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Sends a request and waits for its whole answer for as long as it goes on.
+    /// Sends a request and waits for the complete response for as long as data keeps arriving
+    /// within `timeouts`.
     pub async fn call_streaming(
         &self,
         request: Request<Full<Bytes>>,
@@ -166,7 +168,7 @@
         })
     }
 
-    /// Posts a packed message to a path of another host.
+    /// Posts an encoded message to a path of another host.
     pub async fn post(
         &self,
         address: SocketAddr,
@@ -197,7 +199,7 @@
         })
     }
 
-    /// Reads a body of which a piece comes at least every `idle`.
+    /// Reads a body whose chunks arrive at intervals of at most `idle`.
     async fn read_streaming(&self, body: Incoming, idle: Duration) -> Result<Bytes, ClientError> {
         let mut body = Limited::new(body, self.max_answer_bytes);
         let mut whole = BytesMut::new();
@@ -209,14 +211,14 @@
                 return Ok(whole.freeze());
             };
             let frame = frame.map_err(|e| self.body_error(&*e))?;
-            // What follows the body says nothing here.
+            // Trailers are not used.
             if let Ok(piece) = frame.into_data() {
                 whole.extend_from_slice(&piece);
             }
         }
     }
 
-    /// Why a body did not come whole.
+    /// Converts an error that occurred while the body was read.
     fn body_error(&self, error: &(dyn std::error::Error + 'static)) -> ClientError {
         if error.is::<LengthLimitError>() {
             return ClientError::Large(self.max_answer_bytes);
@@ -228,7 +230,7 @@
     }
 }
 
-/// Why no head came.
+/// Converts an error that occurred before the response head.
 fn head_error(error: &legacy::Error) -> ClientError {
     match error.is_connect() {
         true => stage_error(Stage::Connect, error),
--- a/crates/node/src/wire/codec.rs
+++ b/crates/node/src/wire/codec.rs
@@ -1,23 +1,24 @@
-//! Bodies between hosts: `MessagePack` with field names, so that a newer host may add a field.
+//! Encoding of message bodies between hosts: `MessagePack` with field names, so that newer hosts
+//! may add fields.
 
 use std::io;
 
 use bytes::Bytes;
 use serde::{Serialize, de::DeserializeOwned};
 
-/// A body could not be written or read.
+/// Error while a body was encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum CodecError {
     /// A message could not be encoded.
     #[error("encoding a message for another host: {0}")]
     Encode(#[from] rmp_serde::encode::Error),
-    /// A body is not the message that its path promises.
+    /// A body does not contain the message type of its path.
     #[error("decoding a message from another host: {0}")]
     Decode(#[from] rmp_serde::decode::Error),
-    /// A frame is not a head and a body.
+    /// A frame does not consist of a head and a body.
     #[error("reading a frame from another host: {0}")]
     Frame(&'static str),
-    /// A value cannot be compressed, or its compression is broken.
+    /// A value could not be compressed or decompressed.
     #[error("compressing or uncompressing a message: {0}")]
     Compression(#[from] io::Error),
 }
@@ -32,11 +33,11 @@
     Ok(rmp_serde::from_slice(body)?)
 }
 
-/// Bytes of the length that goes before a head.
+/// Size of the length prefix of a head, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Writes a head and, after it, a body as it is. A body packed as an array would grow by half and
-/// be copied once more.
+/// Encodes a head, followed by the body as raw bytes. A body encoded as a MessagePack array would
+/// grow by half and be copied once more.
 pub fn join_frame<T: Serialize>(head: &T, body: &[u8]) -> Result<Vec<u8>, CodecError> {
     let head = pack(head)?;
     let length =
@@ -48,7 +49,7 @@
     Ok(out)
 }
 
-/// Reads what [`join_frame`] wrote; the body shares the frame's memory.
+/// Decodes a frame of [`join_frame`]; the returned body shares the frame's memory.
 pub fn split_frame<T: DeserializeOwned>(frame: &Bytes) -> Result<(T, Bytes), CodecError> {
     let Some((length, rest)) = frame.split_first_chunk::<LENGTH_BYTES>() else {
         return Err(CodecError::Frame("it is shorter than a length"));
--- a/crates/node/src/wire/headers.rs
+++ b/crates/node/src/wire/headers.rs
@@ -1,34 +1,34 @@
 //! Names of the header fields that callers, hosts and targets exchange.
 
-/// Time the caller gives the request, in milliseconds, from its arrival at the host.
+/// Time limit of the request, set by the caller, in milliseconds from its arrival at the host.
 pub const TIMEOUT: &str = "dunlinrock-timeout-ms";
-/// Key of a request that may not be repeated: the binding's prefix, a dot, a nonce.
+/// Key of a request that is not idempotent: the prefix of the binding, a dot, a nonce.
 pub const KEY: &str = "idempotency-key";
-/// Earlier attempts of the key, at either host: `owner=N, witness=N`.
+/// Number of earlier attempts of the key, at each of its two hosts: `owner=N, witness=N`.
 pub const ATTEMPTS: &str = "dunlinrock-attempts";
-/// Name of the caller, for fair shares.
+/// Name of the caller, for fair sharing between callers.
 pub const CALLER: &str = "dunlinrock-caller";
-/// Id of the request in answers and logs.
+/// Id of the request in responses and logs.
 pub const REQUEST: &str = "dunlinrock-request";
 
 /// Address of the caller, between hosts.
 pub const CLIENT: &str = "dunlinrock-client";
-/// What a host's answer to another host is: a target's `answer`, or a `problem`.
+/// Kind of a host's response to another host: `answer` for a target's response, or `problem`.
 pub const OUTCOME: &str = "dunlinrock-outcome";
-/// Hand-overs between hosts so far.
+/// Number of hops between hosts so far.
 pub const HOPS: &str = "dunlinrock-hops";
-/// Hash that tells a request from others, between hosts.
+/// Hash that identifies a request, between hosts.
 pub const FINGERPRINT: &str = "dunlinrock-fingerprint";
 /// Hash of the kind of work, between hosts.
 pub const KIND: &str = "dunlinrock-kind";
-/// `1` where the request may be run more than once, between hosts.
+/// `1` if the request is idempotent, between hosts.
 pub const RETRY_SAFE: &str = "dunlinrock-retry-safe";
 
-/// Id of the request, towards targets.
+/// Id of the request, sent to targets.
 pub const REQUEST_ID: &str = "request-id";
-/// Time left for the request, towards targets, in milliseconds.
+/// Remaining time of the request, sent to targets, in milliseconds.
 pub const REQUEST_TIMEOUT: &str = "request-timeout-ms";
-/// A target's load, in its answers: `busy/slots;leaving;cold`.
+/// Load of a target, in its responses: `busy/slots;leaving;cold`.
 pub const TARGET_LOAD: &str = "target-load";
-/// Present on a target's refusal: the request was not run.
+/// Present on a response that sheds a request: the target did not run it.
 pub const TARGET_SHED: &str = "target-shed";
--- a/crates/node/src/wire/mod.rs
+++ b/crates/node/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP between a host and what it calls: targets, other hosts, the platform.
+//! HTTP between a host and its targets, other hosts and the platform.
 
 mod client;
 mod codec;
