--- a/crates/node/src/wire/problem.rs
+++ b/crates/node/src/wire/problem.rs
@@ -1,4 +1,4 @@
-//! Error answers to callers: RFC 9457 with the field `run`.
+//! Error responses to callers: problem details (RFC 9457) with the additional field `run`.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,7 +8,7 @@
 
 use crate::clock::millis;
 
-/// Kinds of error answers. Each has one status and one title.
+/// Kinds of error responses. Each has one status and one title.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProblemKind {
     /// The request is malformed.
@@ -19,31 +19,32 @@
     TooLarge,
     /// The body took too long to arrive.
     TooSlow,
-    /// The request could not be answered within its deadline, and was turned away.
+    /// The request could not be answered within its deadline and was refused.
     Overloaded,
-    /// This host is not ready: it holds no configuration yet, or has not caught up after a pause.
+    /// This host is not ready: it has no configuration yet, or has not caught up after a pause of
+    /// its process.
     NotReady,
-    /// No target may take the request now.
+    /// No target accepts the request now.
     Unavailable,
-    /// The request has made targets crash and is refused.
+    /// The request has crashed targets and is refused.
     Quarantined,
     /// The deadline passed after the request may have been sent.
     DeadlinePassed,
-    /// A target broke off.
+    /// A target closed the connection early.
     TargetFailed,
-    /// The key is not one that may run.
+    /// The key may not run.
     KeyRefused,
-    /// The key is another caller's, or another request's.
+    /// The key belongs to another caller or to another request.
     KeyMismatch,
-    /// The key has run and its answer is no longer held.
+    /// The request of the key ran, and its response is no longer stored.
     AnswerGone,
     /// The request needs a key.
     KeyMissing,
-    /// A target's answer was over the limit.
+    /// A target's response exceeded the limit.
     AnswerTooLarge,
 }
 
-/// All kinds, to find one by its name.
+/// All kinds, for the look-up by name.
 const ALL_KINDS: [ProblemKind; 15] = [
     ProblemKind::Malformed,
     ProblemKind::UnknownService,
@@ -63,12 +64,12 @@
 ];
 
 impl ProblemKind {
-    /// Name of the kind, the last part of its URI.
+    /// Returns the name of the kind, which is the last segment of its URI.
     pub fn name(self) -> &'static str {
         self.parts().1
     }
 
-    /// The kind of this name.
+    /// Returns the kind with this name.
     pub fn from_name(name: &str) -> Option<ProblemKind> {
         ALL_KINDS.into_iter().find(|kind| kind.name() == name)
     }
@@ -132,21 +133,21 @@
     }
 }
 
-/// Why a call has no answer, and whether it ran.
+/// Error of a call without a response, which also tells whether the request ran.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallError {
-    /// What kind of error it is.
+    /// Kind of the error.
     pub kind: ProblemKind,
     /// Whether the request ran.
     pub run: Run,
-    /// What happened, in words for the caller.
+    /// Explanation for the caller.
     pub detail: Arc<str>,
-    /// When a new try may help.
+    /// Time after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl CallError {
-    /// A request that did not run and will not.
+    /// Creates the error of a request that did not run and will not run.
     pub fn not_run(kind: ProblemKind, detail: impl Into<Arc<str>>) -> CallError {
         CallError {
             kind,
@@ -156,7 +157,7 @@
         }
     }
 
-    /// A request of which nobody knows whether it ran.
+    /// Creates the error of a request for which it is unknown whether it ran.
     pub fn unknown(kind: ProblemKind, detail: impl Into<Arc<str>>) -> CallError {
         CallError {
             kind,
@@ -166,14 +167,14 @@
         }
     }
 
-    /// The same, with a time after which a new try may help.
+    /// Sets the time after which a retry may succeed.
     #[must_use]
     pub fn retry_after(mut self, time: Duration) -> CallError {
         self.retry_after = Some(time);
         self
     }
 
-    /// The problem as it is sent to the caller.
+    /// Returns the problem details that are sent to the caller.
     pub fn problem(&self, request: &str) -> Problem {
         let (status, name, title) = self.kind.parts();
         Problem {
@@ -187,7 +188,7 @@
         }
     }
 
-    /// The answer to the caller.
+    /// Returns the response to the caller.
     pub fn response(&self, request: &str) -> Response {
         let problem = self.problem(request);
         let body = serde_json::to_vec(&problem).unwrap_or_default();
@@ -199,7 +200,7 @@
             header::HeaderValue::from_static("application/problem+json"),
         );
         if let Some(time) = self.retry_after {
-            // The field counts whole seconds; rounding down would call the caller back too early.
+            // The field counts whole seconds; rounding down would make the caller retry too early.
             headers.insert(
                 header::RETRY_AFTER,
                 header::HeaderValue::from(millis(time).div_ceil(1000)),
