--- a/crates/node/benches/path.rs
+++ b/crates/node/benches/path.rs
@@ -1,5 +1,5 @@
-//! Ratios of the path in one run: a look-up to a bare handler with the same body, a call through a
-//! host to the same call straight to its target.
+//! Latency ratios, measured in one run: a look-up relative to a bare handler with the same body, and
+//! a call through a host relative to the same call directly to its target.
 //!
 //! ```text
 //! cargo bench -p dunlinrock-node --bench path
@@ -23,17 +23,17 @@
 use tokio::{net::TcpListener, sync::watch};
 use viz::{Body, Response, Router, Tree, header};
 
-/// Requests before the first that counts.
+/// Requests before the measurement.
 const WARM_UP: usize = 500;
-/// Requests that count, one after the other on a kept connection.
+/// Measured requests, sequential on a kept-alive connection.
 const REQUESTS: usize = 5_000;
-/// Clock ticks a second of the times in `/proc`.
+/// Clock ticks per second of the times in `/proc`.
 const TICKS: f64 = 100.0;
 
 struct Figure {
     p50: Duration,
     p99: Duration,
-    /// Processor time of the whole process, caller and target included, for each request.
+    /// Processor time of the whole process, including caller and target, per request.
     cpu: Duration,
 }
 
@@ -45,8 +45,8 @@
 }
 
 async fn run() {
-    // All traffic stays at home: one host sends thousands of requests a second here, more than
-    // other regions lend room for, and the path is what is measured.
+    // All traffic stays in its region: one host sends thousands of requests a second here, more
+    // than other regions grant, and this benchmark measures the request path.
     let mut d = Deployment::open_with("cursuri", Duration::ZERO, |config| {
         for service in config.services.values_mut() {
             service.spread.clear();
@@ -79,7 +79,7 @@
     println!("handed to other hosts: {handed} of {}", WARM_UP + REQUESTS);
 }
 
-/// A `viz` handler that sends the same bytes, on a thread and a listener like a host's.
+/// Starts a `viz` handler that sends the same bytes, on a thread and a listener like a host's.
 fn bare_handler(body: Bytes) -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.set_nonblocking(true).expect("a listener");
@@ -118,7 +118,7 @@
     let before = processor_time();
     let mut times = Vec::with_capacity(REQUESTS);
     for n in 0..REQUESTS {
-        // Each request is another one: the same one would always go to the same region.
+        // Each request differs: the same request would always be sent to the same region.
         times.push(send(client, to, &format!("{path}?q={n}")).await);
     }
     let cpu = processor_time().saturating_sub(before);
@@ -141,7 +141,7 @@
     since.elapsed()
 }
 
-/// User and system time of this process so far, from `/proc/self/stat`.
+/// Returns the user and system time of this process, from `/proc/self/stat`.
 fn processor_time() -> Duration {
     let stat = fs::read_to_string("/proc/self/stat").expect("/proc");
     let after = stat.rsplit_once(')').map_or("", |(_, after)| after);
--- a/crates/node/tests/caller_disconnects.rs
+++ b/crates/node/tests/caller_disconnects.rs
@@ -9,7 +9,7 @@
 
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// A deployment whose requests run for an hour.
+/// Starts a deployment whose requests run for an hour.
 async fn slow() -> Deployment {
     let mut d = Deployment::open_with("cursuri", HOUR, |config| {
         for service in config.services.values_mut() {
@@ -25,13 +25,13 @@
     d.targets.iter().map(|target| count(&target.counts())).sum()
 }
 
-// The caller sees: nothing, it has gone. Order: its search runs at a target of this host or of
-// another one; it closes its connection; the host closes the one to the target, or the one to the
-// other host, which does. Without it, a slot would work for nobody until the deadline.
+// A caller disconnects while its idempotent request runs at a target of this host or of another
+// one. The host closes its connection to the target, or the one to the other host, which then
+// closes its own. Otherwise a slot would be used without a caller until the deadline.
 #[tokio::test]
 async fn a_repeatable_request_is_cancelled_at_its_target() {
     let d = slow().await;
-    // From every host: some own the pool they choose, some hand the request over.
+    // From each host: some own the chosen pool, some forward the request.
     for (n, host) in (1..).zip(&d.hosts) {
         let mut stream = TcpStream::connect(host.callers_addr())
             .await
@@ -44,9 +44,8 @@
     }
 }
 
-// The caller sees: its answer, on its second connection. Order: it sends a payment and closes its
-// connection; the payment runs on, since the target may have done it by now; a retry with the same
-// key waits for the one run and gets its answer.
+// A caller sends a payment and disconnects. The payment continues, since the target may have done
+// it already; a retry with the same key waits for the one run and gets its response.
 #[tokio::test]
 async fn a_keyed_request_runs_on_and_its_retry_gets_the_answer() {
     let mut d = Deployment::open("cursuri", Duration::from_millis(200));
--- a/crates/node/tests/decoders.rs
+++ b/crates/node/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Decoders of what callers and other hosts send take any bytes without a panic.
+//! Decoders of data from callers and other hosts accept any bytes without a panic.
 
 use std::time::Duration;
 
@@ -34,7 +34,8 @@
     }
 }
 
-/// Bytes, and bytes that begin as a frame does: a length, then the start of a map or an array.
+/// Arbitrary bytes, and bytes that begin like a frame: a length, then the start of a map or an
+/// array.
 fn frames() -> impl Strategy<Value = Vec<u8>> {
     let framed =
         (any::<u16>(), 0x80u8..0xa0, vec(any::<u8>(), 0..200)).prop_map(|(length, first, rest)| {
@@ -46,7 +47,7 @@
     prop_oneof![vec(any::<u8>(), 0..300), framed]
 }
 
-/// A sound frame with some of its bytes changed, so that decoders get past its beginning.
+/// A valid frame with some of its bytes changed, so that decoders get beyond its beginning.
 fn damaged(sound: Vec<u8>) -> impl Strategy<Value = Vec<u8>> {
     let length = sound.len();
     let changes = vec((0..length, any::<u8>()), 0..6);
--- a/crates/node/tests/host_crash.rs
+++ b/crates/node/tests/host_crash.rs
@@ -1,5 +1,5 @@
-//! Hosts that die or pause in the middle of a request. They are processes of their own: this test
-//! program, started again to run nothing but one host.
+//! Hosts that crash or pause during a request. Each runs in its own process: this test program,
+//! restarted to run only one host.
 
 mod common;
 
@@ -15,14 +15,14 @@
 use dunlinrock_node::{Host, view::Member};
 use dunlinrock_schema::{api::Run, settings::Settings};
 
-/// Names the file of the settings of the host that a child runs.
+/// Environment variable with the path of the settings of the host that a child runs.
 const SETTINGS: &str = "DUNLINROCK_TEST_SETTINGS";
-/// The test that a child runs.
+/// Test that a child runs.
 const CHILD: &str = "child_runs_one_host";
 
 const PATH: &str = "/v1/call/records/pay/7";
 
-/// One host in a process of its own; killed when dropped.
+/// A host in its own process, which is killed on drop.
 struct Remote {
     child: Child,
     settings: PathBuf,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Not a test of its own: what a child runs, until it is killed. Without settings it does nothing.
+/// Not a test: runs a host in a child process until it is killed. Does nothing without settings.
 #[test]
 fn child_runs_one_host() {
     let Some(path) = std::env::var_os(SETTINGS) else {
@@ -75,8 +75,8 @@
     host.wait().expect("ends when killed");
 }
 
-/// A host here and one in a process of its own, alone in a region, so that they are each other's
-/// witness.
+/// Starts a host in this process and one in another process. Both are alone in a region, so each is
+/// the witness of the other.
 async fn pair(work: Duration) -> (Deployment, Remote) {
     let mut d = Deployment::open("cursuri", work);
     d.host("here", "cluj-a");
@@ -88,10 +88,10 @@
     (d, remote)
 }
 
-/// Looks up until the owner of the binding is the host in the other process, or is not.
+/// Looks up until the owner of the binding is in the other process (`owned_there`) or in this one.
 async fn bind(d: &Deployment, owned_there: bool) -> (String, SocketAddr, SocketAddr) {
     let here = d.hosts[0].callers_addr();
-    // Each block of callers has a binding of its own.
+    // Each block of callers has its own binding.
     for n in 1..=250 {
         let path = format!("/v1/hosts/records?client=10.0.{n}.1");
         let answer = d.get(here, &path).await;
@@ -107,10 +107,10 @@
     panic!("no binding of 250 has the owner asked for");
 }
 
-// The caller sees: a broken connection, then `unknown` from the witness, and `unknown` again. Order:
-// the owner has the claim and sends the payment to a target; the owner dies; the caller turns to
-// the witness, which gave its claim away and cannot know how far the owner came. A second run would
-// charge twice, so the witness never runs it.
+// The owner of a key has the witness's claim and sends the payment to a target; then the owner
+// crashes. The caller's connection breaks, and it turns to the witness, which granted the claim and
+// cannot know whether the owner ran the request. A second run would charge twice, so the witness
+// answers `unknown`, on every retry, and never runs it.
 #[tokio::test]
 async fn a_key_whose_owner_died_after_its_claim_is_not_run_by_the_witness() {
     let (d, mut remote) = pair(Duration::from_millis(800)).await;
@@ -135,7 +135,7 @@
         let answer = d.post(witness, PATH, &key, &stated).await;
         assert_eq!(problem(&answer).run, Run::Unknown, "{answer:?}");
         attempts += 1;
-        // Once more after the owner's silence is known here.
+        // One more attempt after the owner is known to be unresponsive here.
         let view = d.hosts[0].shared().view.load();
         let heard = |member: &Member| member.callers == owner && !member.suspect;
         if !view.members.values().any(|member| heard(member)) && attempts > 1 {
@@ -145,15 +145,16 @@
     assert_eq!(d.runs().get(key.as_str()), Some(&1));
 }
 
-// The caller sees: its answer, from the witness. Order: the owner dies before the key reaches it;
-// the witness has no record of the key, takes it and runs it; no owner is left to claim it.
+// The owner of a key crashes before the request reaches it. The witness has no record of the key,
+// takes it and runs the request; no owner is left that could claim it.
 #[tokio::test]
 async fn a_key_whose_owner_died_before_it_came_runs_at_the_witness() {
     let (d, mut remote) = pair(Duration::ZERO).await;
     let (key, _, witness) = bind(&d, true).await;
     remote.kill();
     let mut answer = d.post(witness, PATH, &key, FIRST).await;
-    // Targets that the dead host owned are taken over a little later; until then: not run.
+    // The targets of the crashed host are taken over a little later; until then the request is not
+    // run.
     let mut n = 1;
     while answer.status != 200 {
         assert_ne!(problem(&answer).run, Run::Yes, "{answer:?}");
@@ -164,11 +165,11 @@
     assert!(d.runs().values().all(|runs| *runs == 1), "{:?}", d.runs());
 }
 
-// The caller sees: `run: no` from the owner, now and later. Order: the witness is paused; the
-// owner's claim has no answer; the owner closes the key after its time. The witness wakes and
-// answers a claim that nobody waits for any more: the late grant must not start the request, since
-// its caller was told that it did not run. Only a new attempt of the caller's, at the witness, may:
-// where the claim got lost the witness has no record; then the key runs there, once.
+// The witness is paused, so the owner's claim is not answered, and the owner closes the key after
+// the claim timeout and answers `run: no`. The witness resumes and grants a claim that no request
+// waits for any more. The late grant must not start the request, since the caller was told that it
+// did not run. Only a new attempt of the caller at the witness may run it: if the claim was lost,
+// the witness has no record, and the key runs there, once.
 #[tokio::test]
 async fn a_claim_whose_answer_comes_too_late_is_not_used() {
     let (d, remote) = pair(Duration::ZERO).await;
--- a/crates/node/tests/keys_refused.rs
+++ b/crates/node/tests/keys_refused.rs
@@ -11,8 +11,8 @@
 
 const PATH: &str = "/v1/call/catalogue/reserve/4";
 
-// The caller sees: 400, `run: no`, and what is wrong with the key. Order: the key is read before
-// the ledger hears of it; a text that names no two hosts could be taken up by any number of them.
+// A malformed key gets 400, `run: no`, and the reason. The key is parsed before the ledger receives
+// it; a text that does not name two hosts could be accepted by any number of them.
 #[rstest]
 #[case::too_few_parts("1.2.3.n1")]
 #[case::no_number("one.2.3.4.n1")]
@@ -35,9 +35,9 @@
     assert!(d.runs().is_empty());
 }
 
-// The caller sees: a problem of kind key-refused. Order: its look-up was answered long ago, the
-// process that it names has ended, and another one stands at its address. What the dead process
-// ran nobody knows, so its successor runs nothing under its keys.
+// A key names a process that has ended, because the caller's look-up is old, and another process
+// uses its address now. Whether the ended process ran the request is unknown, so its successor runs
+// nothing under its keys and answers key-refused.
 #[tokio::test]
 async fn a_key_of_another_incarnation_is_never_run() {
     let mut d = Deployment::open("cursuri", Duration::ZERO);
@@ -59,9 +59,8 @@
     assert!(d.runs().is_empty());
 }
 
-// The caller sees: a problem of kind key-refused. Order: it makes a key of an epoch to come. Taken
-// now, the key's record would be dropped by the count of an epoch that has not begun, and the key
-// could come again.
+// A caller makes a key of a future epoch, which is refused. If it were accepted, its record would
+// be dropped as that of an epoch that has not started, and the key could run a second time.
 #[tokio::test]
 async fn a_key_of_an_epoch_to_come_is_never_run() {
     let mut d = Deployment::open("cursuri", Duration::ZERO);
@@ -77,9 +76,8 @@
     assert!(d.runs().is_empty());
 }
 
-// The caller sees: its answer, then, much later, a problem of kind key-refused. Order: the key
-// runs, its epoch ends, its record is dropped, the caller sends it again. Without the record only
-// the epoch in the key tells that it may have run.
+// A key runs, its epoch ends, its record is dropped, and the caller sends it again. Without the
+// record, only the epoch in the key shows that it may have run, so it is answered with key-refused.
 #[tokio::test]
 async fn a_key_whose_epoch_has_ended_is_never_run_again() {
     let mut d = Deployment::open("cursuri", Duration::ZERO);
@@ -96,7 +94,7 @@
     d.settle(1).await;
     let bound = d.bind("catalogue").await;
     let key = format!("{}.n1", bound.prefix);
-    // May come too late for so short an epoch: then it is refused, and not run.
+    // May arrive too late for such a short epoch; then it is refused and does not run.
     d.post(bound.owner, PATH, &key, FIRST).await;
     let ran = d.runs().get(key.as_str()).copied().unwrap_or_default();
     let held = d.at(bound.owner).epoch();
@@ -116,8 +114,8 @@
     assert_eq!(now, ran);
 }
 
-// The caller sees: 400, `run: no`, and how to make a key. Order: the request is not repeatable and
-// names no key, so nothing could tell its second copy from its first.
+// A request that is not idempotent has no key: it gets 400, `run: no`, and an explanation of how to
+// make one. Without a key its retry could not be told from its first attempt.
 #[tokio::test]
 async fn a_request_that_needs_a_key_and_has_none_is_refused() {
     let mut d = Deployment::open("cursuri", Duration::ZERO);
--- a/crates/node/tests/non_members.rs
+++ b/crates/node/tests/non_members.rs
@@ -1,4 +1,4 @@
-//! Messages of hosts that are no members.
+//! Messages from hosts that are not members.
 
 mod common;
 
@@ -18,7 +18,7 @@
     net::TcpSocket,
 };
 
-/// An address from which no member speaks.
+/// Source address that belongs to no member.
 const STRANGER: &str = "127.0.0.77:0";
 
 async fn send(d: &Deployment, path: &str, body: &[u8]) -> String {
@@ -41,9 +41,10 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-// A stranger sees: 403, or 400 where its message is none. Order: a host of another deployment, or
-// anybody else in the network, sends a request or a word in a member's name from an address that is
-// not that member's. Taken in, it could run requests past the limits and close keys of others.
+// A host of another deployment, or any other machine in the network, sends a request or a message
+// in the name of a member from an address that is not that member's. It gets 403, or 400 if the
+// message is invalid. If the message were accepted, it could run requests beyond the limits and
+// close the keys of others.
 #[tokio::test]
 async fn messages_from_an_address_of_no_member_are_refused() {
     let mut d = Deployment::open("cursuri", Duration::ZERO);
--- a/crates/node/tests/queue.rs
+++ b/crates/node/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Requests whose time ends while they wait.
+//! Requests whose deadline passes while they are queued.
 
 mod common;
 
@@ -10,9 +10,9 @@
 
 const HOUR: Duration = Duration::from_secs(3600);
 
-// The callers see: `run: no`, and the keys are at no target. Order: every slot is taken by long
-// work; payments come whose time is short; each is turned away at once or when its time ends in
-// the queue. `unknown` would leave the family to guess whether it paid.
+// All slots are taken by long work, and payments with short deadlines arrive. Each is refused at
+// once or when its deadline passes in the queue, with `run: no`, and its key reaches no target.
+// After `unknown` the family would have to guess whether it paid.
 #[tokio::test]
 async fn a_payment_whose_time_ends_in_the_queue_did_not_run() {
     let mut d = Deployment::open_with("cursuri", HOUR, |config| {
@@ -41,12 +41,13 @@
         let problem = common::problem(&answer);
         let ran = d.runs().contains_key(key.as_str());
         assert!(!(problem.run == Run::No && ran), "{key} ran: {problem:?}");
-        // A slot kept for short work may take one; then nobody can say more than `unknown`.
+        // A slot reserved for short work may run one of them; then the answer can only be
+        // `unknown`.
         assert!(problem.run == Run::No || ran, "{problem:?}");
     }
 }
 
-/// Takes every slot of the service that long work can get, and keeps it.
+/// Occupies all slots of the service that long work may use, until the connections are dropped.
 async fn fill(d: &Deployment) -> Vec<TcpStream> {
     let mut held = Vec::new();
     let all: u64 = d.targets.iter().map(|_| 3).sum();
--- a/crates/node/tests/replay.rs
+++ b/crates/node/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Who may see the answer of a key.
+//! Access to the stored response of a key.
 
 mod common;
 
@@ -12,8 +12,8 @@
 
 const PATH: &str = "/v1/call/records/pay/7";
 
-// The caller sees: the one answer, from either side of its key, as often as it asks. Order: the
-// owner ran the request; the witness, asked next, has only the claim and fetches the answer.
+// The owner of a key ran the request. The caller gets the same response from either host of the
+// key, on every retry; the witness has only the claim and fetches the response.
 #[tokio::test]
 async fn either_side_replays_the_answer_to_its_caller() {
     let mut d = Deployment::open("cursuri", Duration::ZERO);
@@ -33,9 +33,9 @@
     assert_eq!(d.runs().get(key.as_str()), Some(&1));
 }
 
-// Another caller sees: key-mismatch, and nothing of the answer. Order: it learns or guesses a key
-// that ran; the key alone is no proof, since keys stand in logs. The body counts too: the same
-// caller with another payment must not get the receipt of the first.
+// Another caller learns or guesses a key that ran. It gets key-mismatch and nothing of the
+// response: the key alone is no proof of identity, since keys appear in logs. The body counts too:
+// the same caller with another payment must not get the receipt of the first.
 #[tokio::test]
 async fn another_caller_or_another_request_gets_nothing_of_the_answer() {
     let mut d = Deployment::open("cursuri", Duration::ZERO);
--- a/crates/node/tests/request_limits.rs
+++ b/crates/node/tests/request_limits.rs
@@ -1,4 +1,4 @@
-//! What callers may send, and what they get where they send more, slower, or something else.
+//! Limits on callers' requests, and the errors beyond them.
 
 mod common;
 
@@ -19,7 +19,7 @@
 
 const PATH: &str = "/v1/call/catalogue/reserve/4";
 
-/// A deployment of one host with tight limits.
+/// Starts a deployment of one host with tight limits.
 async fn tight() -> Deployment {
     let mut d = Deployment::open("cursuri", Duration::ZERO);
     let limits = LimitSettings {
@@ -46,14 +46,14 @@
         .expect("a connection");
     stream.write_all(bytes).await.expect("sent");
     let mut answer = Vec::new();
-    // A reset says the same as a close: there is nothing more to read.
+    // A reset means the same as a close: there is nothing more to read.
     let read = tokio::time::timeout(LONG, stream.read_to_end(&mut answer)).await;
     assert!(read.is_ok(), "the host keeps the connection open");
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-// The caller sees: 413 and `run: no`. Order: the body passes the limit while it is read; nothing
-// went to a target, and a host that went on reading could be filled by one caller.
+// The body exceeds the limit while it is read: 413 with `run: no`. Nothing was sent to a target;
+// without the limit, one caller could fill the host's memory.
 #[tokio::test]
 async fn a_body_over_the_limit_is_refused() {
     let d = tight().await;
@@ -66,7 +66,7 @@
     assert!(d.runs().is_empty());
 }
 
-// The caller sees: 431. Order: the head passes the limit before it is whole.
+// The head exceeds the limit before it is complete: 431.
 #[tokio::test]
 async fn a_head_over_the_limit_is_refused() {
     let d = tight().await;
@@ -76,8 +76,8 @@
     assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
 }
 
-// The caller sees: 408 and `run: no`. Order: the head is there, the body stops half way; without
-// the limit such callers would fill the host's connections and never leave.
+// The body stops arriving after its first bytes: 408 with `run: no`. Without the limit such callers
+// would occupy the host's connections indefinitely.
 #[tokio::test]
 async fn a_body_that_does_not_come_is_refused() {
     let d = tight().await;
@@ -88,8 +88,8 @@
     assert!(d.runs().is_empty());
 }
 
-// The callers see: one closed connection each, and their neighbour its answer. Order: they open
-// connections and send nothing, or half a head; the host closes them after its time for heads.
+// Callers open connections and send nothing, or half a head. The host closes these connections
+// after its time limit for heads and keeps serving others.
 #[tokio::test]
 async fn connections_that_stay_half_open_are_closed() {
     let d = tight().await;
@@ -103,7 +103,8 @@
     );
 }
 
-// The caller sees: 404, `run: no`, and the revision that knows no such service.
+// A request for an unknown service gets 404, `run: no`, and the revision that does not contain the
+// service.
 #[tokio::test]
 async fn an_unknown_service_is_refused() {
     let d = tight().await;
@@ -115,8 +116,8 @@
     }
 }
 
-// The caller sees: 400 and `run: no`. Order: it gives its time in a form that the host cannot
-// read. Taken for the default, a caller that gives up early would still be worked for.
+// The caller's time limit cannot be parsed: 400 with `run: no`. If the default were used instead,
+// the host would work for a caller that gave up early.
 #[tokio::test]
 async fn a_timeout_that_cannot_be_read_is_refused() {
     let d = tight().await;
--- a/crates/node/tests/ring.rs
+++ b/crates/node/tests/ring.rs
@@ -1,9 +1,9 @@
-//! Rings between duties.
+//! Channels between workers.
 
 use dunlinrock_node::ring::{self, Full};
 
-// The sender sees: its item back. Order: the duty is behind, its ring is full. The sender decides
-// what that means; an item dropped silently would leave its caller waiting for the deadline.
+// A worker is behind and its channel is full: the sender gets its item back and decides what to do.
+// An item that is dropped silently would leave its caller waiting for the deadline.
 #[tokio::test]
 async fn a_full_ring_gives_the_item_back() {
     let (sender, mut receiver) = ring::channel(2);
@@ -17,8 +17,8 @@
     );
 }
 
-// The duty sees: the word that a slot is free, late but surely. Order: it comes while the ring is
-// full; lost, the slot would count as taken for good.
+// The notice of a free slot is sent while the channel is full. It must arrive, even if late;
+// otherwise the slot would count as taken indefinitely.
 #[tokio::test]
 async fn an_item_that_must_not_be_lost_waits_for_room() {
     let (sender, mut receiver) = ring::channel(1);
@@ -28,8 +28,8 @@
     assert_eq!(receiver.recv().await, Some("second"));
 }
 
-// The duty sees: the end of its ring. Order: its last sender is dropped on another thread while it
-// waits. Woken before the sender is gone, it would look, find the ring open, and wait for good.
+// The last sender is dropped on another thread while the receiver waits. If the receiver were woken
+// before the sender is dropped, it would find the channel open and wait indefinitely.
 #[test]
 fn a_receiver_learns_that_its_last_sender_is_gone() {
     for _ in 0..20_000 {
@@ -44,7 +44,7 @@
         });
         begin.recv().expect("it begins");
         drop(sender);
-        // Long, so that only a hang meets it.
+        // Long, so that only a hang reaches it.
         let last = end.recv_timeout(std::time::Duration::from_secs(10));
         assert_eq!(last, Ok(None), "the receiver still waits");
     }
--- a/crates/node/tests/shedding.rs
+++ b/crates/node/tests/shedding.rs
@@ -1,4 +1,4 @@
-//! Targets that turn work away.
+//! Targets that shed requests.
 
 mod common;
 
@@ -10,14 +10,15 @@
 /// More requests than the test sends.
 const MANY: u64 = 1_000_000;
 
-// The caller sees: its answer. Order: the first target says explicitly that it did not run the
-// request, so it may go to another one under the same claim; a new claim is not needed, and a
-// second run cannot come of it.
+// The first target explicitly reports that it did not run the request, so the request may be
+// retried at another target under the same claim: no new claim is needed, and it cannot run twice.
+// The caller gets its response.
 #[tokio::test]
 async fn a_reservation_that_a_target_sheds_runs_once_at_another() {
     let mut d = Deployment::open("cursuri", Duration::ZERO);
     d.start().await;
-    // One of each pool: after a refusal a pool leaves that target alone for a while.
+    // One target of each pool: after a target sheds a request, its pool sends it nothing for a
+    // while.
     for first in ["01", "04", "07", "10", "12", "15"] {
         let target = d.targets.get(&format!("catalogue-{first}"));
         target.expect("of the example").shed_next(MANY);
@@ -34,9 +35,9 @@
     assert!(shed > 0, "no target shed anything");
 }
 
-// The caller sees: `run: no`. Order: every target says that it did not run the request, and the
-// host has that word for each send; nothing was left open, so `unknown` would only make the caller
-// wait for a booking that nobody made.
+// All targets report that they did not run the request, and the host has such a report for each
+// attempt: the caller gets `run: no`. After `unknown` it would wait for a booking that does not
+// exist.
 #[tokio::test]
 async fn a_reservation_that_every_target_sheds_did_not_run() {
     let mut d = Deployment::open("cursuri", Duration::ZERO);
--- a/crates/node/tests/store_down.rs
+++ b/crates/node/tests/store_down.rs
@@ -9,10 +9,10 @@
 use dunlinrock_schema::api::Run;
 use rstest::rstest;
 
-// The caller sees: whole answers from a host that never reached the store. Order: the store goes
-// down, a host starts, hears of the others on the platform's list, and asks them for the root and
-// its pieces. Waiting for the store would leave a region without new hosts for as long as it is
-// away.
+// The store becomes unavailable, and then a host starts. It finds the other hosts on the platform's
+// list, and requests the root and its pieces from them; callers get complete responses from a host
+// that never reached the store. Waiting for the store would leave a region without new hosts for as
+// long as it is unavailable.
 #[rstest]
 #[case::refusing(OutageKind::Refuse)]
 #[case::closing(OutageKind::Close)]
@@ -33,9 +33,9 @@
     assert_eq!(d.runs().get(key.as_str()), Some(&1));
 }
 
-// The caller sees: 503 and `run: no`, with a time to come back; with a key `unknown`. Order: a host
-// starts before anything was applied. It knows no target, so nothing ran; but of a key, which other
-// hosts may have taken before, it cannot say so.
+// A host starts before any configuration was applied. It answers 503 with `run: no` and a retry
+// time: it knows no target, so nothing ran. A request with a key gets `unknown`, since other hosts
+// may have run the key before.
 #[tokio::test]
 async fn a_host_without_a_configuration_turns_callers_away() {
     let mut d = Deployment::open("cursuri", Duration::ZERO);
--- a/crates/node/tests/truncated_answer.rs
+++ b/crates/node/tests/truncated_answer.rs
@@ -1,4 +1,4 @@
-//! A target that breaks off in the middle of its answer.
+//! A target that closes the connection in the middle of its response.
 
 mod common;
 
@@ -7,12 +7,12 @@
 use common::{Deployment, FIRST, problem};
 use dunlinrock_schema::api::Run;
 
-/// More answers than the test asks for.
+/// More responses than the test requests.
 const MANY: u64 = 1000;
 
-// The caller sees: an error with `run: unknown`, never half a body under a success.
-// Order: the target sends its head with a length, half the body, and closes. Its host has the head
-// by then; it may not pass it on before the body is whole, or it could not take the success back.
+// A target sends a head with a length, half of the body, and closes the connection. The caller gets
+// an error with `run: unknown`, never half a body with a success status. The host must not forward
+// the head before the body is complete, or it could not take the success back.
 #[tokio::test]
 async fn an_answer_that_is_cut_short_is_not_given_as_a_whole_one() {
     let mut d = Deployment::open("cursuri", Duration::ZERO);
@@ -28,9 +28,9 @@
     }
 }
 
-// The caller sees: `unknown` for its reservation, and `unknown` again from either side on a retry.
-// Order: the target ran the reservation, its answer was cut. A second run would book a second
-// seat; the ledger holds the key as sent, so no retry reaches a target, whole answers or not.
+// A target runs a reservation, and its response is truncated. The caller gets `unknown`, also from
+// both hosts of the key on a retry. A second run would book a second seat: the ledger records the
+// key as sent, so no retry reaches a target, even when targets send complete responses again.
 #[tokio::test]
 async fn a_reservation_whose_answer_is_cut_short_is_not_run_again() {
     let mut d = Deployment::open("cursuri", Duration::ZERO);
--- a/crates/node/tests/whole_path.rs
+++ b/crates/node/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! One request from its look-up to its answer, over several hosts.
+//! A request from its look-up to its response, over several hosts.
 
 mod common;
 
