--- a/crates/node/src/duties/control/state.rs
+++ b/crates/node/src/duties/control/state.rs
@@ -211,7 +211,7 @@
         match coord_wire::decode::<Message>(frame) {
             Ok(message) => self.on_decoded(message),
             Err(e) => {
-                log::warn!(from = &**from, error:% = e; "the response of a host cannot be decoded")
+                log::warn!(from = &**from, error:% = e; "the response cannot be decoded")
             }
         }
     }
