--- a/crates/node/src/duties/control/state.rs
+++ b/crates/node/src/duties/control/state.rs
@@ -210,9 +210,7 @@
     fn on_answer(&mut self, from: &Arc<str>, frame: &Bytes) {
         match coord_wire::decode::<Message>(frame) {
             Ok(message) => self.on_decoded(message),
-            Err(e) => {
-                log::warn!(from = &**from, error:% = e; "the response cannot be decoded")
-            }
+            Err(e) => log::warn!(from = &**from, error:% = e; "the response cannot be decoded"),
         }
     }
 
--- a/crates/node/src/duties/ledger/mod.rs
+++ b/crates/node/src/duties/ledger/mod.rs
@@ -173,7 +173,7 @@
                 // The run continues: a retry with the same key then gets its response.
                 Action::Cancel { .. } => {}
                 Action::Answer { attempt_id, answer } => {
-                    self.end(attempt_id, Event::Answer(answer))
+                    self.end(attempt_id, Event::Answer(answer));
                 }
                 Action::Refuse {
                     attempt_id,
