--- a/crates/node/src/dump/mod.rs
+++ b/crates/node/src/dump/mod.rs
@@ -22,7 +22,7 @@
 const ASK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Collects the state of all workers.
-pub async fn take(shared: &Shared) -> Value {
+pub async fn collect(shared: &Shared) -> Value {
     let view = shared.view.load_full();
     let pools = ask(&shared.pools, pools::Input::GetState).await;
     let ledger = ask(&shared.ledger, ledger::Input::GetState).await;
--- a/crates/node/src/duties/peers/handlers.rs
+++ b/crates/node/src/duties/peers/handlers.rs
@@ -34,8 +34,8 @@
 
 /// Runs a forwarded request at a pool whose owner, according to the sender, is this host.
 pub(super) async fn run(shared: &Arc<Shared>, clients: &Clients, request: Request) -> Response {
-    let (pool, call) = match take_call(shared, request).await {
-        Ok(taken) => taken,
+    let (pool, call) = match receive_call(shared, request).await {
+        Ok(received) => received,
         Err(response) => return response,
     };
     shared.metrics.increment(Counter::Runs);
@@ -59,8 +59,8 @@
 
 /// Runs a keyed request that a third host forwards.
 pub(super) async fn call(shared: &Arc<Shared>, clients: &Clients, request: Request) -> Response {
-    let (_, call) = match take_call(shared, request).await {
-        Ok(taken) => taken,
+    let (_, call) = match receive_call(shared, request).await {
+        Ok(received) => received,
         Err(response) => return response,
     };
     let key = call.key.as_deref().map(str::parse::<Key>);
@@ -162,7 +162,7 @@
 
 /// Returns the complete state of this host as JSON.
 pub(super) async fn dump(shared: &Shared) -> Response {
-    let text = dump::take(shared).await.to_string();
+    let text = dump::collect(shared).await.to_string();
     let mut response = Response::new(Body::from(Full::from(text)));
     response
         .headers_mut()
@@ -170,7 +170,7 @@
     response
 }
 
-async fn take_call(shared: &Shared, request: Request) -> Result<(PoolId, Call), Response> {
+async fn receive_call(shared: &Shared, request: Request) -> Result<(PoolId, Call), Response> {
     let from = peer(&request).map(|address| address.ip());
     let view = shared.view.load_full();
     if !view
