--- a/crates/node/src/duties/callers/mod.rs
+++ b/crates/node/src/duties/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Serves callers: look-ups and calls, and the pools owned here.
+//! Serves callers: look-ups and calls. The pools that this host owns run on the same thread.
 
 mod call;
 mod lookup;
@@ -10,10 +10,10 @@
 use viz::{Body, Request, Response, Router, StatusCode, Tree};
 
 use super::{pools, spawn};
-use crate::{ring, run::Links, serve, shared::Shared};
+use crate::{ring, run::Clients, serve, shared::Shared};
 
-/// Spawns the duty on a bound listener. It ends when `stop` has turned true, the last answer is out,
-/// and the pools were told to stop.
+/// Spawns the worker on a bound listener. It ends when `stop` is true, the last response has been
+/// sent, and the pools have been stopped.
 pub fn open(
     shared: Arc<Shared>,
     listener: std::net::TcpListener,
@@ -46,7 +46,7 @@
 }
 
 fn router(shared: Arc<Shared>) -> Router {
-    let links = Links::open(&shared);
+    let clients = Clients::open(&shared);
     let (look, ready) = (Arc::clone(&shared), Arc::clone(&shared));
     Router::new()
         .get("/v1/hosts/:service", move |request: Request| {
@@ -58,12 +58,12 @@
             async move { Ok(readiness(&shared)) }
         })
         .any("/v1/call/*", move |request: Request| {
-            let (shared, links) = (Arc::clone(&shared), links.clone());
-            async move { Ok(call::answer(&shared, &links, request).await) }
+            let (shared, clients) = (Arc::clone(&shared), clients.clone());
+            async move { Ok(call::answer(&shared, &clients, request).await) }
         })
 }
 
-/// 200 where this host may be used, 503 where it may not (yet, or any more).
+/// Returns 200 if callers may use this host, and 503 if it is not ready yet or is shutting down.
 fn readiness(shared: &Shared) -> Response {
     let view = shared.view.load();
     let (status, text) = match (view.ready, view.leaving) {
@@ -76,7 +76,7 @@
     response
 }
 
-/// Address of the caller on this connection.
+/// Returns the address of the caller on this connection.
 fn peer(request: &Request) -> Option<SocketAddr> {
     request
         .extensions()
--- a/crates/node/src/duties/control/routes.rs
+++ b/crates/node/src/duties/control/routes.rs
@@ -1,10 +1,11 @@
-//! Makes the routes of a view: who owns which pool.
+//! Builds the routes of a view: the owner of each pool.
 //!
-//! One host counts the slots of a pool and queues for it, because many hosts that each send to the
-//! target that looks least busy overrun it together: slots are few (3 to 8 a target) and reports
-//! lag. The owner is chosen by rendezvous hash among the hosts of the pool's domain, so that all
-//! hosts agree without a word, and a host that comes or goes moves only the pools that it wins or
-//! loses. While they disagree, for about a heartbeat, a request is handed on once more.
+//! One host counts the slots of a pool and queues requests for it. Many hosts that each send to the
+//! target that looks least busy would overload it together: slots are few (3 to 8 per target) and
+//! load reports lag. The owner is chosen by rendezvous hashing among the hosts of the pool's
+//! domain, so all hosts agree without messages, and a host that joins or leaves moves only the
+//! pools that it wins or loses. While hosts disagree, for about a heartbeat, a request is forwarded
+//! one more time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,16 +20,16 @@
 use dunlinrock_schema::config::{Config, Service, Target};
 
 use crate::{
-    duties::pools::{PoolId, PoolPlan},
-    view::{Heard, Member, PoolRoute, RouteParts, ServiceRoute},
+    duties::pools::{PoolId, PoolSpec},
+    view::{LoadReading, Member, PoolRoute, RouteParts, ServiceRoute},
 };
 
 /// Delay within a failure domain.
-const LOCAL: Duration = Duration::from_micros(100);
-/// Delay assumed where the configuration has no link between two regions.
-const FAR: Duration = Duration::from_millis(100);
+const SAME_DOMAIN_DELAY: Duration = Duration::from_micros(100);
+/// Assumed delay between two regions without a link in the configuration.
+const DEFAULT_LINK_DELAY: Duration = Duration::from_millis(100);
 
-/// Targets of each pool of a configuration.
+/// Returns the targets of each pool of a configuration.
 pub(super) fn pools(config: &Config) -> BTreeMap<Arc<PoolId>, Vec<(Arc<str>, Target)>> {
     let mut pools: BTreeMap<Arc<PoolId>, Vec<(Arc<str>, Target)>> = BTreeMap::new();
     for (name, target) in &config.targets {
@@ -44,9 +45,10 @@
     pools
 }
 
-/// The host that owns a pool: one of its domain, else one of its region. Any host where no host was
-/// ever seen in that region; where the region's hosts fell silent nobody owns its pools, since what
-/// they still send to its targets cannot be known from here.
+/// Returns the host that owns a pool: a host of its domain, else a host of its region. If no host
+/// was ever seen in that region, any host may own the pool. If the region's hosts became
+/// unresponsive, the pool has no owner, since the requests that they still send to its targets are
+/// unknown here.
 pub(super) fn owner(
     config: &Config,
     id: &PoolId,
@@ -55,32 +57,32 @@
 ) -> Option<Arc<Member>> {
     let region = config.domains.get(&id.domain).map(|domain| &domain.region);
     let key = format!("{}/{}", id.service, id.domain);
-    let fit = || members.values().filter(|member| !member.leaving);
-    let near = |test: &dyn Fn(&Member) -> bool| {
-        let names = fit().filter(|member| !member.suspect && test(member));
+    let candidates = || members.values().filter(|member| !member.leaving);
+    let choose = |test: &dyn Fn(&Member) -> bool| {
+        let names = candidates().filter(|member| !member.suspect && test(member));
         let names: Vec<Arc<str>> = names.map(|member| Arc::clone(&member.name)).collect();
         rendezvous::choose(&key, names, 1).pop()
     };
-    let name = near(&|member| member.domain == id.domain)
-        .or_else(|| near(&|member| Some(&member.region) == region))
-        .or_else(|| near(&|_| region.is_none_or(|region| !seen.contains(region))))?;
+    let name = choose(&|member| member.domain == id.domain)
+        .or_else(|| choose(&|member| Some(&member.region) == region))
+        .or_else(|| choose(&|_| region.is_none_or(|region| !seen.contains(region))))?;
     members.get(&name).cloned()
 }
 
-/// What the routes are made from.
-pub(super) struct Parts<'a> {
+/// Values that the routes are built from.
+pub(super) struct RouteInputs<'a> {
     pub config: &'a Config,
     pub me: &'a Member,
     pub members: &'a BTreeMap<Arc<str>, Arc<Member>>,
     pub pools: &'a BTreeMap<Arc<PoolId>, Vec<(Arc<str>, Target)>>,
-    pub heard: &'a BTreeMap<Arc<PoolId>, Heard>,
-    /// Regions that hosts were seen in.
+    pub loads: &'a BTreeMap<Arc<PoolId>, LoadReading>,
+    /// Regions in which hosts were seen.
     pub seen: &'a BTreeSet<Arc<str>>,
     pub before: &'a BTreeMap<Arc<PoolId>, Arc<PoolRoute>>,
 }
 
-impl Parts<'_> {
-    /// The route to each pool.
+impl RouteInputs<'_> {
+    /// Returns the route of each pool.
     pub(super) fn routes(&self) -> BTreeMap<Arc<PoolId>, Arc<PoolRoute>> {
         let routes = self.pools.iter();
         routes
@@ -90,9 +92,9 @@
 
     fn route(&self, id: &Arc<PoolId>, targets: &[(Arc<str>, Target)]) -> PoolRoute {
         let owner = owner(self.config, id, self.members, self.seen);
-        let delay = owner
-            .as_ref()
-            .map_or(FAR, |owner| delay(self.config, self.me, owner));
+        let delay = owner.as_ref().map_or(DEFAULT_LINK_DELAY, |owner| {
+            delay(self.config, self.me, owner)
+        });
         let parts = RouteParts {
             id: Arc::clone(id),
             owner,
@@ -100,23 +102,23 @@
             delay,
         };
         let before = self.before.get(id).map(AsRef::as_ref);
-        let heard = self
-            .heard
+        let reading = self
+            .loads
             .get(id)
             .copied()
-            .unwrap_or_else(|| self.unheard(targets));
-        PoolRoute::open(parts, heard, before)
+            .unwrap_or_else(|| self.assumed_load(targets));
+        PoolRoute::open(parts, reading, before)
     }
 
-    /// What is assumed of a pool of which nothing was heard: its slots, and no load. It counts as
-    /// heard when this host began, so that any word replaces it.
-    fn unheard(&self, targets: &[(Arc<str>, Target)]) -> Heard {
+    /// Returns the load assumed for a pool without a load report: its slots, and no work. Its time
+    /// is this host's start, so any report replaces it.
+    fn assumed_load(&self, targets: &[(Arc<str>, Target)]) -> LoadReading {
         let usable = targets
             .iter()
             .filter(|(name, target)| !is_drained(self.config, name, target));
         let slots = usable.map(|(_, target)| target.slots.get()).sum::<u64>();
         let slots = u32::try_from(slots).unwrap_or(u32::MAX);
-        Heard {
+        LoadReading {
             load: Load {
                 slots,
                 ..Load::default()
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Every service with its pools by region.
+    /// Returns each service with its pools by region.
     pub(super) fn services(
         &self,
         routes: &BTreeMap<Arc<PoolId>, Arc<PoolRoute>>,
@@ -148,40 +150,43 @@
         services
     }
 
-    /// The pools that this host owns.
-    pub(super) fn plans(
+    /// Returns the specifications of the pools that this host owns.
+    pub(super) fn specs(
         &self,
         routes: &BTreeMap<Arc<PoolId>, Arc<PoolRoute>>,
-        words: &[QuarantineUpdate],
-    ) -> Vec<PoolPlan> {
-        let mut plans = Vec::new();
+        quarantines: &[QuarantineUpdate],
+    ) -> Vec<PoolSpec> {
+        let mut specs = Vec::new();
         for (id, targets) in self.pools {
             let owner = routes.get(id).and_then(|route| route.owner.as_ref());
             let Some(rules) = self.config.services.get(&id.service) else {
                 continue;
             };
             if owner.is_some_and(|owner| owner.incarnation == self.me.incarnation) {
-                plans.push(PoolPlan {
+                specs.push(PoolSpec {
                     id: Arc::clone(id),
                     rules: pool_rules(rules),
-                    targets: targets.iter().map(|t| spec(self.config, t)).collect(),
-                    words: words.to_vec(),
+                    targets: targets
+                        .iter()
+                        .map(|t| target_spec(self.config, t))
+                        .collect(),
+                    quarantines: quarantines.to_vec(),
                 });
             }
         }
-        plans
+        specs
     }
 }
 
 fn addresses(targets: &[(Arc<str>, Target)]) -> BTreeMap<Arc<str>, SocketAddr> {
     let parsed = targets.iter().filter_map(|(name, target)| {
-        // The configuration's checks refuse other addresses before an apply.
+        // The checks before an apply reject other addresses.
         Some((Arc::clone(name), target.address.parse().ok()?))
     });
     parsed.collect()
 }
 
-fn spec(config: &Config, (name, target): &(Arc<str>, Target)) -> TargetSpec {
+fn target_spec(config: &Config, (name, target): &(Arc<str>, Target)) -> TargetSpec {
     TargetSpec {
         name: Arc::clone(name),
         slots: u32::try_from(target.slots.get()).unwrap_or(u32::MAX),
@@ -200,17 +205,21 @@
     }
 }
 
-/// One-way delay between two hosts, by the configuration.
+/// Returns the one-way delay between two hosts according to the configuration.
 fn delay(config: &Config, me: &Member, other: &Member) -> Duration {
     if me.name == other.name {
         return Duration::ZERO;
     }
     if me.domain == other.domain {
-        return LOCAL;
+        return SAME_DOMAIN_DELAY;
     }
     if me.region == other.region {
         let domain = config.domains.get(&other.domain);
-        return domain.map_or(LOCAL, |domain| Duration::from_micros(domain.delay_us));
+        return domain.map_or(SAME_DOMAIN_DELAY, |domain| {
+            Duration::from_micros(domain.delay_us)
+        });
     }
-    link(config, &me.region, &other.region).map_or(FAR, |link| Duration::from_micros(link.delay_us))
+    link(config, &me.region, &other.region).map_or(DEFAULT_LINK_DELAY, |link| {
+        Duration::from_micros(link.delay_us)
+    })
 }
--- a/crates/node/src/duties/control/steering.rs
+++ b/crates/node/src/duties/control/steering.rs
@@ -1,8 +1,9 @@
-//! Shares of traffic and grants of headroom, exchanged with other hosts.
+//! Traffic shares and headroom grants, exchanged with other hosts.
 //!
-//! Every second or two a host asks a few others for their shares, so that it neither starts from the
-//! goal where traffic flows already nor runs ahead of the slowest, and asks some hosts of each
-//! region that it sends work to for room. Both go in one message and come back in one.
+//! Every second or two a host requests the shares of a few others, so that it neither starts from
+//! the desired split while traffic already flows otherwise, nor shifts faster than the slowest
+//! host. It also requests grants from some hosts of each region that it sends requests to. Both are
+//! contained in one message and its response.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,28 +24,28 @@
 
 use crate::{
     duties::pools::PoolReport,
-    meters::{Meters, Sums},
+    traffic::{TrafficMeter, TrafficTotals},
     view::Member,
 };
 
-/// Hosts whose shares a host goes by. With all of a small deployment; of a large one as many as a
-/// row each second from each fits the budget for control.
-const SAMPLE: usize = 8;
-/// Time between two asks: two fit the life of a grant, so that one may be lost.
-const ASK: Duration = Duration::from_millis(1400);
-/// Rounds of asks of which one asks for shares while nothing moves here. They are asked for in case
-/// a peer is behind; a peer that moves asks this host.
-const CALM_ROUNDS: u32 = 6;
-/// Time between two looks at the traffic of a host that has none: with a round trip, the first
-/// requests for another region get room within the time that they may wait in a queue.
-const FIRST_LOOK: Duration = Duration::from_millis(100);
+/// Number of hosts whose shares a host follows. In a small deployment these are all hosts; in a
+/// large one as many as fit the budget for control traffic, with one table per second from each.
+const SAMPLE_SIZE: usize = 8;
+/// Interval between requests: two fit the TTL of a grant, so one may be lost.
+const ASK_INTERVAL: Duration = Duration::from_millis(1400);
+/// Number of rounds of which one requests shares while no shares change here. It covers peers that
+/// are behind; a peer whose shares change asks this host.
+const STEADY_ROUNDS: u32 = 6;
+/// Measuring interval of a host without traffic. With a round trip, the first requests for another
+/// region get a grant within the time that they may wait in a queue.
+const IDLE_INTERVAL: Duration = Duration::from_millis(100);
 /// Weight of the last second in rates and sizes.
-const FRESH: f64 = 0.3;
-/// Rate below which a lane counts as idle, in requests a second. Room is not asked for; the next
-/// request passes by the allowance for few.
-const IDLE: f64 = 0.05;
-/// Bytes of a request or an answer of which nothing was seen yet.
-const UNSEEN_BYTES: f64 = 2_000.0;
+const SMOOTHING_WEIGHT: f64 = 0.3;
+/// Rate below which a flow counts as idle, in requests a second. No grant is requested for it; its
+/// next request uses the limiter of requests without a grant.
+const IDLE_RATE: f64 = 0.05;
+/// Assumed size of a request or a response before one was measured, in bytes.
+const DEFAULT_BYTES: f64 = 2_000.0;
 
 /// A message to send.
 #[derive(Debug)]
@@ -53,23 +54,23 @@
     pub ask: SteerAsk,
 }
 
-/// Shares and grants of this host.
+/// Traffic shares and grants of this host.
 pub(super) struct Steering {
     me: Member,
     shares: TrafficSplit,
     grantor: Grantor,
     grantee: Arc<Mutex<Grantee>>,
-    /// Shares of the hosts that this one goes by.
-    rows: BTreeMap<Arc<str>, SplitTable>,
+    /// Traffic shares of the hosts that this one follows.
+    peer_shares: BTreeMap<Arc<str>, SplitTable>,
     traffic: TrafficTable,
-    goals: DesiredSplits,
-    /// Regions of which hosts were seen.
-    seen: BTreeSet<Arc<str>>,
-    lost: BTreeSet<Arc<str>>,
+    desired: DesiredSplits,
+    /// Regions in which hosts were seen.
+    seen_regions: BTreeSet<Arc<str>>,
+    lost_regions: BTreeSet<Arc<str>>,
     next_ask: Duration,
-    /// Rounds of asks so far.
+    /// Rounds of requests so far.
     round: u32,
-    measured: Duration,
+    measured_at: Duration,
 }
 
 impl Steering {
@@ -79,14 +80,14 @@
             shares: TrafficSplit::open(),
             grantor: Grantor::open(&me.name, &me.region, now),
             grantee,
-            rows: BTreeMap::new(),
+            peer_shares: BTreeMap::new(),
             traffic: TrafficTable::new(),
-            goals: DesiredSplits::default(),
-            seen: BTreeSet::new(),
-            lost: BTreeSet::new(),
+            desired: DesiredSplits::default(),
+            seen_regions: BTreeSet::new(),
+            lost_regions: BTreeSet::new(),
             next_ask: now,
             round: 0,
-            measured: now,
+            measured_at: now,
         }
     }
 
@@ -94,21 +95,22 @@
         &self.shares
     }
 
-    pub(super) fn lost(&self) -> &BTreeSet<Arc<str>> {
-        &self.lost
+    pub(super) fn lost_regions(&self) -> &BTreeSet<Arc<str>> {
+        &self.lost_regions
     }
 
-    pub(super) fn seen(&self) -> &BTreeSet<Arc<str>> {
-        &self.seen
+    pub(super) fn seen_regions(&self) -> &BTreeSet<Arc<str>> {
+        &self.seen_regions
     }
 
-    /// After a pause: the others have gone on without this host, so it starts from their shares.
+    /// Resets the shares after the process was paused: the other hosts continued meanwhile, so this
+    /// host starts from their shares.
     pub(super) fn restart(&mut self) {
         self.shares.reset();
-        self.rows.clear();
+        self.peer_shares.clear();
     }
 
-    /// One step of shares.
+    /// Advances the shares by one step.
     pub(super) fn step(
         &mut self,
         config: &Config,
@@ -116,139 +118,152 @@
         present: BTreeSet<Arc<str>>,
         now: Duration,
     ) {
-        self.look(config, present);
+        self.update_lost(config, present);
         let sample = self.sample(members);
-        self.rows
+        self.peer_shares
             .retain(|name, _| sample.iter().any(|member| member.name == *name));
         let peers: Vec<PeerSplit<'_>> = sample
             .iter()
             .map(|member| PeerSplit {
-                table: self.rows.get(&member.name),
+                table: self.peer_shares.get(&member.name),
             })
             .collect();
         self.shares.update_peers(&peers);
-        self.follow(members);
-        self.goals = DesiredSplits::open(config, &self.lost);
+        self.follow_peers(members);
+        self.desired = DesiredSplits::open(config, &self.lost_regions);
         let grantee = self.grantee.lock().unwrap_or_else(PoisonError::into_inner);
         let lent = (&*grantee, &self.grantor);
         let region = &self.me.region;
-        let ceilings =
-            spill::share_limits(&self.goals, &self.shares, &self.traffic, region, lent, now);
-        self.shares.advance(&self.goals, &ceilings, now);
+        let ceilings = spill::share_limits(
+            &self.desired,
+            &self.shares,
+            &self.traffic,
+            region,
+            lent,
+            now,
+        );
+        self.shares.advance(&self.desired, &ceilings, now);
     }
 
-    /// Takes over what hosts of other regions do with their own callers.
-    fn follow(&mut self, members: &BTreeMap<Arc<str>, Arc<Member>>) {
+    /// Adopts the shares that hosts of other regions apply to their own callers.
+    fn follow_peers(&mut self, members: &BTreeMap<Arc<str>, Arc<Member>>) {
         let mut peers: BTreeMap<Arc<str>, Vec<&SplitTable>> = BTreeMap::new();
-        for (name, rows) in &self.rows {
+        for (name, table) in &self.peer_shares {
             if let Some(member) = members.get(name) {
                 peers
                     .entry(Arc::clone(&member.region))
                     .or_default()
-                    .push(rows);
+                    .push(table);
             }
         }
         self.shares.adopt_remote(&self.me.region, &peers);
     }
 
-    /// A region without a host that is there is lost: nobody lends its room, and what its targets
-    /// still do cannot be known from here.
-    fn look(&mut self, config: &Config, present: BTreeSet<Arc<str>>) {
-        let lost = |region: &&Arc<str>| !present.contains(*region);
-        let lost: BTreeSet<Arc<str>> = config.regions.keys().filter(lost).cloned().collect();
-        if lost != self.lost {
-            log::warn!(regions:? = lost; "regions without a host that is heard");
+    /// Updates the set of lost regions. A region without a responsive host is lost: no host grants
+    /// its headroom, and the load of its targets is unknown here.
+    fn update_lost(&mut self, config: &Config, present: BTreeSet<Arc<str>>) {
+        let is_lost = |region: &&Arc<str>| !present.contains(*region);
+        let lost_regions: BTreeSet<Arc<str>> =
+            config.regions.keys().filter(is_lost).cloned().collect();
+        if lost_regions != self.lost_regions {
+            log::warn!(regions:? = lost_regions; "regions without a responsive host");
         }
-        self.lost = lost;
-        self.seen.extend(present);
+        self.lost_regions = lost_regions;
+        self.seen_regions.extend(present);
     }
 
-    /// The hosts whose shares this one goes by, the same ones while they are there.
+    /// Returns the hosts whose shares this one follows; the same ones as long as they are
+    /// responsive.
     fn sample(&self, members: &BTreeMap<Arc<str>, Arc<Member>>) -> Vec<Arc<Member>> {
         let others = members
             .values()
             .filter(|member| member.name != self.me.name && !member.leaving && !member.suspect);
         let names: Vec<Arc<str>> = others.map(|member| Arc::clone(&member.name)).collect();
-        let chosen = rendezvous::choose(&self.me.name, names, SAMPLE);
+        let chosen = rendezvous::choose(&self.me.name, names, SAMPLE_SIZE);
         chosen
             .iter()
             .filter_map(|name| members.get(name).cloned())
             .collect()
     }
 
-    /// Takes in what was measured since the last time.
+    /// Processes the measurements since the last call.
     pub(super) fn measure(
         &mut self,
         config: &Config,
-        meters: &Meters,
+        meter: &TrafficMeter,
         reports: &[PoolReport],
         now: Duration,
     ) {
-        let time = now.saturating_sub(self.measured).as_secs_f64();
-        if time < ASK.as_secs_f64() / 2.0 && !(self.is_idle() && time >= FIRST_LOOK.as_secs_f64()) {
+        let time = now.saturating_sub(self.measured_at).as_secs_f64();
+        if time < ASK_INTERVAL.as_secs_f64() / 2.0
+            && !(self.is_idle() && time >= IDLE_INTERVAL.as_secs_f64())
+        {
             return;
         }
-        self.measured = now;
-        let sums = meters.take();
-        if self.learn(config, &sums, time) {
-            // Room for a lane that was idle is not asked for before; its requests wait by now.
+        self.measured_at = now;
+        let totals = meter.drain();
+        if self.update_rates(config, &totals, time) {
+            // A grant for a flow that was idle has not been requested before, and its requests
+            // already wait.
             self.next_ask = now;
         }
         for name in config.services.keys() {
-            let own = self.own(name, &sums, reports, time);
-            if let Some(own) = own {
-                self.grantor.record_usage(name, own, now);
+            let local_usage = self.local_usage(name, &totals, reports, time);
+            if let Some(usage) = local_usage {
+                self.grantor.record_usage(name, usage, now);
             }
         }
     }
 
-    /// Takes the traffic of the last while in; tells whether an idle lane has woken up.
-    fn learn(&mut self, config: &Config, sums: &Sums, time: f64) -> bool {
-        let mut woke = false;
+    /// Updates the rates and sizes of flows; returns whether an idle flow became active.
+    fn update_rates(&mut self, config: &Config, totals: &TrafficTotals, time: f64) -> bool {
+        let mut became_active = false;
         for service in config.services.keys() {
-            let sizes = sums.sizes.get(service).filter(|sizes| sizes.count > 0);
-            let lanes = self.traffic.entry(Arc::clone(service)).or_default();
+            let sizes = totals.sizes.get(service).filter(|sizes| sizes.count > 0);
+            let flows = self.traffic.entry(Arc::clone(service)).or_default();
             for callers in config.regions.keys() {
-                let lane = lanes.entry(Arc::clone(callers)).or_insert(Traffic {
+                let flow = flows.entry(Arc::clone(callers)).or_insert(Traffic {
                     rate: 0.0,
-                    request_bytes: UNSEEN_BYTES,
-                    answer_bytes: UNSEEN_BYTES,
+                    request_bytes: DEFAULT_BYTES,
+                    answer_bytes: DEFAULT_BYTES,
                 });
-                let count = sums
-                    .entered
+                let count = totals
+                    .arrivals
                     .get(service)
-                    .and_then(|lanes| lanes.get(callers));
+                    .and_then(|flows| flows.get(callers));
                 let rate = *count.unwrap_or(&0) as f64 / time;
-                let wakes = lane.rate == 0.0 && rate > IDLE;
-                woke |= wakes;
-                // The first figure of a lane is taken whole: smoothed from zero, the room asked for
+                let activates = flow.rate == 0.0 && rate > IDLE_RATE;
+                became_active |= activates;
+                // The first rate of a flow is not smoothed: smoothed from zero, the requested grant
                 // would be a third of what is needed, for seconds.
-                lane.rate += (rate - lane.rate) * if wakes { 1.0 } else { FRESH };
-                if lane.rate < IDLE {
-                    lane.rate = 0.0;
+                flow.rate += (rate - flow.rate) * if activates { 1.0 } else { SMOOTHING_WEIGHT };
+                if flow.rate < IDLE_RATE {
+                    flow.rate = 0.0;
                 }
                 if let Some(sizes) = sizes {
                     let count = sizes.count as f64;
-                    lane.request_bytes +=
-                        (sizes.request as f64 / count - lane.request_bytes) * FRESH;
-                    lane.answer_bytes += (sizes.answer as f64 / count - lane.answer_bytes) * FRESH;
+                    flow.request_bytes +=
+                        (sizes.request as f64 / count - flow.request_bytes) * SMOOTHING_WEIGHT;
+                    flow.answer_bytes +=
+                        (sizes.answer as f64 / count - flow.answer_bytes) * SMOOTHING_WEIGHT;
                 }
             }
         }
-        woke
+        became_active
     }
 
-    /// Whether no lane has traffic.
+    /// Returns whether no flow has traffic.
     fn is_idle(&self) -> bool {
-        let mut lanes = self.traffic.values().flat_map(BTreeMap::values);
-        lanes.all(|lane| lane.rate == 0.0)
+        let mut flows = self.traffic.values().flat_map(BTreeMap::values);
+        flows.all(|flow| flow.rate == 0.0)
     }
 
-    /// Use of the targets that this host owns, of one service; none where it owns none.
-    fn own(
+    /// Returns the usage of the targets that this host owns, for one service; `None` if it owns
+    /// none.
+    fn local_usage(
         &self,
         service: &Arc<str>,
-        sums: &Sums,
+        totals: &TrafficTotals,
         reports: &[PoolReport],
         time: f64,
     ) -> Option<LocalUsage> {
@@ -259,24 +274,24 @@
         if slots.is_empty() {
             return None;
         }
-        let work = sums.work.get(service).copied().unwrap_or_default();
+        let work = totals.work.get(service).copied().unwrap_or_default();
         let mean = work
             .time
             .checked_div(u32::try_from(work.count).unwrap_or(u32::MAX));
         let home = self
             .traffic
             .get(service)
-            .and_then(|lanes| lanes.get(&self.me.region));
+            .and_then(|flows| flows.get(&self.me.region));
         Some(LocalUsage {
             slots: f64::from(slots.iter().sum::<u32>()),
-            busy: work.home.as_secs_f64() / time,
-            rate: home.map_or(0.0, |lane| lane.rate),
+            busy: work.local_time.as_secs_f64() / time,
+            rate: home.map_or(0.0, |flow| flow.rate),
             service_time: mean.unwrap_or(Duration::from_millis(5)),
         })
     }
 
-    /// Sets what the region's links and slots leave to lend.
-    pub(super) fn limit(&mut self, config: &Config) {
+    /// Sets the capacity of the region's links and slots that may be granted.
+    pub(super) fn set_limits(&mut self, config: &Config) {
         let region = config.regions.get(&self.me.region);
         let headroom = region.map_or(0.0, |region| region.headroom);
         let mut links = LinkCapacity::new();
@@ -292,8 +307,9 @@
         self.grantor.set_limits(headroom, links);
     }
 
-    /// Asks to send now: for shares to the sample, for room to hosts of the regions work goes to.
-    pub(super) fn asks(
+    /// Returns the requests that are due: for shares to the sample, for grants to hosts of the
+    /// regions that receive traffic.
+    pub(super) fn due_asks(
         &mut self,
         members: &BTreeMap<Arc<str>, Arc<Member>>,
         now: Duration,
@@ -305,30 +321,30 @@
         if now < self.next_ask {
             return Vec::new();
         }
-        self.next_ask = now + ASK;
+        self.next_ask = now + ASK_INTERVAL;
         self.round = self.round.wrapping_add(1);
-        let calm = self.is_calm() && !self.round.is_multiple_of(CALM_ROUNDS);
-        let mut asks: BTreeMap<Arc<str>, Outgoing> = BTreeMap::new();
+        let steady = self.is_steady() && !self.round.is_multiple_of(STEADY_ROUNDS);
+        let mut due_asks: BTreeMap<Arc<str>, Outgoing> = BTreeMap::new();
         for to in self.sample(members) {
-            let all = !self.rows.contains_key(&to.name);
-            if calm && !all {
+            let all = !self.peer_shares.contains_key(&to.name);
+            if steady && !all {
                 continue;
             }
-            let ask = self.ask(all, Vec::new(), now);
-            asks.insert(Arc::clone(&to.name), Outgoing { to, ask });
+            let ask = self.new_ask(all, Vec::new(), now);
+            due_asks.insert(Arc::clone(&to.name), Outgoing { to, ask });
         }
-        let needs = spill::needs(&self.goals, &self.shares, &self.traffic, &self.me.region);
+        let needs = spill::needs(&self.desired, &self.shares, &self.traffic, &self.me.region);
         for (region, needs) in needs {
-            self.ask_region(&region, &needs, members, &mut asks, now);
+            self.ask_region(&region, &needs, members, &mut due_asks, now);
         }
-        asks.into_values().collect()
+        due_asks.into_values().collect()
     }
 
-    /// Whether every share is at its goal.
-    fn is_calm(&self) -> bool {
-        let lanes = self.goals.flows.iter();
-        let mut lanes = lanes.flat_map(|(service, lanes)| lanes.keys().map(move |c| (service, c)));
-        lanes.all(|(service, callers)| self.shares.remaining(service, callers) <= 0.0)
+    /// Returns whether all shares equal the desired split.
+    fn is_steady(&self) -> bool {
+        let flows = self.desired.flows.iter();
+        let mut flows = flows.flat_map(|(service, flows)| flows.keys().map(move |c| (service, c)));
+        flows.all(|(service, callers)| self.shares.remaining(service, callers) <= 0.0)
     }
 
     fn ask_region(
@@ -336,37 +352,40 @@
         region: &Arc<str>,
         needs: &[Need],
         members: &BTreeMap<Arc<str>, Arc<Member>>,
-        asks: &mut BTreeMap<Arc<str>, Outgoing>,
+        due_asks: &mut BTreeMap<Arc<str>, Outgoing>,
         now: Duration,
     ) {
-        let there = members
+        let hosts = members
             .values()
             .filter(|member| member.region == *region && !member.leaving && !member.suspect);
-        let names: Vec<Arc<str>> = there.map(|member| Arc::clone(&member.name)).collect();
+        let names: Vec<Arc<str>> = hosts.map(|member| Arc::clone(&member.name)).collect();
         let grantors = spill::choose_grantors(&self.me.name, &names);
-        let part = {
+        let request = {
             let grantee = self.grantee.lock().unwrap_or_else(PoisonError::into_inner);
             grantee.request(needs, grantors.len(), now)
         };
         for name in grantors {
-            // This host lends to itself as to any other, for callers of other regions.
+            // This host grants headroom to itself as to any other host, for callers of other
+            // regions.
             if *name == self.me.name {
-                self.grantor.on_request(part.clone(), now);
+                self.grantor.on_request(request.clone(), now);
                 continue;
             }
             let Some(to) = members.get(name) else {
                 continue;
             };
-            let ask = self.ask(false, Vec::new(), now);
-            let entry = asks.entry(Arc::clone(name)).or_insert_with(|| Outgoing {
-                to: Arc::clone(to),
-                ask,
-            });
-            entry.ask.needs = part.needs.iter().map(write_need).collect();
+            let ask = self.new_ask(false, Vec::new(), now);
+            let entry = due_asks
+                .entry(Arc::clone(name))
+                .or_insert_with(|| Outgoing {
+                    to: Arc::clone(to),
+                    ask,
+                });
+            entry.ask.needs = request.needs.iter().map(write_need).collect();
         }
     }
 
-    fn ask(&self, all: bool, needs: Vec<PeerNeed>, now: Duration) -> SteerAsk {
+    fn new_ask(&self, all: bool, needs: Vec<PeerNeed>, now: Duration) -> SteerAsk {
         SteerAsk {
             name: Arc::clone(&self.me.name),
             region: Arc::clone(&self.me.region),
@@ -376,8 +395,8 @@
         }
     }
 
-    /// Notes what another host wants; it is answered with [`Steering::gives`].
-    pub(super) fn asked(&mut self, ask: &SteerAsk, now: Duration) {
+    /// Records the needs of another host; [`Steering::answer`] replies to it.
+    pub(super) fn record_ask(&mut self, ask: &SteerAsk, now: Duration) {
         if ask.needs.is_empty() {
             return;
         }
@@ -390,7 +409,7 @@
         self.grantor.on_request(ask, now);
     }
 
-    /// Room to lend to all that asked, by host.
+    /// Returns the grants for all hosts that requested some, by host.
     pub(super) fn grants(&mut self, now: Duration) -> BTreeMap<Arc<str>, Vec<Lent>> {
         let mut lent: BTreeMap<Arc<str>, Vec<Lent>> = BTreeMap::new();
         for grant in self.grantor.grant(now) {
@@ -406,14 +425,14 @@
         lent
     }
 
-    /// Answer to a host that asked.
-    pub(super) fn give(&self, all: bool, lent: Vec<Lent>) -> SteerGive {
+    /// Returns the response to a host's request.
+    pub(super) fn answer(&self, all: bool, lent: Vec<Lent>) -> SteerGive {
         let mut shares = self.shares.table();
         if !all {
-            for (service, lanes) in &mut shares {
-                lanes.retain(|callers, _| self.shares.remaining(service, callers) > 0.0);
+            for (service, flows) in &mut shares {
+                flows.retain(|callers, _| self.shares.remaining(service, callers) > 0.0);
             }
-            shares.retain(|_, lanes| !lanes.is_empty());
+            shares.retain(|_, flows| !flows.is_empty());
         }
         SteerGive {
             name: Arc::clone(&self.me.name),
@@ -423,21 +442,22 @@
         }
     }
 
-    /// Takes the answer of a host in, asked at this host's `now`.
-    pub(super) fn given(&mut self, from: &Member, give: SteerGive, now: Duration) {
+    /// Applies the response of a host, which was received at this host's time `now`.
+    pub(super) fn apply_answer(&mut self, from: &Member, answer: SteerGive, now: Duration) {
         let SteerGive {
             name,
             ready,
             shares,
             lent,
-        } = give;
-        match self.rows.get_mut(&name) {
-            Some(rows) => *rows = at_goal(&self.goals, shares),
+        } = answer;
+        match self.peer_shares.get_mut(&name) {
+            Some(table) => *table = with_desired(&self.desired, shares),
             None if ready => {
-                self.rows.insert(Arc::clone(&name), shares);
+                self.peer_shares.insert(Arc::clone(&name), shares);
             }
             None => {
-                self.rows.insert(Arc::clone(&name), SplitTable::new());
+                self.peer_shares
+                    .insert(Arc::clone(&name), SplitTable::new());
             }
         }
         let mut grantee = self.grantee.lock().unwrap_or_else(PoisonError::into_inner);
@@ -447,19 +467,20 @@
     }
 }
 
-/// All shares of a host that sent only those that move: the others are at their goals.
-fn at_goal(goals: &DesiredSplits, moving: SplitTable) -> SplitTable {
-    let mut rows = SplitTable::new();
-    for (service, lanes) in &goals.flows {
-        let lanes = lanes
+/// Returns all shares of a host that sent only the changing ones: the others equal the desired
+/// split.
+fn with_desired(desired: &DesiredSplits, moving: SplitTable) -> SplitTable {
+    let mut table = SplitTable::new();
+    for (service, flows) in &desired.flows {
+        let flows = flows
             .iter()
             .map(|(callers, goal)| (Arc::clone(callers), goal.shares.clone()));
-        rows.insert(Arc::clone(service), lanes.collect());
+        table.insert(Arc::clone(service), flows.collect());
     }
-    for (service, lanes) in moving {
-        rows.entry(service).or_default().extend(lanes);
+    for (service, flows) in moving {
+        table.entry(service).or_default().extend(flows);
     }
-    rows
+    table
 }
 
 fn write_need(need: &Need) -> PeerNeed {
--- a/crates/node/src/duties/ledger/mod.rs
+++ b/crates/node/src/duties/ledger/mod.rs
@@ -1,8 +1,8 @@
-//! The request ledger: what may run at most once, and what has.
+//! The request ledger: which keyed requests may run, and which have run.
 //!
-//! The duty drives [`dunlinrock_coord::once::Ledger`]. A holder, the task that carries one attempt,
-//! hands it in and is told to run the request, or gets the answer or the refusal. Messages to other
-//! hosts go out on the duty's own runtime; they may be lost, and the ledger sends them again.
+//! The worker drives [`dunlinrock_coord::once::Ledger`]. The task of an attempt submits it, and
+//! then receives an event to run the request, its response, or its refusal. Messages to other hosts
+//! are sent on the worker's own runtime; they may be lost, and the ledger sends them again.
 
 mod input;
 mod post;
@@ -24,7 +24,7 @@
 use dunlinrock_schema::settings::TimingSettings;
 
 pub use self::{
-    input::{Event, Events, Input, LedgerReport},
+    input::{Event, EventSender, Input, LedgerReport},
     post::{LEDGER_PATH, read_message},
 };
 use super::spawn;
@@ -35,25 +35,25 @@
     wire::Client,
 };
 
-/// Inputs that may wait for the duty; see the pools duty, whose load it shares.
-pub const RING: usize = 4096;
-/// Largest answer to a ledger message, in bytes: there is none.
-const ANSWER_BYTES: usize = 1024;
-/// Time between two looks at the clock at the most, so that the epoch given out never lags by more.
-const LOOK: Duration = Duration::from_millis(250);
+/// Capacity of the worker's channel; as that of the pools worker, which has the same load.
+pub const QUEUE_CAPACITY: usize = 4096;
+/// Maximum size of a response to a ledger message, in bytes; it has no body.
+const MAX_ANSWER_BYTES: usize = 1024;
+/// Maximum interval between wake-ups, so that the published epoch never lags by more.
+const MAX_WAKE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A running duty.
+/// A running ledger worker.
 #[derive(Debug)]
 pub struct Handle {
-    /// Its ring.
+    /// Channel to the worker.
     pub sender: ring::Sender<Input>,
-    /// Epoch to bind keys to now.
+    /// Epoch for the bindings of new keys.
     pub epoch: Arc<AtomicU64>,
-    /// Its thread.
+    /// Thread of the worker.
     pub thread: JoinHandle<()>,
 }
 
-/// Limits of the ledger, from the host's settings.
+/// Returns the limits of the ledger from the host's settings.
 pub fn limits(timing: &TimingSettings) -> Limits {
     Limits {
         claim_timeout: Duration::from_millis(timing.claim_ms.get()),
@@ -62,24 +62,24 @@
     }
 }
 
-/// Spawns the duty for this incarnation.
+/// Spawns the worker for this incarnation.
 pub fn open(
     me: &Member,
     limits: Limits,
     clock: Clock,
     view: Arc<ArcSwap<View>>,
 ) -> io::Result<Handle> {
-    let (sender, receiver) = ring::open(RING);
+    let (sender, receiver) = ring::channel(QUEUE_CAPACITY);
     let epoch = Arc::new(AtomicU64::new(0));
-    let duty = Duty {
+    let worker = Worker {
         ledger: Ledger::open(me.incarnation, limits, clock.now()),
         local: me.peers.ip(),
-        holders: BTreeMap::new(),
+        tasks: BTreeMap::new(),
         view,
         clock,
         epoch: Arc::clone(&epoch),
     };
-    let thread = spawn("ledger", move || duty.drive(receiver))?;
+    let thread = spawn("ledger", move || worker.drive(receiver))?;
     Ok(Handle {
         sender,
         epoch,
@@ -87,28 +87,29 @@
     })
 }
 
-struct Duty {
+struct Worker {
     ledger: Ledger,
-    /// Holders by ticket. Invariant: an attempt that waits in the ledger has one here.
-    holders: BTreeMap<u64, Events>,
+    /// Event channels of attempts by ticket. Invariant: each attempt that waits in the ledger has
+    /// an entry.
+    tasks: BTreeMap<u64, EventSender>,
     view: Arc<ArcSwap<View>>,
     clock: Clock,
     epoch: Arc<AtomicU64>,
-    /// Address that messages go out from.
+    /// Source address of messages.
     local: IpAddr,
 }
 
-impl Duty {
+impl Worker {
     async fn drive(mut self, mut inputs: ring::Receiver<Input>) {
-        let client = Client::open_from(Some(self.local), ANSWER_BYTES);
+        let client = Client::open_from(Some(self.local), MAX_ANSWER_BYTES);
         loop {
             let now = self.clock.now();
             self.epoch.store(self.ledger.epoch(now), Ordering::Relaxed);
             let wake = self
                 .ledger
                 .next_wake()
-                .unwrap_or(now + LOOK)
-                .min(now + LOOK);
+                .unwrap_or(now + MAX_WAKE_INTERVAL)
+                .min(now + MAX_WAKE_INTERVAL);
             let input = tokio::select! {
                 biased;
                 input = inputs.recv() => input,
@@ -119,7 +120,7 @@
                 return;
             }
             let actions = self.apply(input);
-            self.perform(actions, &client);
+            self.execute(actions, &client);
         }
     }
 
@@ -127,24 +128,24 @@
         let now = self.clock.now();
         match input {
             Input::Request { request, events } => {
-                self.holders.insert(request.attempt_id, events);
+                self.tasks.insert(request.attempt_id, events);
                 self.ledger.handle_request(request, now)
             }
             Input::Cancel { ticket } => {
-                self.holders.remove(&ticket);
+                self.tasks.remove(&ticket);
                 self.ledger.cancel(ticket, now)
             }
             Input::Finished { key, outcome } => self.ledger.handle_outcome(&key, outcome, now),
-            Input::Hear { from, message } => self.ledger.handle_message(from, message, now),
+            Input::Message { from, message } => self.ledger.handle_message(from, message, now),
             Input::Gone(incarnation) => self.ledger.peer_gone(incarnation, now),
             Input::HandOver { peers, time } => self.ledger.stop(&peers, now + time, now),
-            Input::Ask(reply) => {
+            Input::GetState(reply) => {
                 let report = LedgerReport {
                     counts: self.ledger.stats(),
                     epoch: self.ledger.epoch(now),
                     stopped: self.ledger.is_stopped(),
                 };
-                // Whoever asked may have given up waiting.
+                // The requester may have stopped waiting.
                 let _ = reply.send(report);
                 Vec::new()
             }
@@ -152,26 +153,27 @@
         }
     }
 
-    fn perform(&mut self, actions: Vec<Action>, client: &Client) {
+    fn execute(&mut self, actions: Vec<Action>, client: &Client) {
         for action in actions {
             match action {
                 Action::SendMessage { to, message } => self.post(to, &message, client),
                 Action::Dispatch { key, attempt_id } => {
-                    let told = self
-                        .holders
+                    let sent = self
+                        .tasks
                         .get(&attempt_id)
-                        .is_some_and(|h| h.tell(Event::Run));
-                    if !told {
-                        // The caller went between its request and the claim. Nothing was sent.
+                        .is_some_and(|task| task.send(Event::Run));
+                    if !sent {
+                        // The caller disconnected between its request and the claim. Nothing was
+                        // sent.
                         let outcome = Outcome::NotRun { retry_after: None };
                         let more = self.ledger.handle_outcome(&key, outcome, self.clock.now());
-                        self.perform(more, client);
+                        self.execute(more, client);
                     }
                 }
-                // The run goes on: a retry with the same key then finds its answer.
+                // The run continues: a retry with the same key then gets its response.
                 Action::Cancel { .. } => {}
                 Action::Answer { attempt_id, answer } => {
-                    self.end(attempt_id, Event::Answer(answer))
+                    self.end(attempt_id, Event::Answer(answer));
                 }
                 Action::Refuse {
                     attempt_id,
@@ -193,8 +195,8 @@
     }
 
     fn end(&mut self, ticket: u64, event: Event) {
-        if let Some(holder) = self.holders.remove(&ticket) {
-            holder.tell(event);
+        if let Some(task) = self.tasks.remove(&ticket) {
+            task.send(event);
         }
     }
 
--- a/crates/node/src/duties/peers/mod.rs
+++ b/crates/node/src/duties/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Serves other hosts: requests for pools owned here, ledger and control messages, dumps.
+//! Serves other hosts: requests for the pools of this host, ledger and control messages, dumps.
 
 mod handlers;
 
@@ -13,22 +13,23 @@
     spawn,
 };
 use crate::{
-    run::{CALL_PATH, Links, RUN_PATH},
+    run::{CALL_PATH, Clients, RUN_PATH},
     serve,
     shared::Shared,
 };
 
 /// Path of the dump.
 pub const DUMP_PATH: &str = "/peer/v1/dump";
-/// Connections of other hosts served at once: each of 2,400 hosts may keep several, but a host
-/// talks to its own domain and a few relays.
-const CONNECTIONS: usize = 4096;
-/// Largest head, in bytes: hosts send few fields.
-const HEADER_BYTES: usize = 16 << 10;
-/// Time a head may take.
-const HEADER_TIME: Duration = Duration::from_secs(30);
+/// Maximum number of concurrent connections of other hosts. Each of 2,400 hosts may keep several,
+/// but a host only talks to the hosts of its own domain and to a few relays.
+const MAX_CONNECTIONS: usize = 4096;
+/// Maximum size of a request head, in bytes; hosts send few fields.
+const MAX_HEADER_BYTES: usize = 16 << 10;
+/// Maximum time for a request head to arrive.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Spawns the duty on a bound listener; it ends when `stop` turns true and the last answer is out.
+/// Spawns the worker on a bound listener. It ends when `stop` is true and the last response has
+/// been sent.
 pub fn open(
     shared: Arc<Shared>,
     listener: std::net::TcpListener,
@@ -43,9 +44,9 @@
             }
         };
         let limits = serve::ConnectionLimits {
-            connections: CONNECTIONS,
-            header_bytes: HEADER_BYTES,
-            header_time: HEADER_TIME,
+            connections: MAX_CONNECTIONS,
+            header_bytes: MAX_HEADER_BYTES,
+            header_time: HEADER_TIMEOUT,
         };
         let tree = Arc::new(Tree::from(router(shared)));
         let Ok(()) = serve::serve(listener, tree, limits, stop).await;
@@ -53,19 +54,19 @@
 }
 
 fn router(shared: Arc<Shared>) -> Router {
-    let links = Links::open(&shared);
+    let clients = Clients::open(&shared);
     let (run, call) = (Arc::clone(&shared), Arc::clone(&shared));
     let (ledger, control) = (Arc::clone(&shared), Arc::clone(&shared));
     let steer = Arc::clone(&shared);
-    let relayed = links.clone();
+    let relayed = clients.clone();
     Router::new()
         .post(RUN_PATH, move |request: Request| {
-            let (shared, links) = (Arc::clone(&run), links.clone());
-            async move { Ok(handlers::run(&shared, &links, request).await) }
+            let (shared, clients) = (Arc::clone(&run), clients.clone());
+            async move { Ok(handlers::run(&shared, &clients, request).await) }
         })
         .post(CALL_PATH, move |request: Request| {
-            let (shared, links) = (Arc::clone(&call), relayed.clone());
-            async move { Ok(handlers::call(&shared, &links, request).await) }
+            let (shared, clients) = (Arc::clone(&call), relayed.clone());
+            async move { Ok(handlers::call(&shared, &clients, request).await) }
         })
         .post(LEDGER_PATH, move |request: Request| {
             let shared = Arc::clone(&ledger);
@@ -85,7 +86,7 @@
         })
 }
 
-/// Address of the host on this connection.
+/// Returns the address of the host on this connection.
 fn peer(request: &Request) -> Option<SocketAddr> {
     request
         .extensions()
--- a/crates/node/src/duties/pools/mod.rs
+++ b/crates/node/src/duties/pools/mod.rs
@@ -1,43 +1,44 @@
-//! The pools this host owns: who gets which slot of which target.
+//! The pools that this host owns, and the assignment of their targets' slots to requests.
 //!
-//! The duty drives the decisions of [`dunlinrock_decide::admit`] and nothing else. A holder, the
-//! task that carries one request, offers it and then gets events: where to send it, what to abort,
-//! or that it is turned away. The duty never waits for a holder: events go into a channel that the
-//! holder owns, and one that is gone is cancelled.
+//! The worker drives the decisions of [`dunlinrock_decide::admit`] and does nothing else. The task
+//! of a request offers it and then receives events: to which target to send it, what to abort, or
+//! that it is refused. The worker never waits for a task: events are sent into an unbounded
+//! channel, and a request whose task has ended is cancelled.
 //!
-//! It shares its thread with the callers' duty, whose requests need it most: a decision takes about
-//! a microsecond, and waking another thread and being woken by it took some tens, twice a request.
-//! The notes of the path (`docs/notes/threads.md`) have the figures. Other duties reach it through
-//! its ring all the same.
+//! The worker shares its thread with the callers worker, whose requests use it most: a decision
+//! takes about a microsecond, while waking another thread and being woken by it took some tens,
+//! twice per request. `docs/notes/threads.md` has the figures. Other workers reach it through its
+//! channel all the same.
 
 mod fence;
 mod input;
-mod owned;
-mod plan;
+mod pool;
+mod spec;
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use self::owned::Owned;
+use self::pool::OwnedPool;
 pub use self::{
     fence::Fence,
-    input::{Event, Events, Input, PoolReport},
-    plan::{PoolId, PoolPlan},
+    input::{Event, EventSender, Input, PoolReport},
+    spec::{PoolId, PoolSpec},
 };
 use crate::{clock::Clock, ring};
 
-/// Inputs that may wait for the duty. Each request makes two or three; at 20,000 requests a second
-/// this is a hundred milliseconds of work, beyond which an offer is better turned away at once.
-pub const RING: usize = 4096;
+/// Capacity of the worker's channel. Each request sends two or three inputs; at 20,000 requests a
+/// second the capacity is a hundred milliseconds of work, beyond which an offer is better refused
+/// at once.
+pub const QUEUE_CAPACITY: usize = 4096;
 
-/// Pause between two inputs while the fence is closed.
-const HOLD_PAUSE: Duration = Duration::from_millis(1);
+/// Interval between two inputs while the fence is closed.
+const DEFER_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Drives the pools until [`Input::Stop`] comes.
+/// Drives the pools until [`Input::Stop`] arrives.
 pub(super) async fn drive(clock: Clock, fence: Fence, mut inputs: ring::Receiver<Input>) {
-    let mut pools: BTreeMap<Arc<PoolId>, Owned> = BTreeMap::new();
-    let mut held = Vec::new();
+    let mut pools: BTreeMap<Arc<PoolId>, OwnedPool> = BTreeMap::new();
+    let mut deferred = Vec::new();
     loop {
-        let wake = pools.values().filter_map(Owned::next_wake).min();
+        let wake = pools.values().filter_map(OwnedPool::next_wake).min();
         let input = match wake {
             None => inputs.recv().await,
             Some(wake) => {
@@ -53,39 +54,39 @@
             return;
         }
         if fence.is_closed(clock.now()) {
-            hold(&mut held, input);
-            // The next input comes with the control duty's next tick.
-            tokio::time::sleep(HOLD_PAUSE).await;
+            defer(&mut deferred, input);
+            // The fence can only open with the control worker's next tick.
+            tokio::time::sleep(DEFER_INTERVAL).await;
             continue;
         }
-        for input in held.drain(..).chain([input]) {
+        for input in deferred.drain(..).chain([input]) {
             apply(&mut pools, input, clock);
         }
         pools.retain(|_, owned| !owned.is_done());
     }
 }
 
-/// Puts an input by while the fence is closed. An offer has not run here: its holder looks who owns
-/// the pool now.
-fn hold(held: &mut Vec<Input>, input: Input) {
+/// Defers an input while the fence is closed. An offer is rejected, since it has not run here: its
+/// task looks up the pool's current owner.
+fn defer(deferred: &mut Vec<Input>, input: Input) {
     match input {
-        Input::Offer { events, .. } => events.tell(Event::NotOwner),
+        Input::Offer { events, .. } => events.send(Event::NotOwner),
         Input::Tick => {}
-        other => held.push(other),
+        other => deferred.push(other),
     }
 }
 
-fn apply(pools: &mut BTreeMap<Arc<PoolId>, Owned>, input: Input, clock: Clock) {
+fn apply(pools: &mut BTreeMap<Arc<PoolId>, OwnedPool>, input: Input, clock: Clock) {
     let now = clock.now();
     match input {
-        Input::Own(plans) => own(pools, plans, clock),
+        Input::SetPools(specs) => set_pools(pools, specs, clock),
         Input::Offer {
             pool,
             offer,
             events,
         } => match pools.get_mut(&pool) {
             Some(owned) => owned.offer(offer, events, now),
-            None => events.tell(Event::NotOwner),
+            None => events.send(Event::NotOwner),
         },
         Input::Finish {
             pool,
@@ -103,14 +104,14 @@
                 owned.cancel(ticket, now);
             }
         }
-        Input::Hear(words) => {
+        Input::Quarantines(updates) => {
             for owned in pools.values_mut() {
-                owned.hear(&words, now);
+                owned.apply_quarantines(&updates, now);
             }
         }
-        Input::Ask(reply) => {
-            let reports = pools.iter_mut().map(|(id, owned)| owned.tell(id, now));
-            // Whoever asked may have given up waiting.
+        Input::GetState(reply) => {
+            let reports = pools.iter_mut().map(|(id, owned)| owned.report(id, now));
+            // The requester may have stopped waiting.
             let _ = reply.send(reports.collect());
         }
         Input::Tick | Input::Stop => {
@@ -121,21 +122,21 @@
     }
 }
 
-/// Takes over what this host owns now. A pool that went to another host gives its waiting requests
-/// back to their holders, which hand them to the new owner, and is kept until its last run ends.
-fn own(pools: &mut BTreeMap<Arc<PoolId>, Owned>, plans: Vec<PoolPlan>, clock: Clock) {
+/// Updates the set of owned pools. A pool that another host owns now returns its queued requests to
+/// their tasks, which forward them to the new owner, and is kept until its last run ends.
+fn set_pools(pools: &mut BTreeMap<Arc<PoolId>, OwnedPool>, specs: Vec<PoolSpec>, clock: Clock) {
     let now = clock.now();
-    let mut lost: Vec<Arc<PoolId>> = pools.keys().cloned().collect();
-    for plan in plans {
-        lost.retain(|id| *id != plan.id);
-        match pools.get_mut(&plan.id) {
-            Some(owned) => owned.reconfigure(&plan, now),
+    let mut released: Vec<Arc<PoolId>> = pools.keys().cloned().collect();
+    for spec in specs {
+        released.retain(|id| *id != spec.id);
+        match pools.get_mut(&spec.id) {
+            Some(owned) => owned.reconfigure(&spec, now),
             None => {
-                pools.insert(Arc::clone(&plan.id), Owned::open(&plan, now));
+                pools.insert(Arc::clone(&spec.id), OwnedPool::open(&spec, now));
             }
         }
     }
-    for id in lost {
+    for id in released {
         if let Some(owned) = pools.get_mut(&id) {
             owned.release(now);
         }
--- a/crates/node/src/metrics/mod.rs
+++ b/crates/node/src/metrics/mod.rs
@@ -1,9 +1,9 @@
 //! Counters and timers of a host, sent as StatsD over UDP.
 //!
-//! A count is an atomic that the control duty sends at each heartbeat: look-ups come by the ten
-//! thousand, and a datagram for each would cost more than the look-up.
+//! A counter is an atomic that the control worker sends at each heartbeat: tens of thousands of
+//! look-ups arrive per second, and a datagram for each would cost more than the look-up.
 
-mod count;
+mod counter;
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -16,12 +16,12 @@
 
 use cadence::{Counted, Gauged, QueuingMetricSink, StatsdClient, Timed, UdpMetricSink};
 
-pub use count::{COUNTERS, Counter};
+pub use counter::{COUNTERS, Counter};
 
-/// Datagrams that may wait to be sent; more are dropped.
-const QUEUE: usize = 8192;
+/// Maximum number of queued datagrams; further ones are dropped.
+const MAX_QUEUED_DATAGRAMS: usize = 8192;
 
-/// Counters and timers; shared by the duties.
+/// Counters and timers, shared by the workers.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     inner: Arc<Inner>,
@@ -35,7 +35,7 @@
 }
 
 impl Metrics {
-    /// Opens metrics that are sent to `receiver`; without one they are only counted.
+    /// Creates metrics that are sent to `receiver`; without a receiver they are only counted.
     pub fn open(prefix: &str, receiver: Option<SocketAddr>) -> anyhow::Result<Metrics> {
         let client = receiver.map(|to| client(prefix, to)).transpose()?;
         let zeros = || COUNTERS.iter().map(|_| AtomicU64::new(0)).collect();
@@ -48,30 +48,30 @@
         })
     }
 
-    /// Counts one.
-    pub fn count(&self, count: Counter) {
-        self.add(count, 1);
+    /// Increments a counter by one.
+    pub fn increment(&self, counter: Counter) {
+        self.add(counter, 1);
     }
 
-    /// Counts several.
-    pub fn add(&self, count: Counter, n: u64) {
-        if let Some(total) = self.inner.totals.get(count as usize) {
+    /// Increments a counter by `n`.
+    pub fn add(&self, counter: Counter, n: u64) {
+        if let Some(total) = self.inner.totals.get(counter as usize) {
             total.fetch_add(n, Ordering::Relaxed);
         }
     }
 
-    /// Total of a counter since the start.
-    pub fn total(&self, count: Counter) -> u64 {
+    /// Returns the total of a counter since the start.
+    pub fn total(&self, counter: Counter) -> u64 {
         self.inner
             .totals
-            .get(count as usize)
+            .get(counter as usize)
             .map_or(0, |total| total.load(Ordering::Relaxed))
     }
 
-    /// Sends a time.
+    /// Sends a duration.
     pub fn time(&self, name: &str, time: Duration) {
         if let Some(client) = &self.inner.client {
-            // A metric that is lost is missed by nobody but a graph.
+            // A lost datagram only affects graphs.
             let _ = client.time(name, time);
         }
     }
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Sends what was counted since the last flush.
+    /// Sends the increments since the last flush.
     pub fn flush(&self) {
         let Some(client) = &self.inner.client else {
             return;
         };
-        for ((count, total), sent) in COUNTERS
+        for ((counter, total), sent) in COUNTERS
             .iter()
             .zip(&self.inner.totals)
             .zip(&self.inner.sent)
@@ -96,7 +96,7 @@
             let total = total.load(Ordering::Relaxed);
             let before = sent.swap(total, Ordering::Relaxed);
             if let Ok(n @ 1..) = i64::try_from(total.saturating_sub(before)) {
-                let _ = client.count(count.name(), n);
+                let _ = client.count(counter.name(), n);
             }
         }
     }
@@ -105,6 +105,7 @@
 fn client(prefix: &str, to: SocketAddr) -> anyhow::Result<StatsdClient> {
     let socket = UdpSocket::bind(if to.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" })?;
     socket.set_nonblocking(true)?;
-    let sink = QueuingMetricSink::with_capacity(UdpMetricSink::from(to, socket)?, QUEUE);
+    let sink =
+        QueuingMetricSink::with_capacity(UdpMetricSink::from(to, socket)?, MAX_QUEUED_DATAGRAMS);
     Ok(StatsdClient::from_sink(prefix, sink))
 }
--- a/crates/node/src/run/mod.rs
+++ b/crates/node/src/run/mod.rs
@@ -1,21 +1,22 @@
-//! Runs a request: chooses its pool, waits for a slot, sends it, hands it to the pool's owner.
+//! Runs a request: chooses its pool, waits for a slot and sends it to a target, or forwards it to
+//! the pool's owner.
 
+mod clients;
 mod dispatch;
 mod forward;
-mod holder;
+mod in_pool;
 mod keyed;
-mod links;
 mod relay;
 mod target;
-mod trickle;
+mod ungranted;
 
-pub(crate) use self::dispatch::run;
+pub(crate) use self::dispatch::run_at_pool;
 pub use self::{
+    clients::Clients,
     dispatch::{MAX_HOPS, dispatch},
     forward::{RUN_PATH, read_answer, read_call, write_answer},
-    holder::{Held, hold},
+    in_pool::{PoolOutcome, run_in_pool},
     keyed::run_keyed,
-    links::Links,
     relay::{CALL_PATH, relay},
-    trickle::Trickle,
+    ungranted::UngrantedLimiter,
 };
--- a/crates/node/src/view/answers.rs
+++ b/crates/node/src/view/lookup.rs
@@ -1,9 +1,9 @@
-//! Answers to look-ups, made beforehand.
+//! Answers to look-ups, composed in advance.
 //!
-//! Load: callers look up again each time an answer expires, all of them, also while everything else
-//! is overloaded; at the size aimed for that is 880,000 a second over the fleet. Composing an answer
-//! takes longer than sending it, and hosts and weights change far less often than callers ask, so
-//! every answer is composed once and only sent after that.
+//! Callers repeat their look-up each time an answer expires, all of them, also while everything
+//! else is overloaded; at the intended size that is 880,000 look-ups a second over all hosts.
+//! Composing an answer takes longer than sending it, and hosts and weights change far less often
+//! than callers ask. Every answer is therefore composed once and then only sent.
 
 use std::{collections::BTreeMap, net::IpAddr, sync::Arc};
 
@@ -17,40 +17,41 @@
 
 use super::Member;
 
-/// Different answers made for the callers of one region. Each block of callers always gets the same
-/// one, so its connections stay warm; with 16, a region of five hosts spreads its callers over
-/// sixty possible orders well enough, and 16 answers of about 700 bytes for each of 15 services and
-/// 22 regions come to 4 MB.
-pub const VARIANTS: u64 = 16;
+/// Number of different answers for the callers of one region. Each block of callers always gets the
+/// same answer, so its connections stay open. With 16, a region of five hosts spreads its callers
+/// well enough over sixty possible orders, and 16 answers of about 700 bytes for each of 15
+/// services and 22 regions take 4 MB.
+pub const VARIANTS_PER_REGION: u64 = 16;
 
-/// Bits of an IPv4 address that stand for its block: its neighbours share a way to the host.
-const BLOCK_V4: u32 = 24;
-/// Bits of an IPv6 address that stand for its block.
-const BLOCK_V6: u32 = 48;
+/// Number of leading bits of an IPv4 address that identify its block: addresses within a block
+/// share a network path to the host.
+const BLOCK_BITS_V4: u32 = 24;
+/// Number of leading bits of an IPv6 address that identify its block.
+const BLOCK_BITS_V6: u32 = 48;
 
-/// Answers to look-ups by service and region of callers.
+/// Prepared answers to look-ups, by service and region of callers.
 #[derive(Debug, Default)]
-pub struct Answers {
-    ready: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Vec<Bytes>>>,
+pub struct LookupAnswers {
+    bodies: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Vec<Bytes>>>,
 }
 
-impl Answers {
+impl LookupAnswers {
     /// Composes all answers.
     pub fn open(
         config: &Config,
         revision: u64,
         ttl_ms: u64,
         members: &BTreeMap<Arc<str>, Arc<Member>>,
-    ) -> Answers {
+    ) -> LookupAnswers {
         let table = HostTable::open(
             config,
-            members.values().map(|member| seen(member)).collect(),
+            members.values().map(|member| candidate(member)).collect(),
         );
-        let mut ready: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Vec<Bytes>>> = BTreeMap::new();
+        let mut bodies: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Vec<Bytes>>> = BTreeMap::new();
         for region in config.regions.keys() {
-            for variant in 0..VARIANTS {
-                let choices = table.lookup(region, variant);
-                let Some(mut answer) = compose(&table, &choices, members) else {
+            for variant in 0..VARIANTS_PER_REGION {
+                let chosen_hosts = table.lookup(region, variant);
+                let Some(mut answer) = compose(&table, &chosen_hosts, members) else {
                     continue;
                 };
                 answer.revision = revision;
@@ -59,7 +60,7 @@
                 for service in config.services.keys() {
                     answer.service = Arc::clone(service);
                     let body = serde_json::to_vec(&answer).unwrap_or_default();
-                    let regions = ready.entry(Arc::clone(service)).or_default();
+                    let regions = bodies.entry(Arc::clone(service)).or_default();
                     regions
                         .entry(Arc::clone(region))
                         .or_default()
@@ -67,26 +68,26 @@
                 }
             }
         }
-        Answers { ready }
+        LookupAnswers { bodies }
     }
 
-    /// The answer for a caller, ready to send.
+    /// Returns the encoded answer for a caller.
     pub fn find(&self, service: &str, region: &str, client: IpAddr) -> Option<Bytes> {
-        let answers = self.ready.get(service)?.get(region)?;
-        let at = block(client) % answers.len().max(1) as u64;
+        let answers = self.bodies.get(service)?.get(region)?;
+        let at = block_hash(client) % answers.len().max(1) as u64;
         answers.get(usize::try_from(at).ok()?).cloned()
     }
 }
 
-/// Hash of the block that an address belongs to.
-fn block(client: IpAddr) -> u64 {
+/// Returns the hash of the block that an address belongs to.
+fn block_hash(client: IpAddr) -> u64 {
     match client.to_canonical() {
-        IpAddr::V4(v4) => rapidhash_v3(&(v4.to_bits() >> (32 - BLOCK_V4)).to_be_bytes()),
-        IpAddr::V6(v6) => rapidhash_v3(&(v6.to_bits() >> (128 - BLOCK_V6)).to_be_bytes()),
+        IpAddr::V4(v4) => rapidhash_v3(&(v4.to_bits() >> (32 - BLOCK_BITS_V4)).to_be_bytes()),
+        IpAddr::V6(v6) => rapidhash_v3(&(v6.to_bits() >> (128 - BLOCK_BITS_V6)).to_be_bytes()),
     }
 }
 
-fn seen(member: &Member) -> Host {
+fn candidate(member: &Member) -> Host {
     let state = match (member.leaving, member.suspect) {
         (true, _) => Liveness::Leaving,
         (false, true) => Liveness::Suspect,
@@ -100,23 +101,26 @@
     }
 }
 
-/// An answer without service and region; none where no host may be used.
+/// Composes an answer without service and region; returns `None` if no host is usable.
 fn compose(
     table: &HostTable,
-    choices: &ChosenHosts,
+    chosen_hosts: &ChosenHosts,
     members: &BTreeMap<Arc<str>, Arc<Member>>,
 ) -> Option<Hosts> {
     let mut hosts = Vec::new();
     let mut chosen = Vec::new();
-    for choice in choices.iter() {
-        let Some(member) = table.host(choice).and_then(|host| members.get(&host.name)) else {
+    for weighted in chosen_hosts.iter() {
+        let Some(member) = table
+            .host(weighted)
+            .and_then(|host| members.get(&host.name))
+        else {
             continue;
         };
         hosts.push(HostWeight {
             name: Arc::clone(&member.name),
             address: member.callers.to_string().into(),
             domain: Arc::clone(&member.domain),
-            weight: u64::from(choice.weight),
+            weight: u64::from(weighted.weight),
         });
         chosen.push(member);
     }
@@ -127,12 +131,12 @@
         ttl_ms: 0,
         region: Arc::default(),
         hosts,
-        binding: Some(bind(owner, witness(owner, &chosen))),
+        binding: Some(binding(owner, witness(owner, &chosen))),
     })
 }
 
-/// The witness for an owner: a host of another failure domain, so that one loss does not take both;
-/// else any other; else the owner itself, where it is the only host.
+/// Returns the witness for an owner: a host of another failure domain, so that the loss of one
+/// domain does not affect both; else any other host; else the owner itself, if it is the only host.
 fn witness<'a>(owner: &'a Arc<Member>, chosen: &[&'a Arc<Member>]) -> &'a Arc<Member> {
     let others = || {
         chosen
@@ -145,15 +149,15 @@
     apart.or_else(|| others().next()).unwrap_or(owner)
 }
 
-fn bind(owner: &Member, witness: &Member) -> Binding {
-    let seats = (
+fn binding(owner: &Member, witness: &Member) -> Binding {
+    let ids = (
         owner.incarnation,
         owner.epoch,
         witness.incarnation,
         witness.epoch,
     );
     Binding {
-        prefix: format!("{}.{}.{}.{}", seats.0, seats.1, seats.2, seats.3).into(),
+        prefix: format!("{}.{}.{}.{}", ids.0, ids.1, ids.2, ids.3).into(),
         owner: owner.callers.to_string().into(),
         witness: witness.callers.to_string().into(),
     }
--- a/crates/node/src/wire/problem.rs
+++ b/crates/node/src/wire/problem.rs
@@ -1,4 +1,4 @@
-//! Error answers to callers: RFC 9457 with the field `run`.
+//! Error responses to callers: problem details (RFC 9457) with the additional field `run`.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,9 +8,9 @@
 
 use crate::clock::millis;
 
-/// Kinds of error answers. Each has one status and one title.
+/// Kinds of error responses. Each has one status and one title.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ProblemKind {
     /// The request is malformed.
     Malformed,
     /// The service is not in the configuration.
@@ -19,101 +19,112 @@
     TooLarge,
     /// The body took too long to arrive.
     TooSlow,
-    /// The request could not be answered within its deadline, and was turned away.
+    /// The request could not be answered within its deadline and was refused.
     Overloaded,
-    /// This host is not ready: it holds no configuration yet, or has not caught up after a pause.
+    /// This host is not ready: it has no configuration yet, or has not caught up after a pause of
+    /// its process.
     NotReady,
-    /// No target may take the request now.
+    /// No target accepts the request now.
     Unavailable,
-    /// The request has made targets crash and is refused.
+    /// The request has crashed targets and is refused.
     Quarantined,
     /// The deadline passed after the request may have been sent.
     DeadlinePassed,
-    /// A target broke off.
+    /// A target closed the connection early.
     TargetFailed,
-    /// The key is not one that may run.
+    /// The key may not run.
     KeyRefused,
-    /// The key is another caller's, or another request's.
+    /// The key belongs to another caller or to another request.
     KeyMismatch,
-    /// The key has run and its answer is no longer held.
+    /// The request of the key ran, and its response is no longer stored.
     AnswerGone,
     /// The request needs a key.
     KeyMissing,
-    /// A target's answer was over the limit.
+    /// A target's response exceeded the limit.
     AnswerTooLarge,
 }
 
-/// All kinds, to find one by its name.
-const KINDS: [Kind; 15] = [
-    Kind::Malformed,
-    Kind::UnknownService,
-    Kind::TooLarge,
-    Kind::TooSlow,
-    Kind::Overloaded,
-    Kind::NotReady,
-    Kind::Unavailable,
-    Kind::Quarantined,
-    Kind::DeadlinePassed,
-    Kind::TargetFailed,
-    Kind::KeyRefused,
-    Kind::KeyMismatch,
-    Kind::AnswerGone,
-    Kind::KeyMissing,
-    Kind::AnswerTooLarge,
+/// All kinds, for the look-up by name.
+const ALL_KINDS: [ProblemKind; 15] = [
+    ProblemKind::Malformed,
+    ProblemKind::UnknownService,
+    ProblemKind::TooLarge,
+    ProblemKind::TooSlow,
+    ProblemKind::Overloaded,
+    ProblemKind::NotReady,
+    ProblemKind::Unavailable,
+    ProblemKind::Quarantined,
+    ProblemKind::DeadlinePassed,
+    ProblemKind::TargetFailed,
+    ProblemKind::KeyRefused,
+    ProblemKind::KeyMismatch,
+    ProblemKind::AnswerGone,
+    ProblemKind::KeyMissing,
+    ProblemKind::AnswerTooLarge,
 ];
 
-impl Kind {
-    /// Name of the kind, the last part of its URI.
+impl ProblemKind {
+    /// Returns the name of the kind, which is the last segment of its URI.
     pub fn name(self) -> &'static str {
         self.parts().1
     }
 
-    /// The kind of this name.
-    pub fn find(name: &str) -> Option<Kind> {
-        KINDS.into_iter().find(|kind| kind.name() == name)
+    /// Returns the kind with this name.
+    pub fn from_name(name: &str) -> Option<ProblemKind> {
+        ALL_KINDS.into_iter().find(|kind| kind.name() == name)
     }
 
     fn parts(self) -> (StatusCode, &'static str, &'static str) {
         match self {
-            Kind::Malformed => (StatusCode::BAD_REQUEST, "malformed", "malformed request"),
-            Kind::UnknownService => (StatusCode::NOT_FOUND, "unknown-service", "unknown service"),
-            Kind::TooLarge => (
+            ProblemKind::Malformed => (StatusCode::BAD_REQUEST, "malformed", "malformed request"),
+            ProblemKind::UnknownService => {
+                (StatusCode::NOT_FOUND, "unknown-service", "unknown service")
+            }
+            ProblemKind::TooLarge => (
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "too-large",
                 "request too large",
             ),
-            Kind::TooSlow => (
+            ProblemKind::TooSlow => (
                 StatusCode::REQUEST_TIMEOUT,
                 "too-slow",
                 "request took too long to arrive",
             ),
-            Kind::Overloaded => (StatusCode::SERVICE_UNAVAILABLE, "overloaded", "turned away"),
-            Kind::NotReady => (
+            ProblemKind::Overloaded => {
+                (StatusCode::SERVICE_UNAVAILABLE, "overloaded", "turned away")
+            }
+            ProblemKind::NotReady => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "not-ready",
                 "host not ready",
             ),
-            Kind::Unavailable => (
+            ProblemKind::Unavailable => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "unavailable",
                 "no target available",
             ),
-            Kind::Quarantined => (
+            ProblemKind::Quarantined => (
                 StatusCode::FORBIDDEN,
                 "quarantined",
                 "request crashes targets",
             ),
-            Kind::DeadlinePassed => (StatusCode::GATEWAY_TIMEOUT, "deadline", "deadline passed"),
-            Kind::TargetFailed => (StatusCode::BAD_GATEWAY, "target-failed", "target failed"),
-            Kind::KeyRefused => (StatusCode::CONFLICT, "key-refused", "key can no longer run"),
-            Kind::KeyMismatch => (
+            ProblemKind::DeadlinePassed => {
+                (StatusCode::GATEWAY_TIMEOUT, "deadline", "deadline passed")
+            }
+            ProblemKind::TargetFailed => {
+                (StatusCode::BAD_GATEWAY, "target-failed", "target failed")
+            }
+            ProblemKind::KeyRefused => {
+                (StatusCode::CONFLICT, "key-refused", "key can no longer run")
+            }
+            ProblemKind::KeyMismatch => (
                 StatusCode::UNPROCESSABLE_ENTITY,
                 "key-mismatch",
                 "key belongs to another request",
             ),
-            Kind::AnswerGone => (StatusCode::GONE, "answer-gone", "answer no longer held"),
-            Kind::KeyMissing => (StatusCode::BAD_REQUEST, "key-missing", "key required"),
-            Kind::AnswerTooLarge => (
+            ProblemKind::AnswerGone => (StatusCode::GONE, "answer-gone", "answer no longer held"),
+            ProblemKind::KeyMissing => (StatusCode::BAD_REQUEST, "key-missing", "key required"),
+            ProblemKind::AnswerTooLarge => (
                 StatusCode::BAD_GATEWAY,
                 "answer-too-large",
                 "answer too large",
@@ -122,23 +133,23 @@
     }
 }
 
-/// Why a call has no answer, and whether it ran.
+/// Error of a call without a response, which also tells whether the request ran.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trouble {
-    /// What kind of error it is.
-    pub kind: Kind,
+pub struct CallError {
+    /// Kind of the error.
+    pub kind: ProblemKind,
     /// Whether the request ran.
     pub run: Run,
-    /// What happened, in words for the caller.
+    /// Explanation for the caller.
     pub detail: Arc<str>,
-    /// When a new try may help.
+    /// Time after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
-impl Trouble {
-    /// A request that did not run and will not.
-    pub fn not_run(kind: Kind, detail: impl Into<Arc<str>>) -> Trouble {
-        Trouble {
+impl CallError {
+    /// Creates the error of a request that did not run and will not run.
+    pub fn not_run(kind: ProblemKind, detail: impl Into<Arc<str>>) -> CallError {
+        CallError {
             kind,
             run: Run::No,
             detail: detail.into(),
@@ -146,9 +157,9 @@
         }
     }
 
-    /// A request of which nobody knows whether it ran.
-    pub fn unknown(kind: Kind, detail: impl Into<Arc<str>>) -> Trouble {
-        Trouble {
+    /// Creates the error of a request for which it is unknown whether it ran.
+    pub fn unknown(kind: ProblemKind, detail: impl Into<Arc<str>>) -> CallError {
+        CallError {
             kind,
             run: Run::Unknown,
             detail: detail.into(),
@@ -156,14 +167,14 @@
         }
     }
 
-    /// The same, with a time after which a new try may help.
+    /// Sets the time after which a retry may succeed.
     #[must_use]
-    pub fn retry_after(mut self, time: Duration) -> Trouble {
+    pub fn retry_after(mut self, time: Duration) -> CallError {
         self.retry_after = Some(time);
         self
     }
 
-    /// The problem as it is sent to the caller.
+    /// Returns the problem details that are sent to the caller.
     pub fn problem(&self, request: &str) -> Problem {
         let (status, name, title) = self.kind.parts();
         Problem {
@@ -177,7 +188,7 @@
         }
     }
 
-    /// The answer to the caller.
+    /// Returns the response to the caller.
     pub fn response(&self, request: &str) -> Response {
         let problem = self.problem(request);
         let body = serde_json::to_vec(&problem).unwrap_or_default();
@@ -189,7 +200,7 @@
             header::HeaderValue::from_static("application/problem+json"),
         );
         if let Some(time) = self.retry_after {
-            // The field counts whole seconds; rounding down would call the caller back too early.
+            // The field counts whole seconds; rounding down would make the caller retry too early.
             headers.insert(
                 header::RETRY_AFTER,
                 header::HeaderValue::from(millis(time).div_ceil(1000)),
