--- a/crates/edge/src/control/follow.rs
+++ b/crates/edge/src/control/follow.rs
@@ -9,7 +9,7 @@
 
 use super::{
     changes::{ANSWER_BYTES, Asked, Heard, STALE_AGE, Told, ask},
-    spread::tree_position,
+    tree::tree_position,
 };
 use crate::{
     host::{Shared, confirmed_at},
--- a/crates/edge/src/control/mod.rs
+++ b/crates/edge/src/control/mod.rs
@@ -2,10 +2,10 @@
 
 mod announce;
 mod changes;
+mod deferred;
 mod follow;
-mod settle;
-mod spread;
 mod tokens;
+mod tree;
 
 use std::{net::TcpListener, sync::Arc, thread::JoinHandle, time::Duration};
 
@@ -17,7 +17,7 @@
 pub use self::{
     changes::{LONG_POLL_TIME, STALE_AGE, long_poll_time},
     follow::{READER_POLL_INTERVAL, may_have_expired},
-    spread::{FAN_OUT, STORE_READERS, TreePosition, tree_position},
+    tree::{FAN_OUT, STORE_READERS, TreePosition, tree_position},
 };
 use crate::{
     host::{Phase, Shared},
@@ -74,7 +74,7 @@
         open(listener, meters::router(&shared), METRICS_PART);
     }
     tokio::spawn(follow::follow(Arc::clone(&shared)));
-    tokio::spawn(settle::settle(Arc::clone(&shared)));
+    tokio::spawn(deferred::settle(Arc::clone(&shared)));
     let announcer = tokio::spawn(announce::announce(Arc::clone(&shared)));
     let mut phase = shared.phase.subscribe();
     // The sender is in `shared`, which this duty holds.
--- a/crates/edge/src/front/rights.rs
+++ b/crates/edge/src/front/access.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderMap, Uri};
 
-use super::{Front, place};
+use super::{Front, select};
 use crate::{
     model::{Credentials, Route, Workspace},
     replica::View,
@@ -104,7 +104,7 @@
         presented: Credentials,
     ) -> Result<Rights, NoRights> {
         let config = view.config.as_ref().ok_or(NoRights::Unconfigured)?;
-        let route = place::route(view, headers, uri).ok_or(NoRights::Routeless)?;
+        let route = select::route(view, headers, uri).ok_or(NoRights::Routeless)?;
         let guarded = !config.workspaces.is_empty();
         let workspace = match presented {
             _ if !guarded => None,
--- a/crates/edge/src/front/admit.rs
+++ b/crates/edge/src/front/admit.rs
@@ -6,9 +6,9 @@
 
 use super::{
     Front,
-    end::{End, limited, no_route, refuse, unauthorized},
+    access::NoRights,
     request::{LEAST_RETRY, MOST_RETRY, OTHER_HOST},
-    rights::NoRights,
+    response::{End, limited, no_route, refuse, unauthorized},
     tokens::{NoToken, Token},
 };
 use crate::{model::Workspace, replica::View};
--- a/crates/edge/src/front/attempt.rs
+++ b/crates/edge/src/front/attempt.rs
@@ -14,11 +14,11 @@
 
 use super::{
     Front,
-    lanes::Lane,
-    link::{Broken, Link, Whole},
-    place::Place,
-    rights::Rights,
-    say::Sent,
+    access::Rights,
+    connection::{Broken, Link, Whole},
+    request_log::Sent,
+    select::Place,
+    targets::Lane,
 };
 use crate::model::{Credentials, Route};
 
--- a/crates/edge/src/front/link.rs
+++ b/crates/edge/src/front/connection.rs
@@ -10,7 +10,7 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::{net::TcpStream, task::JoinHandle, time::Instant};
 
-use super::links::{Links, Open};
+use super::idle::{Links, Open};
 
 /// Time in which a connection must open. Between regions a round trip takes some tens of
 /// milliseconds; a lost packet is sent again only after a second, and another target is tried
--- a/crates/edge/src/front/links.rs
+++ b/crates/edge/src/front/idle.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::Cell, rc::Rc};
 
-use super::link::Link;
+use super::connection::Link;
 
 /// Connections to targets that a host holds.
 #[derive(Debug)]
--- a/crates/edge/src/front/mod.rs
+++ b/crates/edge/src/front/mod.rs
@@ -1,20 +1,20 @@
 //! The callers' duty: accepts connections and runs requests at targets.
 
 mod accept;
+mod access;
 mod admit;
-mod ahead;
 mod attempt;
-mod end;
-mod lanes;
-mod link;
-mod links;
-mod place;
+mod caller_stream;
+mod connection;
+mod idle;
+mod idle_callers;
+mod pipeline;
 mod request;
-mod rights;
-mod say;
+mod request_log;
+mod response;
+mod select;
+mod targets;
 mod tokens;
-mod usage;
-mod wire;
 
 use std::{
     cell::{Cell, RefCell},
@@ -40,15 +40,15 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, runtime::Builder, task::LocalSet, time::Instant};
 
-pub use self::wire::CallerStream;
+pub use self::caller_stream::CallerStream;
 use self::{
-    ahead::Ahead,
-    lanes::Lanes,
-    links::Links,
+    idle::Links,
+    idle_callers::{Idle, Usage},
+    pipeline::Ahead,
     request::Conn,
-    say::Say,
+    request_log::Say,
+    targets::Lanes,
     tokens::Tokens,
-    usage::{Idle, Usage},
 };
 use crate::{
     control::TOKEN_BYTES,
--- a/crates/edge/src/front/ahead.rs
+++ b/crates/edge/src/front/pipeline.rs
@@ -11,7 +11,7 @@
 use http::{HeaderName, HeaderValue, Method, Request, header, request::Parts};
 use tokio::task::JoinHandle;
 
-use super::{Front, end::End, place, request::Gone, wire::CallerStream};
+use super::{Front, caller_stream::CallerStream, request::Gone, response::End, select};
 
 /// Requests of one connection that are begun ahead: callers send a few at once, and one that sends
 /// more must not take all slots.
@@ -132,7 +132,7 @@
     /// sends it anew if the connection ends before it is answered.
     fn may_begin(&self, head: &Parts) -> bool {
         let view = self.shared.view.load();
-        let route = place::route(&view, &head.headers, &head.uri);
+        let route = select::route(&view, &head.headers, &head.uri);
         route.is_some_and(|route| route.repeatable)
     }
 }
--- a/crates/edge/src/front/request.rs
+++ b/crates/edge/src/front/request.rs
@@ -16,14 +16,14 @@
 
 use super::{
     Front,
-    ahead::Ahead,
+    access::Rights,
     attempt::{Tried, Work},
-    end::{End, answered, late, lost, refuse, whole_body},
-    link::strip,
-    place::{self, NoPlace, Place},
-    rights::Rights,
+    caller_stream::CallerStream,
+    connection::strip,
+    pipeline::Ahead,
+    response::{End, answered, late, lost, refuse, whole_body},
+    select::{self, NoPlace, Place},
     tokens::Token,
-    wire::CallerStream,
 };
 use crate::{
     model::{Credentials, Route},
@@ -316,8 +316,8 @@
                 course.give_up("no region is a home of its route and workspace", MOST_RETRY),
             );
         }
-        let object = place::object(route, (self.shared.dialect.affinity_key)(&work.headers));
-        let Some(service) = place::part(route, object) else {
+        let object = select::object(route, (self.shared.dialect.affinity_key)(&work.headers));
+        let Some(service) = select::part(route, object) else {
             return Some(course.give_up("the route has no service", MOST_RETRY));
         };
         if !std::mem::replace(&mut course.counted, true) {
--- a/crates/edge/src/front/say.rs
+++ b/crates/edge/src/front/request_log.rs
@@ -6,7 +6,7 @@
 use dunlinrock_node::clock::millis;
 use tokio::time::Instant;
 
-use super::{Front, attempt::Work, end::End, lanes::Lane, place::Place, rights::Rights};
+use super::{Front, access::Rights, attempt::Work, response::End, select::Place, targets::Lane};
 use crate::{
     model::Workspace,
     trace::{Lines, Outcome, Told},
--- a/crates/edge/src/front/end.rs
+++ b/crates/edge/src/front/response.rs
@@ -8,9 +8,9 @@
 use hyper::body::Incoming;
 
 use super::{
-    link::{Whole, pass_on},
-    rights::NoRights,
-    say::Sent,
+    access::NoRights,
+    connection::{Whole, pass_on},
+    request_log::Sent,
 };
 use crate::trace::Outcome;
 
--- a/crates/edge/src/front/place.rs
+++ b/crates/edge/src/front/select.rs
@@ -12,7 +12,7 @@
 
 use http::{HeaderMap, Uri, header};
 
-use super::{Front, lanes::Lane, rights::Rights};
+use super::{Front, access::Rights, targets::Lane};
 use crate::{
     model::Route,
     replica::{KnownTarget, View},
--- a/crates/edge/src/front/lanes.rs
+++ b/crates/edge/src/front/targets.rs
@@ -15,7 +15,7 @@
 
 use tokio::sync::Notify;
 
-use super::{link::Link, links::Kept};
+use super::{connection::Link, idle::Kept};
 use crate::{
     model::{ReportedLoad, Target},
     replica::View,
--- a/crates/edge/src/front/tokens.rs
+++ b/crates/edge/src/front/tokens.rs
@@ -13,7 +13,7 @@
 use dunlinrock_node::clock::{millis, since_boot};
 use tokio::sync::oneshot;
 
-use super::{Front, say::Kind};
+use super::{Front, request_log::Kind};
 use crate::{
     control::ask_tokens,
     limits::Asked,
--- a/crates/edge/src/host/mod.rs
+++ b/crates/edge/src/host/mod.rs
@@ -1,7 +1,7 @@
 //! One edge host, running.
 
+mod freshness;
 mod shared;
-mod word;
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -13,8 +13,8 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 pub use self::{
+    freshness::{Freshness, confirmed_at, max_key_age},
     shared::{Phase, Shared, Watermark},
-    word::{Freshness, confirmed_at, max_key_age},
 };
 use crate::{
     control, front,
--- a/crates/edge/src/host/shared.rs
+++ b/crates/edge/src/host/shared.rs
@@ -11,7 +11,7 @@
 use dunlinrock_node::clock::Clock;
 use tokio::sync::watch;
 
-use super::word::{Freshness, max_key_age};
+use super::freshness::{Freshness, max_key_age};
 use crate::{
     limits::{Asked, Counter, NotCounting},
     meters::Meters,
--- a/crates/edge/src/limits/mod.rs
+++ b/crates/edge/src/limits/mod.rs
@@ -10,8 +10,8 @@
 //!   word from after that, and then takes itself for one that joined.
 //! * Who takes a slice over starts a burst behind: see `dunlinrock_decide::admit::direct::TokenBucket`.
 
-mod counter;
-mod roster;
+mod issuer;
+mod owners;
 
-pub(crate) use self::counter::{Asked, Counter, NotCounting};
-pub use self::roster::{JOIN_DELAY, LimitOwners, ListedHost, MAX_GRANT_AGE, SETTLE_DELAY};
+pub(crate) use self::issuer::{Asked, Counter, NotCounting};
+pub use self::owners::{JOIN_DELAY, LimitOwners, ListedHost, MAX_GRANT_AGE, SETTLE_DELAY};
--- a/crates/edge/src/meters/mod.rs
+++ b/crates/edge/src/meters/mod.rs
@@ -3,7 +3,7 @@
 //! Calls go through `cadence`; the sink here keeps them in memory, since the platform reads metrics
 //! instead of receiving them.
 
-mod table;
+mod sink;
 mod workspaces;
 
 use std::{sync::Arc, time::Duration};
@@ -11,7 +11,7 @@
 use cadence::{Counted, CountedExt, Gauged, StatsdClient, Timed};
 use viz::{IntoResponse, Request, Router};
 
-use self::{table::Table, workspaces::Workspaces};
+use self::{sink::Table, workspaces::Workspaces};
 use crate::host::Shared;
 
 /// Stands before every name.
--- a/crates/edge/src/model/mod.rs
+++ b/crates/edge/src/model/mod.rs
@@ -5,22 +5,22 @@
 
 mod config;
 mod dialect;
-mod entry;
-mod feed;
+mod item;
 mod keys;
 mod packed;
 mod patch;
+mod platform_store;
 mod routes;
 mod workspace;
 
 pub use self::{
     config::{Config, Limits, Route, Service, WeightedService},
     dialect::{Credentials, Dialect, LookupQuery, ReportedLoad},
-    entry::{DeferredRemoval, Entry, HostEntry, Item, Target},
-    feed::{Batch, LeaseId, PlatformStore, PlatformStoreError, Snapshot, StoreCall},
+    item::{DeferredRemoval, Entry, HostEntry, Item, Target},
     keys::KeyIndex,
     packed::Packed,
     patch::{Patch, VersionMismatch},
+    platform_store::{Batch, LeaseId, PlatformStore, PlatformStoreError, Snapshot, StoreCall},
     routes::RouteIndex,
     workspace::{KeyDigest, Workspace},
 };
--- a/crates/edge/src/replica/mod.rs
+++ b/crates/edge/src/replica/mod.rs
@@ -10,8 +10,8 @@
 //! nothing is missing would leave hosts that got further elsewhere without it for good.
 
 mod changes;
-mod ending;
-mod versions;
+mod config_history;
+mod deferred;
 mod view;
 
 use std::{
@@ -22,10 +22,10 @@
 
 use dunlinrock_node::wire::PackError;
 
-use self::ending::Pending;
+use self::deferred::Pending;
 pub use self::{
     changes::{Changes, FullKeySet},
-    versions::{ConfigHistory, ConfigUpdate, ConfigUpdateError},
+    config_history::{ConfigHistory, ConfigUpdate, ConfigUpdateError},
     view::{KnownTarget, View},
 };
 use crate::model::{Config, Entry, Item, KeyIndex, RouteIndex, Target};
--- a/crates/edge/src/trace/mod.rs
+++ b/crates/edge/src/trace/mod.rs
@@ -5,13 +5,13 @@
 //! missing. Lines about failures have a budget of their own, which neither successes nor refusals before
 //! a target was asked can use up.
 
-mod budget;
+mod line_budget;
 mod outcome;
 
 use std::{collections::BTreeSet, sync::Arc};
 
 pub use self::{
-    budget::{Lines, Told},
+    line_budget::{Lines, Told},
     outcome::Outcome,
 };
 use crate::{
