--- a/crates/edge/src/control/announce.rs
+++ b/crates/edge/src/control/announce.rs
@@ -11,74 +11,74 @@
 
 /// Time that the announcement outlives its last renewal: a host that dies is named by look-ups for
 /// this long at most.
-const LEASE: Duration = Duration::from_secs(4);
+const LEASE_TTL: Duration = Duration::from_secs(4);
 
 /// How much earlier than the store this host takes its lease for ended.
 const LEASE_SLACK: Duration = Duration::from_millis(200);
 
 /// Time between renewals; two may fail before the lease ends.
-const RENEWAL: Duration = Duration::from_millis(1300);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(1300);
 
 /// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(500);
+const BACKOFF: Duration = Duration::from_millis(500);
 
 /// Announces this host, renews, and withdraws it when it is asked to stop.
 pub(super) async fn announce(shared: Arc<Shared>) {
     let mut phase = shared.phase.subscribe();
-    let (mut ticket, mut was_announced) = (None, false);
+    let (mut lease, mut was_announced) = (None, false);
     loop {
         tokio::select! {
-            () = keep(&shared, &mut ticket, &mut was_announced) => {}
+            () = renew_or_announce(&shared, &mut lease, &mut was_announced) => {}
             // The sender is in `shared`.
             _ = phase.wait_for(|phase| *phase > Phase::Serving) => break,
         }
     }
-    shared.token_issuer.lease_until(Duration::ZERO);
-    if let Some(ticket) = ticket
-        && let Err(e) = (shared.store.withdraw)(ticket).await
+    shared.token_issuer.set_lease_end(Duration::ZERO);
+    if let Some(lease) = lease
+        && let Err(e) = (shared.store.withdraw)(lease).await
     {
         log::warn!(target: "store", event = "withdraw_failed", error:% = e; "others learn by the lease's end");
     }
 }
 
 /// One call, and the pause after it.
-async fn keep(shared: &Shared, ticket: &mut Option<LeaseId>, was_announced: &mut bool) {
-    let (sent, is_new) = (since_boot(), ticket.is_none());
-    let result = match *ticket {
-        None => announced(shared).await.map(|t| *ticket = Some(t)),
-        Some(held) => (shared.store.renew)(held).await,
+async fn renew_or_announce(shared: &Shared, lease: &mut Option<LeaseId>, was_announced: &mut bool) {
+    let (sent, is_new) = (since_boot(), lease.is_none());
+    let result = match *lease {
+        None => announce_host(shared).await.map(|t| *lease = Some(t)),
+        Some(id) => (shared.store.renew)(id).await,
     };
     match result {
         Ok(()) => {
             if is_new && std::mem::replace(was_announced, true) {
-                shared.token_issuer.announce_anew();
+                shared.token_issuer.note_reannounced();
             }
             // Announced, the lease began a few calls after `sent`.
             shared
                 .token_issuer
-                .lease_until(sent + LEASE.saturating_sub(LEASE_SLACK));
-            tokio::time::sleep(RENEWAL).await;
+                .set_lease_end(sent + LEASE_TTL.saturating_sub(LEASE_SLACK));
+            tokio::time::sleep(RENEWAL_INTERVAL).await;
         }
         Err(PlatformStoreError::LeaseExpired) => {
             log::warn!(target: "store", event = "lease_ended"; "announced anew");
-            *ticket = None;
+            *lease = None;
         }
         Err(e) => {
             log::debug!(target: "store", error:% = e; "the announcement failed");
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(BACKOFF).await;
         }
     }
 }
 
-async fn announced(shared: &Shared) -> Result<LeaseId, PlatformStoreError> {
-    let distance = distance(shared).await?;
-    let me = Arc::new(shared.host_entry(distance));
-    (shared.store.announce)((me, LEASE)).await
+async fn announce_host(shared: &Shared) -> Result<LeaseId, PlatformStoreError> {
+    let store_distance = store_distance(shared).await?;
+    let me = Arc::new(shared.host_entry(store_distance));
+    (shared.store.announce)((me, LEASE_TTL)).await
 }
 
 /// Measures the way to the store in steps of [`HostEntry::STEP`], by renewing a lease that is not
 /// there, once to open a connection and once on it.
-async fn distance(shared: &Shared) -> Result<u32, PlatformStoreError> {
+async fn store_distance(shared: &Shared) -> Result<u32, PlatformStoreError> {
     let mut time = Duration::ZERO;
     for _ in 0..2 {
         let start = shared.now();
--- a/crates/edge/src/control/changes.rs
+++ b/crates/edge/src/control/changes.rs
@@ -20,13 +20,13 @@
 
 /// Path on which changes are asked for. Hosts of a release that sends other messages do not know it:
 /// while a fleet holds both, its hosts read the store for themselves.
-const PATH: &str = "/peer/v4/changes";
+const CHANGES_PATH: &str = "/peer/v4/changes";
 
 /// Path of the dump.
-const DUMP: &str = "/peer/v1/dump";
+const DUMP_PATH: &str = "/peer/v1/dump";
 
 /// Largest answer, in bytes: all items of a large deployment.
-pub(super) const ANSWER_BYTES: usize = 16 << 20;
+pub(super) const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// How long an answer is held back while nothing changes. Each answer also says that the host lives
 /// and how fresh its word is; with each step down the tree that word grows older by this.
@@ -44,21 +44,21 @@
 }
 
 /// Time an asking host waits beyond that: a round trip between regions and a busy processor.
-const SLACK: Duration = Duration::from_millis(400);
+const RESPONSE_SLACK: Duration = Duration::from_millis(400);
 
 /// Longest pause within an answer: a packet that is lost between regions is sent again within 300 ms, and
 /// a host that has used up its share of a processor goes on within as much.
-const PAUSE: Duration = Duration::from_millis(600);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Longest time of an answer that goes on. The whole version of a large configuration, 130 KB, takes 0.8 s
 /// where eight hosts share a link of 10 Mbit/s; what takes five is too late to be in force in time, and
 /// another source or the store may do better.
-const WHOLE: Duration = Duration::from_secs(5);
+const TOTAL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What a follower knows.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize, Serialize)]
-pub(super) struct Asked {
+pub(super) struct ChangesRequest {
     /// Store's revision up to which nothing is missing.
     pub(super) reached: u64,
     /// Version of the configuration; 0 for none.
@@ -68,7 +68,7 @@
 /// What it does not know yet.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
-pub(super) struct Told {
+pub(super) struct ChangesResponse {
     /// Time since this was provably the store's word, as of this answer.
     pub(super) age: Duration,
     /// Time for which the answer was held back.
@@ -81,7 +81,7 @@
 
 /// Why a host's answer is of no use.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum AskError {
+pub(super) enum PeerError {
     #[error(transparent)]
     Call(#[from] Failure),
     #[error("status {0}")]
@@ -89,57 +89,58 @@
     #[error(transparent)]
     Pack(#[from] PackError),
     #[error(transparent)]
-    Unasked(#[from] http::Error),
+    BadRequest(#[from] http::Error),
 }
 
 /// An answer, and its size on the wire.
 #[derive(Debug)]
-pub(super) struct Heard {
-    pub(super) told: Told,
+pub(super) struct ReceivedChanges {
+    pub(super) response: ChangesResponse,
     /// In bytes.
     pub(super) size: usize,
 }
 
 /// Asks a host for changes.
-pub(super) async fn ask(
+pub(super) async fn request_changes(
     client: &Client,
     address: SocketAddr,
-    asked: &Asked,
-) -> Result<Heard, AskError> {
-    let body = pack(asked)?;
+    wanted: &ChangesRequest,
+) -> Result<ReceivedChanges, PeerError> {
+    let body = pack(wanted)?;
     let flow = Flow {
-        head: LONG_POLL_TIME + SLACK,
-        pause: PAUSE,
-        whole: WHOLE,
+        head: LONG_POLL_TIME + RESPONSE_SLACK,
+        pause: IDLE_TIMEOUT,
+        whole: TOTAL_TIMEOUT,
     };
-    let request = Request::post(format!("http://{address}{PATH}")).body(Full::from(body))?;
+    let request =
+        Request::post(format!("http://{address}{CHANGES_PATH}")).body(Full::from(body))?;
     let answer = client.call_flowing(request, flow).await?;
     if answer.status != StatusCode::OK {
-        return Err(AskError::Status(answer.status));
+        return Err(PeerError::Status(answer.status));
     }
-    Ok(Heard {
-        told: unpack(&answer.body)?,
+    Ok(ReceivedChanges {
+        response: unpack(&answer.body)?,
         size: answer.body.len(),
     })
 }
 
 /// Serves other hosts.
 pub(super) fn router(shared: &Arc<Shared>) -> Router {
-    let (changes, dump) = (Arc::clone(shared), Arc::clone(shared));
+    let (changes, dump_state) = (Arc::clone(shared), Arc::clone(shared));
     let router = Router::new()
-        .post(PATH, move |request: viz::Request| {
+        .post(CHANGES_PATH, move |request: viz::Request| {
             let shared = Arc::clone(&changes);
-            async move { Ok(answer(&shared, request).await) }
+            async move { Ok(respond(&shared, request).await) }
         })
-        .get(DUMP, move |_: viz::Request| {
-            let shared = Arc::clone(&dump);
-            async move { Ok(state(&shared)) }
+        .get(DUMP_PATH, move |_: viz::Request| {
+            let shared = Arc::clone(&dump_state);
+            async move { Ok(dump(&shared)) }
         });
     tokens::routes(router, shared)
 }
 
 /// What another host asks, or the answer to one whose message cannot be read.
-pub(super) async fn unpacked<T: DeserializeOwned>(
+pub(super) async fn read_message<T: DeserializeOwned>(
     mut request: viz::Request,
 ) -> Result<T, Response> {
     let refusal = |e: String| (StatusCode::BAD_REQUEST, e).into_response();
@@ -147,12 +148,14 @@
     unpack(&body).map_err(|e| refusal(e.to_string()))
 }
 
-async fn answer(shared: &Shared, request: viz::Request) -> Response {
-    let asked: Asked = match unpacked(request).await {
-        Ok(asked) => asked,
+async fn respond(shared: &Shared, request: viz::Request) -> Response {
+    let wanted: ChangesRequest = match read_message(request).await {
+        Ok(wanted) => wanted,
         Err(refusal) => return refusal,
     };
-    let encoded = tell(shared, asked).await.and_then(|told| pack(&told));
+    let encoded = changes_for(shared, wanted)
+        .await
+        .and_then(|response| pack(&response));
     match encoded {
         Ok(bytes) => {
             shared.meters.add("peer_out_bytes", bytes.len());
@@ -165,23 +168,26 @@
     }
 }
 
-async fn tell(shared: &Shared, asked: Asked) -> Result<Told, PackError> {
-    let asked_at = since_boot();
+async fn changes_for(
+    shared: &Shared,
+    wanted: ChangesRequest,
+) -> Result<ChangesResponse, PackError> {
+    let received_at = since_boot();
     let mut changed = shared.changed.subscribe();
     let newer =
-        changed.wait_for(|m| m.publish_revision > asked.reached || m.version > asked.version);
+        changed.wait_for(|m| m.publish_revision > wanted.reached || m.version > wanted.version);
     // An answer without changes is as good: it says that there are none.
     let _ = tokio::time::timeout(long_poll_time(shared.age()), newer).await;
     let (mut replica, now) = (shared.replica(), shared.now());
-    Ok(Told {
+    Ok(ChangesResponse {
         age: shared.age(),
-        held: since_boot().saturating_sub(asked_at),
-        changes: replica.changes(asked.reached, now),
-        news: replica.update_since(asked.version)?,
+        held: since_boot().saturating_sub(received_at),
+        changes: replica.changes(wanted.reached, now),
+        news: replica.update_since(wanted.version)?,
     })
 }
 
-fn state(shared: &Shared) -> Response {
+fn dump(shared: &Shared) -> Response {
     let view = shared.view.load();
     let targets = view.services.iter().map(|(name, list)| {
         let list = list
--- a/crates/edge/src/control/deferred.rs
+++ b/crates/edge/src/control/deferred.rs
@@ -6,20 +6,20 @@
 
 /// Settles for as long as the host lives. A duty of its own: the follower may wait seconds for an answer,
 /// and a host that has ended would be named to callers for as long.
-pub(super) async fn settle(shared: Arc<Shared>) {
+pub(super) async fn apply_when_due(shared: Arc<Shared>) {
     let mut changed = shared.changed.subscribe();
     loop {
         changed.mark_unchanged();
         let due = shared.replica().next_deferred();
         tokio::select! {
-            () = over(&shared, due) => shared.apply_deferred(),
+            () = wait_until(&shared, due) => shared.apply_deferred(),
             // The sender is in `shared`.
             _ = changed.changed() => {}
         }
     }
 }
 
-async fn over(shared: &Shared, due: Option<Duration>) {
+async fn wait_until(shared: &Shared, due: Option<Duration>) {
     match due {
         Some(due) => tokio::time::sleep(due.saturating_sub(shared.now())).await,
         None => std::future::pending().await,
--- a/crates/edge/src/control/follow.rs
+++ b/crates/edge/src/control/follow.rs
@@ -8,7 +8,10 @@
 };
 
 use super::{
-    changes::{ANSWER_BYTES, Asked, Heard, STALE_AGE, Told, ask},
+    changes::{
+        ChangesRequest, ChangesResponse, MAX_RESPONSE_BYTES, ReceivedChanges, STALE_AGE,
+        request_changes,
+    },
     tree::tree_position,
 };
 use crate::{
@@ -26,28 +29,28 @@
 /// lost one and read all of it for themselves, over and over: it takes a narrow link a second, in which
 /// callers' answers and the next version wait. With the pause instead of it, a quiet store is called no
 /// more often than a busy one.
-const WAIT: Duration = READER_POLL_INTERVAL;
+const WATCH_TIME: Duration = READER_POLL_INTERVAL;
 
 /// Pause of a host that reads for itself while no reader answers.
-const LONE_PAUSE: Duration = Duration::from_millis(700);
+const FALLBACK_POLL_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Pause after a failed call, doubled with each up to [`LONGEST_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Longest pause after failed calls: a store that is back is noticed within it.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// How long a host that did not answer is passed over. Asked again at once, it would hold up every
 /// round by the time that an answer may take.
-const SILENT_TIME: Duration = Duration::from_secs(3);
+const PEER_BACKOFF: Duration = Duration::from_secs(3);
 
 /// How long a target or host whose entry vanished while the store was away is still believed in:
 /// entries that lapsed meanwhile are back within two seconds of the store's return.
-const RETURN_TIME: Duration = Duration::from_secs(2);
+const REMOVAL_DELAY: Duration = Duration::from_secs(2);
 
 /// Answers of other hosts from this size on have a line of their own, in bytes: a link of 10 Mbit/s needs
 /// 50 ms for it, and callers' answers wait meanwhile.
-const LARGE: usize = 64 << 10;
+const LARGE_RESPONSE_BYTES: usize = 64 << 10;
 
 /// Whether entries may have lapsed while this host did not reach the store, given the age of its word
 /// as it returns.
@@ -64,18 +67,18 @@
     shared: Arc<Shared>,
     client: Client,
     /// Whether the store dropped the history after what is believed: all of it is read.
-    dropped: bool,
+    compacted: bool,
     /// Until when hosts that did not answer are passed over.
-    silent: BTreeMap<SocketAddr, Duration>,
+    backoff_until: BTreeMap<SocketAddr, Duration>,
     /// Whether the store answered the last call.
-    reached: bool,
-    pause: Duration,
+    is_store_reached: bool,
+    backoff: Duration,
     /// Until when entries that vanish are kept.
-    keep: Duration,
+    defer_until: Duration,
 }
 
 /// What a call to the store gave.
-enum Came {
+enum WatchResult {
     /// Items.
     Items,
     /// The word that nothing changed, after a wait.
@@ -86,13 +89,13 @@
 pub(super) async fn follow(shared: Arc<Shared>) {
     let peers = shared.settings.listen.peers;
     let mut follower = Follower {
-        client: Client::open_from(Some(peers.ip()), ANSWER_BYTES),
+        client: Client::open_from(Some(peers.ip()), MAX_RESPONSE_BYTES),
         shared,
-        dropped: false,
-        silent: BTreeMap::new(),
-        reached: true,
-        pause: FIRST_PAUSE,
-        keep: Duration::ZERO,
+        compacted: false,
+        backoff_until: BTreeMap::new(),
+        is_store_reached: true,
+        backoff: MIN_BACKOFF,
+        defer_until: Duration::ZERO,
     };
     loop {
         follower.step().await;
@@ -109,9 +112,9 @@
         );
         let is_reader = tree_position.is_reader;
         // A reader that the store does not serve follows the other one, and goes on trying.
-        if !is_reader || !self.reached {
-            let followed = self.ask_any(&tree_position.sources).await;
-            if followed && !is_reader {
+        if !is_reader || !self.is_store_reached {
+            let is_followed = self.poll_any(&tree_position.sources).await;
+            if is_followed && !is_reader {
                 return;
             }
         }
@@ -119,39 +122,39 @@
         // What other hosts told goes up to a revision of the store as well. Read from the beginning
         // each time that its sources fail, the store would answer with all items instead of some.
         let at = self.shared.replica().synced_revision();
-        let result = match at == 0 || self.dropped {
+        let result = match at == 0 || self.compacted {
             true => self.read().await,
-            false => self.wait(at).await,
+            false => self.watch(at).await,
         };
         match result {
             // The wait stood for the pause, unless the answer came at once.
-            Ok(Came::Nothing) if is_reader => {
+            Ok(WatchResult::Nothing) if is_reader => {
                 let waited = self.shared.now() - start;
                 tokio::time::sleep(READER_POLL_INTERVAL.saturating_sub(waited)).await;
             }
             Ok(_) => {
-                let pause = if is_reader {
+                let interval = if is_reader {
                     READER_POLL_INTERVAL
                 } else {
-                    LONE_PAUSE
+                    FALLBACK_POLL_INTERVAL
                 };
-                tokio::time::sleep(pause).await;
+                tokio::time::sleep(interval).await;
             }
             Err(e) => self.failed(&e).await,
         }
     }
 
     /// Asks hosts in turn until one has fresh word.
-    async fn ask_any(&mut self, hosts: &[Arc<HostEntry>]) -> bool {
+    async fn poll_any(&mut self, hosts: &[Arc<HostEntry>]) -> bool {
         for host in hosts {
-            if self.ask_host(host.peers).await {
+            if self.poll_host(host.peers).await {
                 return true;
             }
         }
         false
     }
 
-    async fn read(&mut self) -> Result<Came, PlatformStoreError> {
+    async fn read(&mut self) -> Result<WatchResult, PlatformStoreError> {
         let (start, age, sent) = (self.shared.now(), self.shared.age(), since_boot());
         let snapshot = (self.shared.store.list)(()).await?;
         self.shared.meters.count("store_read");
@@ -160,40 +163,40 @@
             took_ms = millis(self.shared.now() - start), age_ms = millis(age);
             "everything was read"
         );
-        self.back();
-        self.dropped = false;
+        self.store_regained();
+        self.compacted = false;
         self.shared
-            .replace(snapshot.revision, snapshot.items, self.kept());
+            .replace(snapshot.revision, snapshot.items, self.removal_delay());
         self.shared.freshness.confirm(sent);
-        Ok(Came::Items)
+        Ok(WatchResult::Items)
     }
 
-    async fn wait(&mut self, at: u64) -> Result<Came, PlatformStoreError> {
+    async fn watch(&mut self, at: u64) -> Result<WatchResult, PlatformStoreError> {
         let sent = since_boot();
-        let batch = (self.shared.store.watch)((at, WAIT)).await?;
-        self.back();
-        let came = match batch.items.is_empty() {
-            true => Came::Nothing,
-            false => Came::Items,
+        let batch = (self.shared.store.watch)((at, WATCH_TIME)).await?;
+        self.store_regained();
+        let result = match batch.items.is_empty() {
+            true => WatchResult::Nothing,
+            false => WatchResult::Items,
         };
         self.shared
-            .apply_changes(self.sift(batch.items, batch.revision));
+            .apply_changes(self.defer_removals(batch.items, batch.revision));
         self.shared.freshness.confirm(sent);
-        Ok(came)
+        Ok(result)
     }
 
     /// How much longer entries that vanish are kept.
-    fn kept(&self) -> Duration {
-        self.keep.saturating_sub(self.shared.now())
+    fn removal_delay(&self) -> Duration {
+        self.defer_until.saturating_sub(self.shared.now())
     }
 
     /// Parts entries that vanished just after the store's return from what is taken at once.
-    fn sift(&self, items: Vec<Item>, reached: u64) -> Changes {
-        let left = self.kept();
+    fn defer_removals(&self, items: Vec<Item>, reached: u64) -> Changes {
+        let left = self.removal_delay();
         let (items, vanished): (_, Vec<_>) = items
             .into_iter()
             .partition(|item| left.is_zero() || item.entry.is_some());
-        let ending = |Item { key, rev, .. }| DeferredRemoval { key, rev, left };
+        let deferred = |Item { key, rev, .. }| DeferredRemoval { key, rev, left };
         if !vanished.is_empty() {
             log::info!(
                 target: "belief", event = "held_back", entries = vanished.len(), left_ms = millis(left);
@@ -202,7 +205,7 @@
         }
         Changes {
             items,
-            endings: vanished.into_iter().map(ending).collect(),
+            endings: vanished.into_iter().map(deferred).collect(),
             reached,
             ..Changes::default()
         }
@@ -212,56 +215,59 @@
         match error {
             PlatformStoreError::Compacted => {
                 log::info!(target: "store", event = "history_dropped"; "read anew");
-                self.dropped = true;
+                self.compacted = true;
             }
             _ => {
-                if std::mem::replace(&mut self.reached, false) {
+                if std::mem::replace(&mut self.is_store_reached, false) {
                     log::warn!(target: "store", event = "lost", error:% = error; "the store is lost");
                 }
                 for seed in self.shared.reloadable.load().seeds.clone() {
-                    if self.shared.view.load().config.is_none() && self.ask_host(seed).await {
+                    if self.shared.view.load().config.is_none() && self.poll_host(seed).await {
                         break;
                     }
                 }
-                tokio::time::sleep(self.pause).await;
-                self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+                tokio::time::sleep(self.backoff).await;
+                self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
 
     /// The store answered.
-    fn back(&mut self) {
-        self.pause = FIRST_PAUSE;
-        if !std::mem::replace(&mut self.reached, true) {
+    fn store_regained(&mut self) {
+        self.backoff = MIN_BACKOFF;
+        if !std::mem::replace(&mut self.is_store_reached, true) {
             let age = self.shared.age();
             if may_have_expired(age) {
-                self.keep = self.shared.now() + RETURN_TIME;
+                self.defer_until = self.shared.now() + REMOVAL_DELAY;
             }
             log::info!(target: "store", event = "regained", age_ms = millis(age), keeps = may_have_expired(age); "the store is back");
         }
     }
 
     /// Asks another host for changes; tells whether its word is fresh enough to follow it.
-    async fn ask_host(&mut self, address: SocketAddr) -> bool {
+    async fn poll_host(&mut self, address: SocketAddr) -> bool {
         let now = self.shared.now();
-        let is_silent = self.silent.get(&address).is_some_and(|until| now < *until);
-        if is_silent || address == self.shared.settings.listen.peers {
+        let is_backed_off = self
+            .backoff_until
+            .get(&address)
+            .is_some_and(|until| now < *until);
+        if is_backed_off || address == self.shared.settings.listen.peers {
             return false;
         }
-        let asked = {
+        let request = {
             let replica = self.shared.replica();
-            Asked {
+            ChangesRequest {
                 reached: replica.synced_revision(),
                 version: replica.version(),
             }
         };
         let sent = since_boot();
-        let answer = ask(&self.client, address, &asked).await;
+        let answer = request_changes(&self.client, address, &request).await;
         let took = self.shared.now() - now;
-        let heard = answer.map_err(anyhow::Error::from);
-        match heard.and_then(|heard| self.learn(address, heard, sent, took)) {
+        let received = answer.map_err(anyhow::Error::from);
+        match received.and_then(|received| self.apply_response(address, received, sent, took)) {
             Ok(age) => {
-                self.silent.remove(&address);
+                self.backoff_until.remove(&address);
                 age < STALE_AGE
             }
             Err(e) => {
@@ -271,7 +277,7 @@
                     took_ms = millis(took), age_ms = millis(self.shared.age());
                     "the next source is asked"
                 );
-                self.silent.insert(address, now + SILENT_TIME);
+                self.backoff_until.insert(address, now + PEER_BACKOFF);
                 false
             }
         }
@@ -280,37 +286,48 @@
     /// Takes an answer in; gives the age of the word in it. Where its news of the configuration are of no
     /// use, nothing of it confirms what is believed: the next source is asked, at last the store, which
     /// gives the version whole.
-    fn learn(
+    fn apply_response(
         &self,
         address: SocketAddr,
-        heard: Heard,
+        received: ReceivedChanges,
         sent: Duration,
         took: Duration,
     ) -> anyhow::Result<Duration> {
-        let told = self.heard(address, heard, took);
-        self.shared.apply_update(told.news.as_ref(), told.changes)?;
-        let at = confirmed_at(sent, took, told.held, told.age);
+        let response = self.note_cost(address, received, took);
+        self.shared
+            .apply_update(response.news.as_ref(), response.changes)?;
+        let at = confirmed_at(sent, took, response.held, response.age);
         self.shared.freshness.confirm(at);
-        Ok(told.age)
+        Ok(response.age)
     }
 
     /// Notes what an answer cost.
-    fn heard(&self, address: SocketAddr, heard: Heard, took: Duration) -> Told {
-        let Heard { told, size } = heard;
+    fn note_cost(
+        &self,
+        address: SocketAddr,
+        received: ReceivedChanges,
+        took: Duration,
+    ) -> ChangesResponse {
+        let ReceivedChanges { response, size } = received;
         self.shared.meters.add("peer_in_bytes", size);
-        if size >= LARGE {
+        if size >= LARGE_RESPONSE_BYTES {
             log::info!(
                 target: "peers", event = "large_answer", host:% = address, bytes = size,
-                items = told.changes.items.len(), took_ms = millis(took), age_ms = millis(told.age);
+                items = response.changes.items.len(), took_ms = millis(took), age_ms = millis(response.age);
                 "many changes at once"
             );
         }
-        if let Some(keys) = told.changes.whole.as_ref().and_then(|w| w.keys.as_ref()) {
+        if let Some(keys) = response
+            .changes
+            .whole
+            .as_ref()
+            .and_then(|w| w.keys.as_ref())
+        {
             log::info!(
-                target: "peers", event = "keys_told", host:% = address, keys = keys.len(), reached = told.changes.reached;
+                target: "peers", event = "keys_told", host:% = address, keys = keys.len(), reached = response.changes.reached;
                 "what is not among them is gone: the source does not know every removal"
             );
         }
-        told
+        response
     }
 }
--- a/crates/edge/src/control/mod.rs
+++ b/crates/edge/src/control/mod.rs
@@ -13,7 +13,7 @@
 use tokio::{runtime::Builder, sync::watch};
 use viz::{Router, Tree};
 
-pub(crate) use self::tokens::{TOKEN_BYTES, ask_tokens};
+pub(crate) use self::tokens::{MAX_TOKEN_BYTES, ask_tokens};
 pub use self::{
     changes::{LONG_POLL_TIME, STALE_AGE, long_poll_time},
     follow::{READER_POLL_INTERVAL, may_have_expired},
@@ -27,16 +27,16 @@
 /// Parts of the connections that the duty may serve. Callers ask a look-up every few seconds and keep
 /// no connection for it; other hosts keep theirs, and a few ask each host; whoever asks for readiness
 /// or metrics does so every second at most.
-const LOOKUP_PART: f64 = 0.6;
-const PEERS_PART: f64 = 0.2;
-const READY_PART: f64 = 0.1;
-const METRICS_PART: f64 = 0.1;
+const LOOKUP_FRACTION: f64 = 0.6;
+const PEERS_FRACTION: f64 = 0.2;
+const READY_FRACTION: f64 = 0.1;
+const METRICS_FRACTION: f64 = 0.1;
 
 /// Largest head, in bytes.
-const HEADER_BYTES: usize = 16 << 10;
+const MAX_HEADER_BYTES: usize = 16 << 10;
 
 /// Time a head may take.
-const HEADER_TIME: Duration = Duration::from_secs(10);
+const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Bound listeners of the duty.
 #[derive(Debug)]
@@ -60,21 +60,21 @@
 
 async fn run(shared: Arc<Shared>, listeners: Listeners) {
     let (stop, stopped) = watch::channel(false);
-    let most = shared.settings.connections.control;
-    let open = |listener: TcpListener, router: Router, part: f64| {
-        let connections = (f64::from(most) * part).ceil() as usize;
+    let max = shared.settings.connections.control;
+    let open = |listener: TcpListener, router: Router, fraction: f64| {
+        let connections = (f64::from(max) * fraction).ceil() as usize;
         tokio::spawn(listen(listener, router, connections, stopped.clone()));
     };
-    open(listeners.lookup, lookup::router(&shared), LOOKUP_PART);
-    open(listeners.peers, changes::router(&shared), PEERS_PART);
+    open(listeners.lookup, lookup::router(&shared), LOOKUP_FRACTION);
+    open(listeners.peers, changes::router(&shared), PEERS_FRACTION);
     if let Some(listener) = listeners.ready {
-        open(listener, lookup::readiness(&shared), READY_PART);
+        open(listener, lookup::readiness(&shared), READY_FRACTION);
     }
     if let Some(listener) = listeners.metrics {
-        open(listener, meters::router(&shared), METRICS_PART);
+        open(listener, meters::router(&shared), METRICS_FRACTION);
     }
     tokio::spawn(follow::follow(Arc::clone(&shared)));
-    tokio::spawn(deferred::settle(Arc::clone(&shared)));
+    tokio::spawn(deferred::apply_when_due(Arc::clone(&shared)));
     let announcer = tokio::spawn(announce::announce(Arc::clone(&shared)));
     let mut phase = shared.phase.subscribe();
     // The sender is in `shared`, which this duty holds.
@@ -98,8 +98,8 @@
     };
     let limits = Limits {
         connections,
-        header_bytes: HEADER_BYTES,
-        header_time: HEADER_TIME,
+        header_bytes: MAX_HEADER_BYTES,
+        header_time: HEADER_TIMEOUT,
     };
     let Ok(()) = serve(listener, Arc::new(Tree::from(router)), limits, stop).await;
 }
--- a/crates/edge/src/control/tokens.rs
+++ b/crates/edge/src/control/tokens.rs
@@ -9,19 +9,19 @@
 use serde::{Deserialize, Serialize};
 use viz::{IntoResponse, Response, Router};
 
-use super::changes::unpacked;
-use crate::{host::Shared, limits::Asked};
+use super::changes::read_message;
+use crate::{host::Shared, limits::TokenRequest};
 
 /// Path on which tokens are asked for.
 const PATH: &str = "/peer/v1/tokens";
 
 /// Largest answer, in bytes: one call is for all workspaces whose requests wait.
-pub(crate) const TOKEN_BYTES: usize = 1 << 20;
+pub(crate) const MAX_TOKEN_BYTES: usize = 1 << 20;
 
 /// Tokens on the wire.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize, Serialize)]
-struct Told {
+struct GrantMessage {
     count: u32,
     /// Where there are none, time until there is one.
     #[serde(rename = "due")]
@@ -38,7 +38,7 @@
     #[error(transparent)]
     Pack(#[from] PackError),
     #[error(transparent)]
-    Unasked(#[from] http::Error),
+    BadRequest(#[from] http::Error),
 }
 
 impl TokenError {
@@ -52,24 +52,26 @@
 pub(crate) async fn ask_tokens(
     client: &Client,
     address: SocketAddr,
-    asked: &Asked,
+    wanted: &TokenRequest,
     time: Duration,
 ) -> Result<BTreeMap<Arc<str>, TokenGrant>, TokenError> {
-    let body = Full::from(pack(asked)?);
+    let body = Full::from(pack(wanted)?);
     let request = Request::post(format!("http://{address}{PATH}")).body(body)?;
-    let answer = client.call(request, time).await?;
-    if answer.status != StatusCode::OK {
-        let cause = String::from_utf8_lossy(&answer.body).into_owned();
-        return Err(TokenError::Status(answer.status, cause));
+    let response = client.call(request, time).await?;
+    if response.status != StatusCode::OK {
+        let cause = String::from_utf8_lossy(&response.body).into_owned();
+        return Err(TokenError::Status(response.status, cause));
     }
-    let told: BTreeMap<Arc<str>, Told> = unpack(&answer.body)?;
-    let given = told.into_iter().map(|(name, Told { count, retry_after })| {
-        // Never more than was asked for, whatever the other side says.
-        let want = asked.wants.get(&name).copied().unwrap_or_default();
-        let count = count.min(want);
-        (name, TokenGrant { count, retry_after })
-    });
-    Ok(given.collect())
+    let messages: BTreeMap<Arc<str>, GrantMessage> = unpack(&response.body)?;
+    let grants = messages
+        .into_iter()
+        .map(|(name, GrantMessage { count, retry_after })| {
+            // Never more than was asked for, whatever the other side says.
+            let want = wanted.wants.get(&name).copied().unwrap_or_default();
+            let count = count.min(want);
+            (name, TokenGrant { count, retry_after })
+        });
+    Ok(grants.collect())
 }
 
 /// Serves tokens.
@@ -77,22 +79,23 @@
     let shared = Arc::clone(shared);
     router.post(PATH, move |request: viz::Request| {
         let shared = Arc::clone(&shared);
-        async move { Ok(answer(&shared, request).await) }
+        async move { Ok(respond(&shared, request).await) }
     })
 }
 
-async fn answer(shared: &Shared, request: viz::Request) -> Response {
-    let asked: Asked = match unpacked(request).await {
-        Ok(asked) => asked,
+async fn respond(shared: &Shared, request: viz::Request) -> Response {
+    let wanted: TokenRequest = match read_message(request).await {
+        Ok(wanted) => wanted,
         Err(refusal) => return refusal,
     };
-    let given = match shared.grant_tokens(&asked) {
-        Ok(given) => given.into_iter(),
+    let grants = match shared.grant_tokens(&wanted) {
+        Ok(grants) => grants.into_iter(),
         Err(e) => return (StatusCode::CONFLICT, e.to_string()).into_response(),
     };
-    let told =
-        given.map(|(name, TokenGrant { count, retry_after })| (name, Told { count, retry_after }));
-    match pack(&told.collect::<BTreeMap<_, _>>()) {
+    let messages = grants.map(|(name, TokenGrant { count, retry_after })| {
+        (name, GrantMessage { count, retry_after })
+    });
+    match pack(&messages.collect::<BTreeMap<_, _>>()) {
         Ok(bytes) => bytes.into_response(),
         Err(e) => (StatusCode::INTERNAL_SERVER_ERROR, e.to_string()).into_response(),
     }
--- a/crates/edge/src/control/tree.rs
+++ b/crates/edge/src/control/tree.rs
@@ -19,7 +19,7 @@
 pub const FAN_OUT: usize = 8;
 
 /// Hosts beside the other reader that a reader asks while the store turns it away.
-const SPARE: usize = 2;
+const SPARE_SOURCES: usize = 2;
 
 /// Where a host stands.
 #[derive(Clone, Debug, PartialEq)]
@@ -38,40 +38,42 @@
     domains: &BTreeMap<Arc<str>, Arc<str>>,
 ) -> TreePosition {
     let mut readers = nearest(hosts);
-    let others_of_readers = readers.split_off(STORE_READERS.min(readers.len()));
+    let non_readers = readers.split_off(STORE_READERS.min(readers.len()));
     let is_reader = readers.iter().any(|reader| &*reader.name == me);
     let others = || readers.iter().filter(|reader| &*reader.name != me).cloned();
     let region = hosts.get(me).and_then(|host| domains.get(&host.domain));
     let Some(region) = region.filter(|_| !is_reader) else {
         // A reader that the store turns away follows the other one, or hosts that have come to read
         // for themselves because both readers are turned away.
-        let spare = others_of_readers.into_iter().take(SPARE);
+        let spare = non_readers.into_iter().take(SPARE_SOURCES);
         return TreePosition {
             is_reader,
             sources: others().chain(spare).collect(),
         };
     };
     let is_near = |host: &&Arc<HostEntry>| domains.get(&host.domain) == Some(region);
-    let is_below = |host: &&Arc<HostEntry>| readers.iter().all(|r| r.name != host.name);
-    let row: Vec<_> = hosts.values().filter(is_near).filter(is_below).collect();
-    let at = row
+    let is_follower = |host: &&Arc<HostEntry>| readers.iter().all(|r| r.name != host.name);
+    let followers: Vec<_> = hosts.values().filter(is_near).filter(is_follower).collect();
+    let position = followers
         .iter()
         .position(|host| &*host.name == me)
         .unwrap_or_default();
-    let mut sources: Vec<_> = parents(at).map(|n| Arc::clone(row[n])).collect();
+    let mut sources: Vec<_> = parents(position)
+        .map(|n| Arc::clone(followers[n]))
+        .collect();
     sources.extend(others());
     TreePosition { is_reader, sources }
 }
 
 /// The hosts before the one at `at` that it asks: none for a head.
-fn parents(at: usize) -> impl Iterator<Item = usize> {
-    let below = at.checked_sub(STORE_READERS);
+fn parents(position: usize) -> impl Iterator<Item = usize> {
+    let below = position.checked_sub(STORE_READERS);
     let first = below.map(|below| below / FAN_OUT);
     // Neighbours, so that the second choice is no descendant of the first.
     first
         .into_iter()
         .flat_map(move |first| [first, first ^ 1])
-        .filter(move |n| *n < at)
+        .filter(move |n| *n < position)
 }
 
 /// All hosts, the nearest to the store first. The first of them read, so that what readers drop does
--- a/crates/edge/src/front/accept.rs
+++ b/crates/edge/src/front/accept.rs
@@ -8,23 +8,23 @@
     time::Instant,
 };
 
-use super::{Front, connection};
+use super::{Front, serve_connection};
 
 /// Pause after a failed accept: out of descriptors it fails at once and again.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Time between two looks whether the listen queue is empty.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two reports of the connections held.
-const GAUGE_PAUSE: Duration = Duration::from_secs(1);
+const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Shortest wait in the listen queue that counts: below it, two looks lie further apart than that.
-const LEAST_WAIT: Duration = Duration::from_millis(250);
+const MIN_QUEUE_WAIT: Duration = Duration::from_millis(250);
 
 /// How long a connection must have been idle to be closed for another: callers that go on send their
 /// next request within this time mostly, and would have to connect again.
-const LEAST_IDLE: Duration = Duration::from_secs(1);
+const MIN_EVICTION_IDLE: Duration = Duration::from_secs(1);
 
 /// When the listen queue was last seen empty, which bounds how long what is accepted has waited.
 ///
@@ -32,30 +32,30 @@
 /// and hands on more time than their callers still have. A connection that is accepted was opened after
 /// the queue was last empty, whatever held the host up.
 #[derive(Debug)]
-struct Queue {
-    empty: Instant,
+struct ListenQueue {
+    last_empty: Instant,
 }
 
-impl Queue {
+impl ListenQueue {
     async fn next(&mut self, listener: &TcpListener) -> std::io::Result<(TcpStream, Duration)> {
         loop {
-            let mut first = true;
+            let mut is_first_poll = true;
             let accept = std::future::poll_fn(|cx| {
                 let polled = listener.poll_accept(cx);
                 // Polled first after a connection or a pause, it has asked the kernel.
-                if polled.is_pending() && std::mem::take(&mut first) {
-                    self.empty = Instant::now();
+                if polled.is_pending() && std::mem::take(&mut is_first_poll) {
+                    self.last_empty = Instant::now();
                 }
                 polled
             });
             tokio::select! {
                 biased;
                 accepted = accept => {
-                    let waited = self.empty.elapsed();
-                    let waited = if waited < LEAST_WAIT { Duration::ZERO } else { waited };
+                    let waited = self.last_empty.elapsed();
+                    let waited = if waited < MIN_QUEUE_WAIT { Duration::ZERO } else { waited };
                     return accepted.map(|(stream, _)| (stream, waited));
                 }
-                () = tokio::time::sleep(LOOK_PAUSE) => {}
+                () = tokio::time::sleep(QUEUE_CHECK_INTERVAL) => {}
             }
         }
     }
@@ -63,20 +63,20 @@
 
 /// Accepts for as long as it is polled.
 pub(super) async fn accept(front: &Rc<Front>, listener: &TcpListener) {
-    let mut queue = Queue {
-        empty: Instant::now(),
+    let mut queue = ListenQueue {
+        last_empty: Instant::now(),
     };
     loop {
         match queue.next(listener).await {
             Ok((stream, waited)) => {
-                let is_full = front.arrives();
-                let served = connection(Rc::clone(front), stream, waited, is_full);
+                let is_full = front.on_accept();
+                let served = serve_connection(Rc::clone(front), stream, waited, is_full);
                 tokio::task::spawn_local(served);
             }
             Err(e) => {
                 log::warn!(target: "host", error:% = e; "accept failed");
                 front.close_idle(1);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
@@ -85,38 +85,43 @@
 /// Reports the connections held, for as long as it is polled.
 pub(super) async fn gauge(front: &Front) {
     loop {
-        tokio::time::sleep(GAUGE_PAUSE).await;
-        let held = front.held();
+        tokio::time::sleep(GAUGE_INTERVAL).await;
+        let open = front.open_connections();
         let meters = &front.shared.meters;
-        meters.gauge("callers_open", held.callers.into());
-        meters.gauge("callers_idle", front.idle.count().into());
-        meters.gauge("targets_open", held.targets.into());
-        meters.gauge("body_bytes", front.bytes.borrow().used());
-        front.note_pressure(held);
+        meters.gauge("callers_open", open.callers.into());
+        meters.gauge("callers_idle", front.idle_callers.count().into());
+        meters.gauge("targets_open", open.targets.into());
+        meters.gauge("body_bytes", front.body_budget.borrow().used());
+        front.log_pressure(open);
     }
 }
 
 impl Front {
     /// Connections held now.
-    pub(super) fn held(&self) -> OpenConnections {
+    pub(super) fn open_connections(&self) -> OpenConnections {
         OpenConnections {
-            callers: self.open.get(),
-            targets: self.links.count(),
+            callers: self.open_callers.get(),
+            targets: self.target_connections.count(),
         }
     }
 
     /// Whether connections end with the next answer, as few more may be opened.
-    pub(super) fn is_tight(&self) -> bool {
+    pub(super) fn is_near_limit(&self) -> bool {
         self.shared
             .settings
             .connections
-            .above_high_watermark(self.held())
+            .above_high_watermark(self.open_connections())
     }
 
     /// A caller has opened a connection. Closes idle ones where the bound is near; tells whether the
     /// new one's request must be refused, as the host is full.
-    fn arrives(&self) -> bool {
-        match self.shared.settings.connections.on_accept(self.held()) {
+    fn on_accept(&self) -> bool {
+        match self
+            .shared
+            .settings
+            .connections
+            .on_accept(self.open_connections())
+        {
             AcceptDecision::Accept => false,
             AcceptDecision::AcceptAndEvict(idle) => {
                 self.close_idle(idle);
@@ -129,21 +134,21 @@
         }
     }
 
-    fn close_idle(&self, most: u32) {
-        for _ in 0..self.idle.close(most, LEAST_IDLE) {
+    fn close_idle(&self, max: u32) {
+        for _ in 0..self.idle_callers.close_oldest(max, MIN_EVICTION_IDLE) {
             self.shared.meters.count("idle_closed");
         }
     }
 
     /// One line where the host comes near its bound, and one where it is below it again.
-    fn note_pressure(&self, held: OpenConnections) {
+    fn log_pressure(&self, open: OpenConnections) {
         let rules = self.shared.settings.connections;
-        let pressed = rules.above_low_watermark(held);
-        if self.pressed.replace(pressed) == pressed {
+        let is_near = rules.above_low_watermark(open);
+        if self.near_limit.replace(is_near) == is_near {
             return;
         }
-        let (callers, idle, targets) = (held.callers, self.idle.count(), held.targets);
-        if pressed {
+        let (callers, idle, targets) = (open.callers, self.idle_callers.count(), open.targets);
+        if is_near {
             log::warn!(
                 target: "host", event = "pressed", callers = callers, idle = idle,
                 targets = targets, most = rules.max_open; "connections are near their bound"
--- a/crates/edge/src/front/admit.rs
+++ b/crates/edge/src/front/admit.rs
@@ -6,34 +6,34 @@
 
 use super::{
     Front,
-    access::NoRights,
-    request::{LEAST_RETRY, MOST_RETRY, OTHER_HOST},
-    response::{End, limited, no_route, refuse, unauthorized},
+    access::AccessError,
+    request::{MAX_BACKOFF, MIN_BACKOFF, OTHER_HOST_RETRY_AFTER},
+    response::{RequestEnd, limited, no_route, refuse, unauthorized},
     tokens::{NoToken, Token},
 };
 use crate::{model::Workspace, replica::View};
 
 impl Front {
     /// The answer to a request without rights: it has not run.
-    pub(super) fn turn_away(&self, cause: &NoRights, uri: &Uri) -> End {
+    pub(super) fn access_denied(&self, cause: &AccessError, uri: &Uri) -> RequestEnd {
         match cause {
-            NoRights::Unconfigured | NoRights::Outdated { .. } => {
-                refuse(&cause.to_string(), OTHER_HOST)
-            }
-            NoRights::Routeless => no_route(uri),
-            NoRights::Keyless | NoRights::Unreadable | NoRights::Unknown { .. } => {
-                unauthorized(cause, self.shared.dialect.challenge)
+            AccessError::NoConfig | AccessError::StaleKeys { .. } => {
+                refuse(&cause.to_string(), OTHER_HOST_RETRY_AFTER)
             }
+            AccessError::NoRoute => no_route(uri),
+            AccessError::MissingKey
+            | AccessError::MalformedKey
+            | AccessError::UnknownKey { .. } => unauthorized(cause, self.shared.dialect.challenge),
         }
     }
 
     /// Whether callers with keys are refused, as what is known of keys is too old: they are better off
     /// at another host.
-    pub(super) fn is_outdated(&self) -> bool {
+    pub(super) fn keys_are_stale(&self) -> bool {
         let view = self.shared.view.load();
         let config = view.config.as_ref();
-        let guarded = config.is_some_and(|c| !c.workspaces.is_empty());
-        guarded && !self.shared.keys_are_fresh()
+        let requires_key = config.is_some_and(|c| !c.workspaces.is_empty());
+        requires_key && !self.shared.keys_are_fresh()
     }
 
     /// Gets a token for a request of a workspace with a limit, unless the one that it holds is still good.
@@ -42,16 +42,20 @@
         view: &View,
         workspace: &Workspace,
         held: Option<Token>,
-    ) -> Result<Token, End> {
-        if let Some(token) = held.filter(Token::is_alive) {
+    ) -> Result<Token, RequestEnd> {
+        if let Some(token) = held.filter(Token::is_valid) {
             return Ok(token);
         }
-        self.token(view, workspace).await.map_err(|e| match e {
-            NoToken::Spent(due) => limited(&workspace.name, due.clamp(LEAST_RETRY, MOST_RETRY)),
-            NoToken::Uncounted => {
-                let cause = format!("nobody counts the limit of {}", workspace.name);
-                refuse(&cause, LEAST_RETRY)
-            }
-        })
+        self.acquire_token(view, workspace)
+            .await
+            .map_err(|e| match e {
+                NoToken::Exhausted(retry_after) => {
+                    limited(&workspace.name, retry_after.clamp(MIN_BACKOFF, MAX_BACKOFF))
+                }
+                NoToken::NoOwner => {
+                    let cause = format!("nobody counts the limit of {}", workspace.name);
+                    refuse(&cause, MIN_BACKOFF)
+                }
+            })
     }
 }
--- a/crates/edge/src/front/attempt.rs
+++ b/crates/edge/src/front/attempt.rs
@@ -14,77 +14,94 @@
 
 use super::{
     Front,
-    access::Rights,
-    connection::{Broken, Link, Whole},
+    access::Access,
+    connection::{BufferedResponse, ExchangeError, TargetConnection},
     request_log::Sent,
-    select::Place,
-    targets::Lane,
+    select::SelectedTarget,
+    targets::TargetHandle,
 };
 use crate::model::{Credentials, Route};
 
 /// What is sent to targets.
 #[derive(Debug)]
-pub(super) struct Work {
+pub(super) struct OutboundRequest {
     pub(super) id: Arc<str>,
     pub(super) method: Method,
     pub(super) uri: Uri,
     pub(super) headers: HeaderMap,
     /// How the caller said who it is.
-    pub(super) presented: Credentials,
+    pub(super) credentials: Credentials,
     pub(super) body: Bytes,
     /// When the caller stops waiting, or the route's timeout is over.
-    pub(super) end: Instant,
+    pub(super) deadline: Instant,
     /// Sends that no log line tells yet.
-    pub(super) unsaid: RefCell<Vec<Sent>>,
+    pub(super) unlogged: RefCell<Vec<Sent>>,
 }
 
 /// How one attempt ended.
-pub(super) enum Tried {
-    Answered(Whole),
+pub(super) enum AttemptResult {
+    Answered(BufferedResponse),
     /// It did not run and never will.
-    Unrun(String),
+    NotRun(String),
     /// Nothing was sent.
-    Unsent(String),
+    NotSent(String),
     /// It may have run.
     Lost(String),
     /// Its time is over, and it may have run.
-    Late,
+    TimedOut,
     /// Nothing was sent, as it is to go elsewhere by now.
-    Moved,
+    Rerouted,
 }
 
 impl Front {
     /// Sends a request to one target.
-    pub(super) async fn attempt(&self, rights: &Rights, place: &Place, work: &Work) -> Tried {
-        let route = &*rights.route;
-        let lane = &place.lane;
-        let _visit = lane.enter();
-        self.sends(rights, place, work);
+    pub(super) async fn attempt(
+        &self,
+        access: &Access,
+        selected: &SelectedTarget,
+        outbound: &OutboundRequest,
+    ) -> AttemptResult {
+        let route = &*access.route;
+        let handle = &selected.handle;
+        let _in_flight = handle.track_request();
+        self.log_sent(access, selected, outbound);
         let (start, sent) = (Instant::now(), Cell::new(false));
-        let exchange = self.exchange(rights, place, work, &sent);
-        let exchanged = tokio::time::timeout_at(work.end, exchange).await;
-        let (tried, evidence) = match exchanged {
-            Err(_) if sent.get() => (Tried::Late, self.blames(route, start.elapsed())),
+        let exchange = self.exchange(access, selected, outbound, &sent);
+        let exchanged = tokio::time::timeout_at(outbound.deadline, exchange).await;
+        let (result, evidence) = match exchanged {
+            Err(_) if sent.get() => (
+                AttemptResult::TimedOut,
+                self.timeout_evidence(route, start.elapsed()),
+            ),
             Err(_) => (
-                Tried::Unsent("no connection in time".to_owned()),
+                AttemptResult::NotSent("no connection in time".to_owned()),
                 Some(Evidence::Down),
             ),
-            Ok(Err(Broken::Moved)) => (Tried::Moved, None),
-            Ok(Err(Broken::Unsent(cause))) => (Tried::Unsent(cause), Some(Evidence::Down)),
-            Ok(Err(Broken::Sent(cause))) => (Tried::Lost(cause), Some(Evidence::Bad)),
-            Ok(Err(Broken::Silent(cause))) => (Tried::Lost(cause), Some(Evidence::Down)),
-            Ok(Ok(whole)) => self.judge(lane, work, whole),
+            Ok(Err(ExchangeError::Rerouted)) => (AttemptResult::Rerouted, None),
+            Ok(Err(ExchangeError::NotSent(cause))) => {
+                (AttemptResult::NotSent(cause), Some(Evidence::Down))
+            }
+            Ok(Err(ExchangeError::Sent(cause))) => {
+                (AttemptResult::Lost(cause), Some(Evidence::Bad))
+            }
+            Ok(Err(ExchangeError::Unreachable(cause))) => {
+                (AttemptResult::Lost(cause), Some(Evidence::Down))
+            }
+            Ok(Ok(response)) => self.classify(handle, outbound, response),
         };
         let mut evidence = evidence;
-        if matches!(tried, Tried::Answered(_)) {
-            let (time, slots) = (start.elapsed(), lane.target.slots);
-            if self.forecast(&route.name).is_slow(time, place.busy, slots) {
+        if matches!(result, AttemptResult::Answered(_)) {
+            let (time, slots) = (start.elapsed(), handle.target.slots);
+            if self
+                .latency(&route.name)
+                .is_slow(time, selected.busy, slots)
+            {
                 evidence = Some(Evidence::Bad);
             }
-            self.note_time(&route.name, time, place);
+            self.record_time(&route.name, time, selected);
         }
-        self.learn(lane, evidence);
-        tried
+        self.record_evidence(handle, evidence);
+        result
     }
 
     /// What a request that got no answer in time says about its target: something only if it had the
@@ -92,43 +109,43 @@
     ///
     /// Load: targets that run many times slower. Without this nothing ever spoke against them, and
     /// their objects' requests ended at them, late, one after the other.
-    fn blames(&self, route: &Route, time: Duration) -> Option<Evidence> {
+    fn timeout_evidence(&self, route: &Route, time: Duration) -> Option<Evidence> {
         (time >= route.objective).then_some(Evidence::Bad)
     }
 
     /// Exchanges on a kept connection, or on a new one.
     async fn exchange(
         &self,
-        rights: &Rights,
-        place: &Place,
-        work: &Work,
+        access: &Access,
+        selected: &SelectedTarget,
+        outbound: &OutboundRequest,
         sent: &Cell<bool>,
-    ) -> Result<Whole, Broken> {
-        let lane = &place.lane;
+    ) -> Result<BufferedResponse, ExchangeError> {
+        let handle = &selected.handle;
         loop {
-            let kept = lane.take();
-            let mut link = match kept {
-                Some(link) => link,
-                None => self.connect(place).await?,
+            let idle = handle.take_idle();
+            let mut connection = match idle {
+                Some(connection) => connection,
+                None => self.connect(selected).await?,
             };
-            if !self.still_allows(rights, place, work) {
-                return Err(Broken::Moved);
+            if !self.is_still_valid(access, selected, outbound) {
+                return Err(ExchangeError::Rerouted);
             }
-            let was_used = link.is_used();
+            let was_used = connection.is_used();
             sent.set(true);
             let exchanged = tokio::select! {
-                exchanged = link.exchange(self.request(rights, lane, work)) => exchanged,
-                () = fell(lane, &rights.route) => Err(Broken::Sent("the target is down".to_owned())),
+                exchanged = connection.exchange(self.request(access, handle, outbound)) => exchanged,
+                () = wait_down(handle, &access.route) => Err(ExchangeError::Sent("the target is down".to_owned())),
             };
             match exchanged {
-                Ok((whole, reusable)) => {
-                    if reusable && self.is_own(work, &whole) {
-                        lane.keep(link);
+                Ok((response, is_reusable)) => {
+                    if is_reusable && self.matches_request(outbound, &response) {
+                        handle.keep_idle(connection);
                     }
-                    return Ok(whole);
+                    return Ok(response);
                 }
                 // The target closed a kept connection before anything was sent.
-                Err(Broken::Unsent(_)) if was_used => sent.set(false),
+                Err(ExchangeError::NotSent(_)) if was_used => sent.set(false),
                 Err(e) => return Err(e),
             }
         }
@@ -136,14 +153,16 @@
 
     /// Opens a connection, and notes how long the way takes. The shortest time counts: longer ones hold
     /// lost packets, and the target's and this host's own delays.
-    async fn connect(&self, place: &Place) -> Result<Link, Broken> {
+    async fn connect(&self, selected: &SelectedTarget) -> Result<TargetConnection, ExchangeError> {
         let start = Instant::now();
-        let link = Link::open(place.lane.target.address, &self.links).await?;
+        let connection =
+            TargetConnection::open(selected.handle.target.address, &self.target_connections)
+                .await?;
         let time = start.elapsed();
-        let mut ways = self.ways.borrow_mut();
-        let way = ways.entry(Arc::clone(&place.region)).or_insert(time);
-        *way = (*way).min(time);
-        Ok(link)
+        let mut rtts = self.region_rtts.borrow_mut();
+        let rtt = rtts.entry(Arc::clone(&selected.region)).or_insert(time);
+        *rtt = (*rtt).min(time);
+        Ok(connection)
     }
 
     /// Whether what is believed now still sends the request where it is about to go.
@@ -151,45 +170,61 @@
     /// Opening a connection between regions takes some hundred milliseconds. A host that was cut off
     /// and has just learned of a newer configuration would send a request by the old one, also out
     /// of the regions that may run it; a target that began to leave would get one more.
-    fn still_allows(&self, rights: &Rights, place: &Place, work: &Work) -> bool {
-        let trust = self.trust();
+    fn is_still_valid(
+        &self,
+        access: &Access,
+        selected: &SelectedTarget,
+        outbound: &OutboundRequest,
+    ) -> bool {
+        let freshness = self.key_freshness();
         let view = self.shared.view.load();
-        if view.change == place.number {
+        if view.change == selected.change {
             return true;
         }
-        let now = self.rights(&view, trust, &work.headers, &work.uri, work.presented);
-        let target = &place.lane.target;
-        let listed = view.services.get(&target.service);
-        let listed = listed.is_some_and(|list| list.iter().any(|k| k.target.id == target.id));
-        listed && now.is_ok_and(|now| now == *rights)
+        let now = self.authorize(
+            &view,
+            freshness,
+            &outbound.headers,
+            &outbound.uri,
+            outbound.credentials,
+        );
+        let target = &selected.handle.target;
+        let list = view.services.get(&target.service);
+        let is_listed = list.is_some_and(|list| list.iter().any(|k| k.target.id == target.id));
+        is_listed && now.is_ok_and(|now| now == *access)
     }
 
-    fn request(&self, rights: &Rights, lane: &Lane, work: &Work) -> Request<Full<Bytes>> {
+    fn request(
+        &self,
+        access: &Access,
+        handle: &TargetHandle,
+        outbound: &OutboundRequest,
+    ) -> Request<Full<Bytes>> {
         let dialect = &self.shared.dialect;
-        let mut request = Request::new(Full::new(work.body.clone()));
-        *request.method_mut() = work.method.clone();
-        *request.uri_mut() = work.uri.clone();
-        *request.headers_mut() = work.headers.clone();
-        let left = work
-            .end
+        let mut request = Request::new(Full::new(outbound.body.clone()));
+        *request.method_mut() = outbound.method.clone();
+        *request.uri_mut() = outbound.uri.clone();
+        *request.headers_mut() = outbound.headers.clone();
+        let remaining = outbound
+            .deadline
             .saturating_duration_since(Instant::now())
             .as_millis();
         let headers = request.headers_mut();
-        if rights.guarded {
+        if access.requires_key {
             headers.remove(&dialect.credentials);
             headers.remove(&dialect.workspace);
         }
-        let name = rights
+        let name = access
             .workspace
             .as_ref()
             .map(|w| HeaderValue::try_from(&*w.name));
         if let Some(Ok(name)) = name {
             headers.insert(&dialect.workspace, name);
         }
-        if let Ok(left) = HeaderValue::try_from(left.to_string()) {
-            headers.insert(&dialect.time_left, left);
+        if let Ok(remaining) = HeaderValue::try_from(remaining.to_string()) {
+            headers.insert(&dialect.time_left, remaining);
         }
-        if let Ok(id) = HeaderValue::try_from(&*lane.target.id) {
+        if let Ok(id) = HeaderValue::try_from(&*handle.target.id) {
             headers.insert(&dialect.expected_target, id);
         }
         request
@@ -197,49 +232,58 @@
 
     /// Whether an answer belongs to a request. A target may answer twice, and the second answer
     /// comes where that of the next request is expected.
-    fn is_own(&self, work: &Work, whole: &Whole) -> bool {
-        let echoed = whole.headers.get(&self.shared.dialect.request_id);
-        echoed.is_some_and(|id| id.as_bytes() == work.id.as_bytes())
+    fn matches_request(&self, outbound: &OutboundRequest, response: &BufferedResponse) -> bool {
+        let echoed = response.headers.get(&self.shared.dialect.request_id);
+        echoed.is_some_and(|id| id.as_bytes() == outbound.id.as_bytes())
     }
 
     /// Tells what an answer is worth, and what it says about the target.
-    fn judge(&self, lane: &Lane, work: &Work, whole: Whole) -> (Tried, Option<Evidence>) {
+    fn classify(
+        &self,
+        handle: &TargetHandle,
+        outbound: &OutboundRequest,
+        response: BufferedResponse,
+    ) -> (AttemptResult, Option<Evidence>) {
         let dialect = &self.shared.dialect;
-        let load = (dialect.parse_load)(&whole.headers);
+        let load = (dialect.parse_load)(&response.headers);
         if let Some(load) = load {
-            lane.report(load, self.shared.now());
+            handle.record_load(load, self.shared.now());
         }
-        let status = whole.status;
-        if whole.headers.contains_key(&dialect.not_run) || status == StatusCode::MISDIRECTED_REQUEST
+        let status = response.status;
+        if response.headers.contains_key(&dialect.not_run)
+            || status == StatusCode::MISDIRECTED_REQUEST
         {
-            let full = load.is_some_and(|l| l.running + l.waiting >= lane.target.slots);
-            let evidence = match (status, full) {
+            let is_full = load.is_some_and(|l| l.running + l.waiting >= handle.target.slots);
+            let evidence = match (status, is_full) {
                 (StatusCode::MISDIRECTED_REQUEST, _) => Evidence::Down,
                 // A target with all slots taken sheds rightly.
-                (_, true) => return (Tried::Unrun(format!("{status}, full")), None),
+                (_, true) => return (AttemptResult::NotRun(format!("{status}, full")), None),
                 _ => Evidence::Bad,
             };
-            return (Tried::Unrun(format!("{status}, not run")), Some(evidence));
+            return (
+                AttemptResult::NotRun(format!("{status}, not run")),
+                Some(evidence),
+            );
         }
-        if !self.is_own(work, &whole) {
+        if !self.matches_request(outbound, &response) {
             return (
-                Tried::Lost("an answer to another request".into()),
+                AttemptResult::Lost("an answer to another request".into()),
                 Some(Evidence::Bad),
             );
         }
-        let stamped = whole.headers.contains_key(&dialect.signature);
-        let encoded = whole.headers.contains_key(header::CONTENT_ENCODING);
-        if encoded || (status.is_success() && !stamped) {
+        let is_signed = response.headers.contains_key(&dialect.signature);
+        let is_encoded = response.headers.contains_key(header::CONTENT_ENCODING);
+        if is_encoded || (status.is_success() && !is_signed) {
             return (
-                Tried::Lost("not the target's own answer".into()),
+                AttemptResult::Lost("not the target's own answer".into()),
                 Some(Evidence::Bad),
             );
         }
         // These would tell the caller that nothing ran, which the target has not said.
-        let promises = [408, 429, 503].contains(&status.as_u16());
-        if promises {
+        let claims_not_run = [408, 429, 503].contains(&status.as_u16());
+        if claims_not_run {
             return (
-                Tried::Lost(format!("{status} of a run")),
+                AttemptResult::Lost(format!("{status} of a run")),
                 Some(Evidence::Bad),
             );
         }
@@ -247,43 +291,43 @@
             true => Evidence::Bad,
             false => Evidence::Good,
         };
-        (Tried::Answered(whole), Some(evidence))
+        (AttemptResult::Answered(response), Some(evidence))
     }
 
     /// Whether the targets of a service turn so much away that another one is no better.
-    pub(super) fn is_bad_common(&self, service: &Arc<str>) -> bool {
-        let shares = self.bad.borrow();
-        shares.get(service).is_some_and(FailureRate::is_high)
+    pub(super) fn failures_common(&self, service: &Arc<str>) -> bool {
+        let rates = self.failure_rates.borrow();
+        rates.get(service).is_some_and(FailureRate::is_high)
     }
 
-    fn learn(&self, lane: &Lane, evidence: Option<Evidence>) {
-        let mut aside = lane.aside.borrow_mut();
+    fn record_evidence(&self, handle: &TargetHandle, evidence: Option<Evidence>) {
+        let mut ejection = handle.ejection.borrow_mut();
         let Some(evidence) = evidence else {
-            aside.cancel_probe();
+            ejection.cancel_probe();
             return;
         };
-        let mut shares = self.bad.borrow_mut();
-        let share = shares.entry(Arc::clone(&lane.target.service)).or_default();
-        share.record(evidence);
-        let is_new = aside.on_end(evidence, *share, self.shared.now());
-        drop(shares);
-        let is_down = aside.is_down();
-        drop(aside);
+        let mut rates = self.failure_rates.borrow_mut();
+        let rate = rates.entry(Arc::clone(&handle.target.service)).or_default();
+        rate.record(evidence);
+        let is_new = ejection.on_end(evidence, *rate, self.shared.now());
+        drop(rates);
+        let is_down = ejection.is_down();
+        drop(ejection);
         if is_down && evidence == Evidence::Down {
-            lane.close();
-            lane.fell.notify_waiters();
+            handle.close_idle();
+            handle.down_notify.notify_waiters();
         }
         if is_new {
-            self.set_aside(lane, evidence);
+            self.log_ejected(handle, evidence);
         }
     }
 }
 
 /// Waits until the target is known to be down, for a request that may then run elsewhere. One that
 /// may run once only is better left waiting: the target may yet answer it.
-async fn fell(lane: &Lane, route: &Route) {
+async fn wait_down(handle: &TargetHandle, route: &Route) {
     match route.repeatable {
-        true => lane.fell.notified().await,
+        true => handle.down_notify.notified().await,
         false => std::future::pending().await,
     }
 }
--- a/crates/edge/src/front/caller_stream.rs
+++ b/crates/edge/src/front/caller_stream.rs
@@ -25,13 +25,13 @@
 
 /// Bytes read ahead. A caller that fills it is not seen to leave until some of it is used; heads of
 /// pipelined requests are a few hundred bytes each.
-const AHEAD: usize = 32 << 10;
+const MAX_READ_AHEAD: usize = 32 << 10;
 
 /// Ends a head.
 const HEAD_END: &[u8; 4] = b"\r\n\r\n";
 
 /// One read.
-const CHUNK: usize = 4 << 10;
+const READ_CHUNK: usize = 4 << 10;
 
 /// A connection, shared by the HTTP library and by those that wait for its end.
 #[derive(Clone, Debug)]
@@ -41,16 +41,16 @@
 struct Inner {
     stream: TcpStream,
     /// Bytes that were read and not yet given to the HTTP library.
-    ahead: BytesMut,
+    buffer: BytesMut,
     /// Bytes of `ahead` that were looked at as further requests.
-    seen: usize,
+    parsed: usize,
     /// The last bytes given to the library: the end of a head may be split between two reads.
-    last: [u8; 3],
+    last_bytes: [u8; 3],
     /// Whether the library gets nothing for now, and whom to wake when it does again.
-    held: bool,
-    waiting: Option<Waker>,
+    is_paused: bool,
+    waker: Option<Waker>,
     /// Whether the other side has closed its direction, or the connection is broken.
-    over: bool,
+    is_over: bool,
 }
 
 impl CallerStream {
@@ -58,19 +58,19 @@
     pub fn open(stream: TcpStream) -> CallerStream {
         CallerStream(Rc::new(RefCell::new(Inner {
             stream,
-            ahead: BytesMut::new(),
-            seen: 0,
-            last: [0; 3],
-            held: false,
-            waiting: None,
-            over: false,
+            buffer: BytesMut::new(),
+            parsed: 0,
+            last_bytes: [0; 3],
+            is_paused: false,
+            waker: None,
+            is_over: false,
         })))
     }
 
     /// Waits until more bytes were read ahead; `false` once the caller has closed the connection.
     /// To be polled by the task that serves it.
-    pub(super) async fn more(&self) -> bool {
-        let before = self.0.borrow().ahead.len();
+    pub(super) async fn wait_for_more(&self) -> bool {
+        let before = self.0.borrow().buffer.len();
         std::future::poll_fn(|cx| self.0.borrow_mut().poll_more(cx, before)).await
     }
 
@@ -81,44 +81,44 @@
     /// before the request has been sent on.
     pub fn is_closed(&self) -> bool {
         let mut inner = self.0.borrow_mut();
-        if !inner.over {
+        if !inner.is_over {
             let mut byte = [MaybeUninit::uninit()];
             let peeked = SockRef::from(&inner.stream).peek(&mut byte);
             // Any other error than that there is nothing yet breaks the next read as well.
-            inner.over = match peeked {
+            inner.is_over = match peeked {
                 Ok(n) => n == 0,
                 Err(e) => e.kind() != io::ErrorKind::WouldBlock,
             };
         }
-        inner.over
+        inner.is_over
     }
 
     /// Gives the HTTP library nothing until the guard is dropped. What is read ahead meanwhile
     /// begins where the next request does.
-    pub(super) fn hold(&self) -> Hold {
-        self.0.borrow_mut().held = true;
-        Hold(self.clone())
+    pub(super) fn pause_reads(&self) -> ReadPause {
+        self.0.borrow_mut().is_paused = true;
+        ReadPause(self.clone())
     }
 
     /// Looks at the bytes read ahead that were not looked at before. `look` tells how many of them
     /// it used.
-    pub(super) fn look(&self, look: impl FnOnce(&[u8]) -> usize) -> bool {
+    pub(super) fn parse_ahead(&self, parse_ahead: impl FnOnce(&[u8]) -> usize) -> bool {
         let inner = &mut *self.0.borrow_mut();
-        let used = look(&inner.ahead[inner.seen..]);
-        inner.seen += used;
+        let used = parse_ahead(&inner.buffer[inner.parsed..]);
+        inner.parsed += used;
         used > 0
     }
 }
 
 /// Holds a connection's further bytes back from the HTTP library.
 #[derive(Debug)]
-pub(super) struct Hold(CallerStream);
+pub(super) struct ReadPause(CallerStream);
 
-impl Drop for Hold {
+impl Drop for ReadPause {
     fn drop(&mut self) {
         let mut inner = self.0.0.borrow_mut();
-        inner.held = false;
-        if let Some(waker) = inner.waiting.take() {
+        inner.is_paused = false;
+        if let Some(waker) = inner.waker.take() {
             waker.wake();
         }
     }
@@ -135,9 +135,9 @@
             // A connection that cannot be shut down is broken, which the next read tells.
             let _ = Pin::new(&mut self.0.borrow_mut().stream).poll_shutdown(cx);
             let mut inner = self.0.borrow_mut();
-            while !inner.over {
-                inner.ahead.clear();
-                inner.seen = 0;
+            while !inner.is_over {
+                inner.buffer.clear();
+                inner.parsed = 0;
                 ready!(inner.poll_fill(cx));
             }
             Poll::Ready(())
@@ -149,11 +149,11 @@
 
 impl Inner {
     fn poll_more(&mut self, cx: &mut Context<'_>, before: usize) -> Poll<bool> {
-        while !self.over {
-            if self.ahead.len() > before {
+        while !self.is_over {
+            if self.buffer.len() > before {
                 return Poll::Ready(true);
             }
-            if self.ahead.len() >= AHEAD {
+            if self.buffer.len() >= MAX_READ_AHEAD {
                 return Poll::Pending;
             }
             ready!(self.poll_fill(cx));
@@ -164,31 +164,31 @@
     /// Length of what the library gets next: to the end of a head, if one ends here. With a head it
     /// never gets the beginning of the next request, so that what stays here begins with that.
     fn next_len(&self) -> usize {
-        let mut window = self.last;
-        for (n, byte) in self.ahead.iter().enumerate() {
+        let mut window = self.last_bytes;
+        for (n, byte) in self.buffer.iter().enumerate() {
             if [window[0], window[1], window[2], *byte] == *HEAD_END {
                 return n + 1;
             }
             window = [window[1], window[2], *byte];
         }
-        self.ahead.len()
+        self.buffer.len()
     }
 
-    fn give(&mut self, n: usize) {
-        for byte in &self.ahead[n.saturating_sub(self.last.len())..n] {
-            self.last = [self.last[1], self.last[2], *byte];
+    fn consume(&mut self, n: usize) {
+        for byte in &self.buffer[n.saturating_sub(self.last_bytes.len())..n] {
+            self.last_bytes = [self.last_bytes[1], self.last_bytes[2], *byte];
         }
-        self.ahead.advance(n);
-        self.seen = self.seen.saturating_sub(n);
+        self.buffer.advance(n);
+        self.parsed = self.parsed.saturating_sub(n);
     }
 
     /// Reads once into the buffer; an error counts as the end.
     fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_CHUNK];
         let mut buf = ReadBuf::new(&mut chunk);
         let result = ready!(Pin::new(&mut self.stream).poll_read(cx, &mut buf));
-        self.over = result.is_err() || buf.filled().is_empty();
-        self.ahead.extend_from_slice(buf.filled());
+        self.is_over = result.is_err() || buf.filled().is_empty();
+        self.buffer.extend_from_slice(buf.filled());
         Poll::Ready(())
     }
 }
@@ -200,16 +200,16 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let inner = &mut *self.0.borrow_mut();
-        if inner.held {
-            inner.waiting = Some(cx.waker().clone());
+        if inner.is_paused {
+            inner.waker = Some(cx.waker().clone());
             return Poll::Pending;
         }
-        if inner.ahead.is_empty() && !inner.over {
+        if inner.buffer.is_empty() && !inner.is_over {
             ready!(inner.poll_fill(cx));
         }
         let n = buf.remaining().min(inner.next_len());
-        buf.put_slice(&inner.ahead[..n]);
-        inner.give(n);
+        buf.put_slice(&inner.buffer[..n]);
+        inner.consume(n);
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/edge/src/front/connection.rs
+++ b/crates/edge/src/front/connection.rs
@@ -10,12 +10,12 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::{net::TcpStream, task::JoinHandle, time::Instant};
 
-use super::idle::{Links, Open};
+use super::idle::{ConnectionCounter, OpenGuard};
 
 /// Time in which a connection must open. Between regions a round trip takes some tens of
 /// milliseconds; a lost packet is sent again only after a second, and another target is tried
 /// before that.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time for which a target may leave what was sent to it unconfirmed, and the pause before and
 /// between the probes that ask a waiting connection whether the other side is there.
@@ -24,38 +24,38 @@
 /// and a kept connection takes the next ones too. A link that loses one packet in twenty loses four
 /// in a row, which is what passes in this time, once in 160,000; the kernel's shortest probe is one
 /// second.
-const SILENT_TIME: Duration = Duration::from_secs(1);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
 /// Probes without an answer after which a connection is broken.
 const PROBES: u32 = 2;
 
 /// Largest answer taken, in bytes. Answers are passed on only once they are whole, so that one
 /// which breaks off never looks complete; memory bounds how large that may be.
-const ANSWER_BYTES: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// How long a connection is kept idle where the target does not say.
-const IDLE_TIME: Duration = Duration::from_secs(8);
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(8);
 
 /// Part of the target's own idle time that is used: the rest covers a request on its way when the
 /// target closes.
-const IDLE_PART: f64 = 0.85;
+const IDLE_FRACTION: f64 = 0.85;
 
 /// How far an exchange came when it failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Broken {
+pub(super) enum ExchangeError {
     /// Certainly nothing was sent.
-    Unsent(String),
+    NotSent(String),
     /// Nothing was sent, as the request is to go elsewhere by now.
-    Moved,
+    Rerouted,
     /// Something may have been sent, and no whole answer came back.
     Sent(String),
     /// The same, and the target does not answer the kernel's probes either.
-    Silent(String),
+    Unreachable(String),
 }
 
 /// A whole answer of a target.
 #[derive(Debug)]
-pub(super) struct Whole {
+pub(super) struct BufferedResponse {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
@@ -64,32 +64,35 @@
 /// An open connection. Dropped, it is closed at once, and with it the run of a request that is on
 /// it: a target stops work for a caller that is gone.
 #[derive(Debug)]
-pub(super) struct Link {
+pub(super) struct TargetConnection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
     /// Until when it may be used again.
-    until: Instant,
+    reusable_until: Instant,
     /// Whether an exchange was completed on it.
-    used: bool,
-    open: Open,
+    was_used: bool,
+    open: OpenGuard,
 }
 
-impl Drop for Link {
+impl Drop for TargetConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Link {
+impl TargetConnection {
     /// Opens a connection.
-    pub(super) async fn open(address: SocketAddr, links: &Rc<Links>) -> Result<Link, Broken> {
-        let unsent = |e: &dyn std::fmt::Display| Broken::Unsent(e.to_string());
-        let open = Open::count(links);
-        let connect = tokio::time::timeout(CONNECT_TIME, TcpStream::connect(address)).await;
+    pub(super) async fn open(
+        address: SocketAddr,
+        counter: &Rc<ConnectionCounter>,
+    ) -> Result<TargetConnection, ExchangeError> {
+        let unsent = |e: &dyn std::fmt::Display| ExchangeError::NotSent(e.to_string());
+        let open = OpenGuard::count(counter);
+        let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = connect
             .map_err(|_| unsent(&"no connection in time"))?
             .map_err(|e| unsent(&e))?;
-        set_up(&stream).map_err(|e| unsent(&e))?;
+        configure_socket(&stream).map_err(|e| unsent(&e))?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|e| unsent(&e))?;
         let task = tokio::task::spawn_local(async move {
@@ -97,30 +100,30 @@
                 log::debug!(target: "links", error:% = e; "a connection to a target ended");
             }
         });
-        let until = Instant::now() + IDLE_TIME;
-        Ok(Link {
+        let reusable_until = Instant::now() + DEFAULT_IDLE_TIME;
+        Ok(TargetConnection {
             sender,
             task,
-            until,
-            used: false,
+            reusable_until,
+            was_used: false,
             open,
         })
     }
 
     /// What counts the host's connections to targets.
-    pub(super) fn links(&self) -> &Rc<Links> {
-        self.open.links()
+    pub(super) fn counter(&self) -> &Rc<ConnectionCounter> {
+        self.open.counter()
     }
 
     /// Whether another request may be sent. One that the target has closed, or on which bytes came
     /// unasked, is not ready.
     pub(super) fn is_reusable(&self) -> bool {
-        self.used && self.sender.is_ready() && Instant::now() < self.until
+        self.was_used && self.sender.is_ready() && Instant::now() < self.reusable_until
     }
 
     /// Whether it was used before, so that its end says nothing about the target.
     pub(super) fn is_used(&self) -> bool {
-        self.used
+        self.was_used
     }
 
     /// Sends a request and waits for the whole answer. Tells also whether the connection may be
@@ -128,9 +131,9 @@
     pub(super) async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<(Whole, bool), Broken> {
+    ) -> Result<(BufferedResponse, bool), ExchangeError> {
         if let Err(e) = self.sender.ready().await {
-            return Err(Broken::Unsent(e.to_string()));
+            return Err(ExchangeError::NotSent(e.to_string()));
         }
         let response = match self.sender.try_send_request(request).await {
             Ok(response) => response,
@@ -139,78 +142,79 @@
                 let unsent = e.take_message().is_some();
                 let error = e.into_error();
                 return Err(if unsent {
-                    Broken::Unsent(error.to_string())
+                    ExchangeError::NotSent(error.to_string())
                 } else {
-                    broken(&error)
+                    exchange_error(&error)
                 });
             }
         };
         let (head, body) = response.into_parts();
         let closes = closes(&head.headers);
-        self.until = Instant::now() + idle_time(&head.headers);
-        let body = match Limited::new(body, ANSWER_BYTES).collect().await {
+        self.reusable_until = Instant::now() + idle_time(&head.headers);
+        let body = match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
-            Err(e) => return Err(Broken::Sent(e.to_string())),
+            Err(e) => return Err(ExchangeError::Sent(e.to_string())),
         };
-        self.used = true;
-        let whole = Whole {
+        self.was_used = true;
+        let buffered = BufferedResponse {
             status: head.status,
             headers: head.headers,
             body,
         };
-        Ok((whole, !closes))
+        Ok((buffered, !closes))
     }
 }
 
 fn closes(headers: &HeaderMap) -> bool {
     let values = headers.get_all(header::CONNECTION).iter();
-    let mut words = values
+    let mut tokens = values
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','));
-    words.any(|word| word.trim().eq_ignore_ascii_case("close"))
+    tokens.any(|token| token.trim().eq_ignore_ascii_case("close"))
 }
 
 /// What a failure after the first byte says.
-fn broken(error: &hyper::Error) -> Broken {
+fn exchange_error(error: &hyper::Error) -> ExchangeError {
     let source = error
         .source()
         .and_then(|source| source.downcast_ref::<io::Error>());
     match source.map(io::Error::kind) {
         Some(io::ErrorKind::TimedOut | io::ErrorKind::HostUnreachable) => {
-            Broken::Silent(error.to_string())
+            ExchangeError::Unreachable(error.to_string())
         }
-        _ => Broken::Sent(error.to_string()),
+        _ => ExchangeError::Sent(error.to_string()),
     }
 }
 
-fn set_up(stream: &TcpStream) -> io::Result<()> {
+fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(SILENT_TIME))?;
+    socket.set_tcp_user_timeout(Some(KEEPALIVE_IDLE))?;
     let probes = TcpKeepalive::new()
-        .with_time(SILENT_TIME)
-        .with_interval(SILENT_TIME);
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_IDLE);
     socket.set_tcp_keepalive(&probes.with_retries(PROBES))
 }
 
 /// The target's own idle time, from `Keep-Alive: timeout=N`, in part.
 fn idle_time(headers: &HeaderMap) -> Duration {
     let value = headers.get("keep-alive").and_then(|v| v.to_str().ok());
-    let mut words = value.into_iter().flat_map(|v| v.split(','));
-    let seconds = words.find_map(|word| word.trim().strip_prefix("timeout=")?.parse::<u32>().ok());
-    seconds.map_or(IDLE_TIME, |s| {
-        Duration::from_secs(u64::from(s)).mul_f64(IDLE_PART)
+    let mut tokens = value.into_iter().flat_map(|v| v.split(','));
+    let seconds =
+        tokens.find_map(|token| token.trim().strip_prefix("timeout=")?.parse::<u32>().ok());
+    seconds.map_or(DEFAULT_IDLE_TIME, |s| {
+        Duration::from_secs(u64::from(s)).mul_f64(IDLE_FRACTION)
     })
 }
 
 /// Takes off the headers that concern one connection only.
-pub(super) fn strip(headers: &mut HeaderMap) {
+pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','))
-        .map(|word| word.trim().to_ascii_lowercase())
+        .map(|token| token.trim().to_ascii_lowercase())
         .collect();
     for name in named {
         headers.remove(name);
@@ -230,10 +234,10 @@
 }
 
 /// Makes a response of a whole answer.
-pub(super) fn pass_on(whole: Whole) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(whole.body));
-    *response.status_mut() = whole.status;
-    *response.headers_mut() = whole.headers;
-    strip(response.headers_mut());
+pub(super) fn into_response(buffered: BufferedResponse) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(buffered.body));
+    *response.status_mut() = buffered.status;
+    *response.headers_mut() = buffered.headers;
+    strip_hop_by_hop(response.headers_mut());
     response
 }
--- a/crates/edge/src/front/idle.rs
+++ b/crates/edge/src/front/idle.rs
@@ -2,24 +2,24 @@
 
 use std::{cell::Cell, rc::Rc};
 
-use super::connection::Link;
+use super::connection::TargetConnection;
 
 /// Connections to targets that a host holds.
 #[derive(Debug)]
-pub(super) struct Links {
+pub(super) struct ConnectionCounter {
     open: Cell<u32>,
-    kept: Cell<u32>,
+    idle: Cell<u32>,
     /// Idle ones that may be kept, at all targets together.
-    most: u32,
+    max_idle: u32,
 }
 
-impl Links {
+impl ConnectionCounter {
     /// Opens a count of which up to `most` may be kept idle.
-    pub(super) fn open(most: u32) -> Rc<Links> {
-        Rc::new(Links {
+    pub(super) fn open(max_idle: u32) -> Rc<ConnectionCounter> {
+        Rc::new(ConnectionCounter {
             open: Cell::new(0),
-            kept: Cell::new(0),
-            most,
+            idle: Cell::new(0),
+            max_idle,
         })
     }
 
@@ -31,20 +31,20 @@
 
 /// Counts a connection while it is open.
 #[derive(Debug)]
-pub(super) struct Open(Rc<Links>);
+pub(super) struct OpenGuard(Rc<ConnectionCounter>);
 
-impl Open {
-    pub(super) fn count(links: &Rc<Links>) -> Open {
-        links.open.set(links.open.get() + 1);
-        Open(Rc::clone(links))
+impl OpenGuard {
+    pub(super) fn count(counter: &Rc<ConnectionCounter>) -> OpenGuard {
+        counter.open.set(counter.open.get() + 1);
+        OpenGuard(Rc::clone(counter))
     }
 
-    pub(super) fn links(&self) -> &Rc<Links> {
+    pub(super) fn counter(&self) -> &Rc<ConnectionCounter> {
         &self.0
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
     }
@@ -52,42 +52,42 @@
 
 /// A connection that is kept idle.
 #[derive(Debug)]
-pub(super) struct Kept {
-    link: Link,
-    place: KeptPlace,
+pub(super) struct IdleConnection {
+    connection: TargetConnection,
+    permit: IdlePermit,
 }
 
-impl Kept {
+impl IdleConnection {
     /// Keeps a connection, unless as many are kept as may be.
-    pub(super) fn keep(link: Link) -> Option<Kept> {
-        let links = Rc::clone(link.links());
-        let place = KeptPlace::take(links)?;
-        Some(Kept { link, place })
+    pub(super) fn keep(connection: TargetConnection) -> Option<IdleConnection> {
+        let counter = Rc::clone(connection.counter());
+        let permit = IdlePermit::take(counter)?;
+        Some(IdleConnection { connection, permit })
     }
 
     /// Gives the connection back.
-    pub(super) fn take(self) -> Link {
-        drop(self.place);
-        self.link
+    pub(super) fn take(self) -> TargetConnection {
+        drop(self.permit);
+        self.connection
     }
 }
 
 /// Counts a kept connection.
 #[derive(Debug)]
-struct KeptPlace(Rc<Links>);
+struct IdlePermit(Rc<ConnectionCounter>);
 
-impl KeptPlace {
-    fn take(links: Rc<Links>) -> Option<KeptPlace> {
-        if links.kept.get() >= links.most {
+impl IdlePermit {
+    fn take(counter: Rc<ConnectionCounter>) -> Option<IdlePermit> {
+        if counter.idle.get() >= counter.max_idle {
             return None;
         }
-        links.kept.set(links.kept.get() + 1);
-        Some(KeptPlace(links))
+        counter.idle.set(counter.idle.get() + 1);
+        Some(IdlePermit(counter))
     }
 }
 
-impl Drop for KeptPlace {
+impl Drop for IdlePermit {
     fn drop(&mut self) {
-        self.0.kept.set(self.0.kept.get() - 1);
+        self.0.idle.set(self.0.idle.get() - 1);
     }
 }
--- a/crates/edge/src/front/idle_callers.rs
+++ b/crates/edge/src/front/idle_callers.rs
@@ -9,31 +9,31 @@
 
 use tokio::{sync::Notify, time::Instant};
 
-use super::IDLE_PAUSE;
+use super::IDLE_CHECK_INTERVAL;
 
 /// When a connection became idle, and its number.
-type Since = (Instant, u64);
+type IdleKey = (Instant, u64);
 
 /// Idle connections of a host's callers, the longest idle first.
 #[derive(Debug, Default)]
-pub(super) struct Idle {
-    held: RefCell<BTreeMap<Since, Rc<Notify>>>,
-    last: Cell<u64>,
+pub(super) struct IdleTracker {
+    connections: RefCell<BTreeMap<IdleKey, Rc<Notify>>>,
+    last_number: Cell<u64>,
 }
 
-impl Idle {
+impl IdleTracker {
     /// Idle connections.
     pub(super) fn count(&self) -> u32 {
-        u32::try_from(self.held.borrow().len()).unwrap_or(u32::MAX)
+        u32::try_from(self.connections.borrow().len()).unwrap_or(u32::MAX)
     }
 
     /// Tells up to `most` connections that have been idle for `time` or more to close, the longest
     /// idle first. Tells how many.
-    pub(super) fn close(&self, most: u32, time: Duration) -> u32 {
-        let mut held = self.held.borrow_mut();
+    pub(super) fn close_oldest(&self, max: u32, time: Duration) -> u32 {
+        let mut connections = self.connections.borrow_mut();
         let mut closed = 0;
-        while closed < most {
-            let Some(first) = held.first_entry() else {
+        while closed < max {
+            let Some(first) = connections.first_entry() else {
                 break;
             };
             if first.key().0.elapsed() < time {
@@ -48,49 +48,49 @@
 
 /// Use of one connection.
 #[derive(Debug)]
-pub(super) struct Usage {
-    idle: Rc<Idle>,
+pub(super) struct ConnectionUsage {
+    idle: Rc<IdleTracker>,
     number: u64,
     /// Requests being served; the library serves one at a time.
     running: Cell<u32>,
     /// When the last one ended, or the connection began.
     since: Cell<Instant>,
     /// Tells the connection to close.
-    close: Rc<Notify>,
+    close_notify: Rc<Notify>,
 }
 
 /// One request on the connection.
 #[derive(Debug)]
-pub(super) struct Used<'a>(&'a Usage);
+pub(super) struct UsageGuard<'a>(&'a ConnectionUsage);
 
-impl Usage {
+impl ConnectionUsage {
     /// Counts a connection as idle until its first request.
-    pub(super) fn open(idle: &Rc<Idle>) -> Usage {
-        idle.last.set(idle.last.get() + 1);
-        let usage = Usage {
+    pub(super) fn open(idle: &Rc<IdleTracker>) -> ConnectionUsage {
+        idle.last_number.set(idle.last_number.get() + 1);
+        let usage = ConnectionUsage {
             idle: Rc::clone(idle),
-            number: idle.last.get(),
+            number: idle.last_number.get(),
             running: Cell::new(0),
             since: Cell::new(Instant::now()),
-            close: Rc::default(),
+            close_notify: Rc::default(),
         };
-        usage.rest();
+        usage.mark_idle();
         usage
     }
 
     /// Counts a request until the guard is dropped.
-    pub(super) fn start(&self) -> Used<'_> {
+    pub(super) fn start(&self) -> UsageGuard<'_> {
         self.running.set(self.running.get() + 1);
-        self.idle.held.borrow_mut().remove(&self.key());
-        Used(self)
+        self.idle.connections.borrow_mut().remove(&self.key());
+        UsageGuard(self)
     }
 
     /// Waits until the connection has not been used for a time, or is told to close while idle.
     pub(super) async fn idle_for(&self, time: Duration) {
         while self.running.get() > 0 || self.since.get().elapsed() < time {
             tokio::select! {
-                () = tokio::time::sleep(IDLE_PAUSE) => {}
-                () = self.close.notified() => {
+                () = tokio::time::sleep(IDLE_CHECK_INTERVAL) => {}
+                () = self.close_notify.notified() => {
                     // A request may have been read since the connection was told.
                     if self.running.get() == 0 {
                         return;
@@ -100,30 +100,30 @@
         }
     }
 
-    fn key(&self) -> Since {
+    fn key(&self) -> IdleKey {
         (self.since.get(), self.number)
     }
 
     /// From now on the connection is idle.
-    fn rest(&self) {
+    fn mark_idle(&self) {
         self.since.set(Instant::now());
-        let mut held = self.idle.held.borrow_mut();
-        held.insert(self.key(), Rc::clone(&self.close));
+        let mut connections = self.idle.connections.borrow_mut();
+        connections.insert(self.key(), Rc::clone(&self.close_notify));
     }
 }
 
-impl Drop for Usage {
+impl Drop for ConnectionUsage {
     fn drop(&mut self) {
-        self.idle.held.borrow_mut().remove(&self.key());
+        self.idle.connections.borrow_mut().remove(&self.key());
     }
 }
 
-impl Drop for Used<'_> {
+impl Drop for UsageGuard<'_> {
     fn drop(&mut self) {
         let running = self.0.running.get() - 1;
         self.0.running.set(running);
         if running == 0 {
-            self.0.rest();
+            self.0.mark_idle();
         }
     }
 }
--- a/crates/edge/src/front/mod.rs
+++ b/crates/edge/src/front/mod.rs
@@ -42,95 +42,95 @@
 
 pub use self::caller_stream::CallerStream;
 use self::{
-    idle::Links,
-    idle_callers::{Idle, Usage},
-    pipeline::Ahead,
-    request::Conn,
-    request_log::Say,
-    targets::Lanes,
+    idle::ConnectionCounter,
+    idle_callers::{ConnectionUsage, IdleTracker},
+    pipeline::Pipeline,
+    request::CallerConnection,
+    request_log::RequestLog,
+    targets::TargetTable,
     tokens::Tokens,
 };
 use crate::{
-    control::TOKEN_BYTES,
+    control::MAX_TOKEN_BYTES,
     host::{Phase, Shared},
     model::Limits,
 };
 
 /// Limits on callers before a configuration is known.
-const LIMITS: Limits = Limits {
+const DEFAULT_LIMITS: Limits = Limits {
     head: 16 << 10,
     body: 1 << 20,
     idle: Duration::from_secs(15),
 };
 
 /// Smallest buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8 << 10;
+const MIN_BUFFER: usize = 8 << 10;
 
 /// Time that a caller has for its request where the host is full: it is refused, and its connection
 /// must not stay.
-const FULL_TIME: Duration = Duration::from_millis(500);
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long after the request to stop callers are served as before. Look-ups that name this host
 /// have mostly expired by then; earlier, callers would come straight back.
-const FAREWELL: Duration = Duration::from_millis(1000);
+const CLOSE_DELAY: Duration = Duration::from_millis(1000);
 
 /// Part of the grace after which no new request is taken. What was taken has the other half to end.
-const TAKE_PART: f64 = 0.5;
+const ACCEPT_FRACTION: f64 = 0.5;
 
 /// Part of the grace after which the process ends whatever still runs.
-const END_PART: f64 = 0.9;
+const DRAIN_FRACTION: f64 = 0.9;
 
 /// How long a connection is read after its last answer. Callers close it when they see the end of
 /// the other direction, a round trip later; a request that arrives here is not answered any more,
 /// so the time must stay below what a caller may lose unnoticed.
-const LINGER: Duration = Duration::from_millis(120);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// How much longer than callers may leave a connection idle it is kept, so that it is never this
 /// side which closes first.
 const IDLE_SLACK: Duration = Duration::from_secs(2);
 
 /// Longest pause between two looks whether a connection is idle.
-const IDLE_PAUSE: Duration = Duration::from_secs(1);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Pause between two looks whether the last request has ended.
-const END_PAUSE: Duration = Duration::from_millis(20);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// State of the duty; one thread uses it.
 #[derive(Debug)]
 struct Front {
     shared: Arc<Shared>,
     /// Hash of this host's name.
-    seed: u64,
-    lanes: Lanes,
-    budgets: RefCell<BTreeMap<Arc<str>, RetryBudget>>,
-    forecasts: RefCell<BTreeMap<Arc<str>, LatencyEstimator>>,
+    name_hash: u64,
+    targets: TargetTable,
+    retry_budgets: RefCell<BTreeMap<Arc<str>, RetryBudget>>,
+    latencies: RefCell<BTreeMap<Arc<str>, LatencyEstimator>>,
     /// What the targets of each service answer.
-    bad: RefCell<BTreeMap<Arc<str>, FailureRate>>,
+    failure_rates: RefCell<BTreeMap<Arc<str>, FailureRate>>,
     /// What each service's requests found lately, by rank.
-    ranks: RefCell<BTreeMap<Arc<str>, PriorityShedder>>,
+    shedders: RefCell<BTreeMap<Arc<str>, PriorityShedder>>,
     /// Shortest time in which a connection to a target of a region was opened: the way there and back.
-    ways: RefCell<BTreeMap<Arc<str>, Duration>>,
-    say: Say,
+    region_rtts: RefCell<BTreeMap<Arc<str>, Duration>>,
+    request_log: RequestLog,
     /// Requests being served.
     running: Cell<u32>,
     /// Open connections of callers.
-    open: Cell<u32>,
+    open_callers: Cell<u32>,
     /// Those of them that are idle.
-    idle: Rc<Idle>,
+    idle_callers: Rc<IdleTracker>,
     /// Tokens for requests of workspaces.
     tokens: RefCell<Tokens>,
     /// Version of the configuration that `tokens` was last compared with.
-    limits_of: Cell<u64>,
+    pruned_version: Cell<u64>,
     /// Calls to other hosts.
     client: Client,
     /// Connections to targets.
-    links: Rc<Links>,
+    target_connections: Rc<ConnectionCounter>,
     /// Bytes of bodies being held.
-    bytes: RefCell<BodyBudget>,
+    body_budget: RefCell<BodyBudget>,
     /// Whether the connections were last seen near their bound.
-    pressed: Cell<bool>,
+    near_limit: Cell<bool>,
     /// When the host was asked to stop.
-    leaving: Cell<Option<Instant>>,
+    draining_since: Cell<Option<Instant>>,
 }
 
 /// Spawns the duty; it ends once a planned stop is over.
@@ -150,25 +150,25 @@
         }
     };
     let front = Rc::new(Front {
-        seed: hash::hash_str(&shared.settings.name),
-        lanes: Lanes::default(),
-        idle: Rc::default(),
-        links: Links::open(shared.settings.connections.max_idle()),
+        name_hash: hash::hash_str(&shared.settings.name),
+        targets: TargetTable::default(),
+        idle_callers: Rc::default(),
+        target_connections: ConnectionCounter::open(shared.settings.connections.max_idle()),
         tokens: RefCell::default(),
-        limits_of: Cell::new(0),
-        client: Client::open_from(Some(shared.settings.listen.peers.ip()), TOKEN_BYTES),
-        bytes: RefCell::new(BodyBudget::open(shared.settings.memory)),
-        pressed: Cell::new(false),
+        pruned_version: Cell::new(0),
+        client: Client::open_from(Some(shared.settings.listen.peers.ip()), MAX_TOKEN_BYTES),
+        body_budget: RefCell::new(BodyBudget::open(shared.settings.memory)),
+        near_limit: Cell::new(false),
         shared,
-        budgets: RefCell::default(),
-        forecasts: RefCell::default(),
-        bad: RefCell::default(),
-        ranks: RefCell::default(),
-        ways: RefCell::default(),
-        say: Say::open(),
+        retry_budgets: RefCell::default(),
+        latencies: RefCell::default(),
+        failure_rates: RefCell::default(),
+        shedders: RefCell::default(),
+        region_rtts: RefCell::default(),
+        request_log: RequestLog::open(),
         running: Cell::new(0),
-        open: Cell::new(0),
-        leaving: Cell::new(None),
+        open_callers: Cell::new(0),
+        draining_since: Cell::new(None),
     });
     let mut phase = front.shared.phase.subscribe();
     tokio::select! {
@@ -177,63 +177,63 @@
         // The sender is in `shared`.
         _ = phase.wait_for(|phase| *phase > Phase::Serving) => {}
     }
-    front.leaving.set(Some(Instant::now()));
+    front.draining_since.set(Some(Instant::now()));
     tokio::select! {
         () = accept::accept(&front, &listener) => {}
-        () = ended(&front) => {}
+        () = drained(&front) => {}
     }
 }
 
 /// Waits until a planned stop is over: no new request is taken and the last one has ended, or the
 /// grace has.
-async fn ended(front: &Front) {
+async fn drained(front: &Front) {
     let grace = front.shared.reloadable.load().grace;
-    tokio::time::sleep(grace.mul_f64(TAKE_PART)).await;
-    let end = Instant::now() + grace.mul_f64(END_PART - TAKE_PART);
-    while front.running.get() > 0 && Instant::now() < end {
-        tokio::time::sleep(END_PAUSE).await;
+    tokio::time::sleep(grace.mul_f64(ACCEPT_FRACTION)).await;
+    let deadline = Instant::now() + grace.mul_f64(DRAIN_FRACTION - ACCEPT_FRACTION);
+    while front.running.get() > 0 && Instant::now() < deadline {
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
     // Answers that are ready are still being written.
-    tokio::time::sleep(END_PAUSE * 2).await;
+    tokio::time::sleep(DRAIN_CHECK_INTERVAL * 2).await;
 }
 
 impl Front {
     /// Whether new requests are turned away, as the host ends soon.
-    fn is_closing(&self) -> bool {
-        let take = self.shared.reloadable.load().grace.mul_f64(TAKE_PART);
-        self.leaving
+    fn rejects_new(&self) -> bool {
+        let take = self.shared.reloadable.load().grace.mul_f64(ACCEPT_FRACTION);
+        self.draining_since
             .get()
             .is_some_and(|since| since.elapsed() >= take)
     }
 
     /// Whether connections end with the next answer.
-    fn says_farewell(&self) -> bool {
-        self.leaving
+    fn closes_connections(&self) -> bool {
+        self.draining_since
             .get()
-            .is_some_and(|since| since.elapsed() >= FAREWELL)
+            .is_some_and(|since| since.elapsed() >= CLOSE_DELAY)
     }
 }
 
 /// Counts an open connection of a caller.
-struct Open(Rc<Front>);
+struct OpenGuard(Rc<Front>);
 
-impl Open {
-    fn count(front: &Rc<Front>) -> Open {
-        front.open.set(front.open.get() + 1);
-        Open(Rc::clone(front))
+impl OpenGuard {
+    fn count(front: &Rc<Front>) -> OpenGuard {
+        front.open_callers.set(front.open_callers.get() + 1);
+        OpenGuard(Rc::clone(front))
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_callers.set(self.0.open_callers.get() - 1);
     }
 }
 
 /// Serves a connection that has waited for `waited` in the listen queue; where the host is full, its
 /// request is refused.
-async fn connection(front: Rc<Front>, stream: TcpStream, waited: Duration, is_full: bool) {
-    let _open = Open::count(&front);
+async fn serve_connection(front: Rc<Front>, stream: TcpStream, waited: Duration, is_full: bool) {
+    let _open = OpenGuard::count(&front);
     if let Err(e) = stream.set_nodelay(true) {
         log::debug!(target: "host", error:% = e; "a caller's connection cannot be set up");
         return;
@@ -244,40 +244,43 @@
         .load()
         .config
         .as_ref()
-        .map_or(LIMITS, |c| c.limits.clone());
-    let conn = Conn {
-        wire: CallerStream::open(stream),
-        ahead: Ahead::default(),
+        .map_or(DEFAULT_LIMITS, |c| c.limits.clone());
+    let connection = CallerConnection {
+        stream: CallerStream::open(stream),
+        pipeline: Pipeline::default(),
         waited: Cell::new(waited),
         is_full,
     };
-    let wire = conn.wire.clone();
-    let usage = Usage::open(&front.idle);
+    let caller_stream = connection.stream.clone();
+    let usage = ConnectionUsage::open(&front.idle_callers);
     let idle_time = if is_full {
-        FULL_TIME
+        REFUSAL_TIMEOUT
     } else {
         limits.idle + IDLE_SLACK
     };
     let service = service_fn(|request: Request<Incoming>| {
         let used = usage.start();
         // At once, before the library reads on: behind a request without a body the next one begins.
-        let hold = request.body().is_end_stream().then(|| wire.hold());
-        let served = request::serve(&front, &conn, request);
+        let pause = request
+            .body()
+            .is_end_stream()
+            .then(|| caller_stream.pause_reads());
+        let served = request::serve(&front, &connection, request);
         async move {
-            let _guards = (used, hold);
+            let _guards = (used, pause);
             served.await
         }
     });
     // The library's own time for a head counts the pause between two requests as part of the second
     // head, and closes without a word; so idle connections are ended here.
     let served = http1::Builder::new()
-        .max_buf_size(limits.head.max(LEAST_BUFFER))
-        .serve_connection(TokioIo::new(wire.clone()), service);
+        .max_buf_size(limits.head.max(MIN_BUFFER))
+        .serve_connection(TokioIo::new(caller_stream.clone()), service);
     let served = tokio::select! {
         served = served => served,
         () = usage.idle_for(idle_time) => Ok(()),
     };
-    wire.linger(LINGER).await;
+    caller_stream.linger(LINGER_TIMEOUT).await;
     if let Err(e) = served {
         log::debug!(target: "host", error:% = e; "a caller's connection ended early");
     }
--- a/crates/edge/src/front/pipeline.rs
+++ b/crates/edge/src/front/pipeline.rs
@@ -11,59 +11,61 @@
 use http::{HeaderName, HeaderValue, Method, Request, header, request::Parts};
 use tokio::task::JoinHandle;
 
-use super::{Front, caller_stream::CallerStream, request::Gone, response::End, select};
+use super::{
+    Front, caller_stream::CallerStream, request::CallerGone, response::RequestEnd, select,
+};
 
 /// Requests of one connection that are begun ahead: callers send a few at once, and one that sends
 /// more must not take all slots.
-const MOST: usize = 8;
+const MAX_PIPELINED: usize = 8;
 
 /// Header fields of a request that is begun ahead; one with more waits for its turn.
-const FIELDS: usize = 32;
+const MAX_PIPELINED_FIELDS: usize = 32;
 
 /// Requests of one connection that were begun ahead of their turn.
 #[derive(Debug, Default)]
-pub(super) struct Ahead {
-    begun: RefCell<BTreeMap<Arc<str>, Begun>>,
+pub(super) struct Pipeline {
+    started: RefCell<BTreeMap<Arc<str>, PipelinedRequest>>,
 }
 
 /// A run that was begun ahead. Dropped before its turn, it is cancelled: its caller is gone.
 #[derive(Debug)]
-struct Begun {
+struct PipelinedRequest {
     method: Method,
     target: String,
     /// The run; `None` once its turn has come.
-    task: Option<JoinHandle<End>>,
+    task: Option<JoinHandle<RequestEnd>>,
     front: Rc<Front>,
     id: Arc<str>,
 }
 
-impl Drop for Begun {
+impl Drop for PipelinedRequest {
     fn drop(&mut self) {
         if let Some(task) = &self.task {
             task.abort();
-            self.front.left(&self.id, Duration::ZERO);
+            self.front.log_cancelled(&self.id, Duration::ZERO);
         }
     }
 }
 
-impl Ahead {
+impl Pipeline {
     /// Whether requests are begun whose turn has not come.
     pub(super) fn is_empty(&self) -> bool {
-        self.begun.borrow().is_empty()
+        self.started.borrow().is_empty()
     }
 
     /// The end of a request, if it was begun ahead.
-    pub(super) async fn take(&self, id: &str, head: &Parts) -> Option<End> {
-        let mut begun = self.begun.borrow_mut().remove(id)?;
+    pub(super) async fn take(&self, id: &str, head: &Parts) -> Option<RequestEnd> {
+        let mut started = self.started.borrow_mut().remove(id)?;
         let target = head
             .uri
             .path_and_query()
             .map(http::uri::PathAndQuery::as_str);
-        if begun.method != head.method || target != Some(&begun.target) {
+        if started.method != head.method || target != Some(&started.target) {
             return None;
         }
-        let task = begun.task.take()?;
-        let _abort = Abort(task.abort_handle());
+        let task = started.task.take()?;
+        let _abort = AbortOnDrop(task.abort_handle());
         // A run that was aborted or panicked has no end; the request is then run in its turn.
         task.await.ok()
     }
@@ -73,26 +75,31 @@
     ///
     /// A body that arrives in pieces is read ahead as well. Were its second piece taken for a request,
     /// a caller could have anything run in another one's name.
-    pub(super) async fn watch(&self, front: &Rc<Front>, wire: &CallerStream, begins: bool) -> Gone {
+    pub(super) async fn watch(
+        &self,
+        front: &Rc<Front>,
+        stream: &CallerStream,
+        at_request_start: bool,
+    ) -> CallerGone {
         loop {
-            while begins && wire.look(|bytes| self.begin(front, bytes)) {}
-            if !wire.more().await {
-                return Gone;
+            while at_request_start && stream.parse_ahead(|bytes| self.start(front, bytes)) {}
+            if !stream.wait_for_more().await {
+                return CallerGone;
             }
         }
     }
 
     /// Begins the request at the start of `bytes`, if it is whole and may run ahead. Tells its
     /// length; nothing behind a request that waits for its turn is looked at.
-    fn begin(&self, front: &Rc<Front>, bytes: &[u8]) -> usize {
-        if front.leaving.get().is_some() || self.begun.borrow().len() >= MOST {
+    fn start(&self, front: &Rc<Front>, bytes: &[u8]) -> usize {
+        if front.draining_since.get().is_some() || self.started.borrow().len() >= MAX_PIPELINED {
             return 0;
         }
         let Some((head, length)) = parse(bytes) else {
             return 0;
         };
         let id = front.id_of(&head.headers);
-        if !front.may_begin(&head) || self.begun.borrow().contains_key(&id) {
+        if !front.may_start_early(&head) || self.started.borrow().contains_key(&id) {
             return 0;
         }
         let method = head.method.clone();
@@ -105,23 +112,23 @@
             tokio::task::spawn_local(
                 async move { running.answer(head, None, Duration::ZERO).await },
             );
-        let (front, begun) = (Rc::clone(front), Arc::clone(&id));
-        let begun = Begun {
+        let (front, started) = (Rc::clone(front), Arc::clone(&id));
+        let started = PipelinedRequest {
             method,
             target,
             task: Some(task),
             front,
-            id: begun,
+            id: started,
         };
-        self.begun.borrow_mut().insert(id, begun);
+        self.started.borrow_mut().insert(id, started);
         length
     }
 }
 
 /// Ends a task when dropped.
-struct Abort(tokio::task::AbortHandle);
+struct AbortOnDrop(tokio::task::AbortHandle);
 
-impl Drop for Abort {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -130,7 +137,7 @@
 impl Front {
     /// Whether a request may run before its turn: only one that may run again, since its caller
     /// sends it anew if the connection ends before it is answered.
-    fn may_begin(&self, head: &Parts) -> bool {
+    fn may_start_early(&self, head: &Parts) -> bool {
         let view = self.shared.view.load();
         let route = select::route(&view, &head.headers, &head.uri);
         route.is_some_and(|route| route.repeatable)
@@ -139,7 +146,7 @@
 
 /// Parses a whole head of a request without a body.
 fn parse(bytes: &[u8]) -> Option<(Parts, usize)> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_PIPELINED_FIELDS];
     let mut head = httparse::Request::new(&mut fields);
     let length = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
@@ -156,13 +163,13 @@
             .headers_mut()
             .append(name, HeaderValue::from_bytes(field.value).ok()?);
     }
-    let apart = [
+    let not_pipelined = [
         header::CONTENT_LENGTH,
         header::TRANSFER_ENCODING,
         header::CONNECTION,
         header::EXPECT,
     ];
-    if apart
+    if not_pipelined
         .iter()
         .any(|name| request.headers().contains_key(name))
     {
--- a/crates/edge/src/front/request.rs
+++ b/crates/edge/src/front/request.rs
@@ -16,13 +16,13 @@
 
 use super::{
     Front,
-    access::Rights,
-    attempt::{Tried, Work},
+    access::Access,
+    attempt::{AttemptResult, OutboundRequest},
     caller_stream::CallerStream,
-    connection::strip,
-    pipeline::Ahead,
-    response::{End, answered, late, lost, refuse, whole_body},
-    select::{self, NoPlace, Place},
+    connection::strip_hop_by_hop,
+    pipeline::Pipeline,
+    response::{RequestEnd, answered, late, lost, read_body, refuse},
+    select::{self, NoTarget, SelectedTarget},
     tokens::Token,
 };
 use crate::{
@@ -33,60 +33,60 @@
 
 /// When a caller is told to come back after a refusal for want of room, at least: a target's slot
 /// frees within this time.
-pub(super) const LEAST_RETRY: Duration = Duration::from_millis(100);
+pub(super) const MIN_BACKOFF: Duration = Duration::from_millis(100);
 
 /// And at most: longer, and callers with short deadlines would not come back at all.
-pub(super) const MOST_RETRY: Duration = Duration::from_secs(1);
+pub(super) const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// When a caller is told to come back while this host cannot serve and another may.
-pub(super) const OTHER_HOST: Duration = Duration::from_millis(50);
+pub(super) const OTHER_HOST_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// When a caller is told to come back to a host that is full: idle connections are closed, and runs end,
 /// within this time.
-const FULL_RETRY: Duration = Duration::from_millis(250);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// How late an answer may be expected and still be worth a slot, in objectives of its route. While
 /// there is more to do than slots, a late answer makes the next one late as well.
-const PATIENCE: f64 = 2.5;
+const MAX_WAIT_OBJECTIVES: f64 = 2.5;
 
 /// Least time that must be left for another run to be of use.
-const LEAST_RUN: Duration = Duration::from_millis(50);
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(50);
 
 /// The caller closed its connection.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 #[error("the caller has left")]
-pub(super) struct Gone;
+pub(super) struct CallerGone;
 
 /// What the attempts of a request have led to.
 #[derive(Debug, Default)]
-struct Course {
+struct RetryState {
     /// Targets that were asked.
     tried: BTreeSet<Arc<str>>,
     /// Those of them that are not asked again.
-    passed: BTreeSet<Arc<str>>,
+    excluded: BTreeSet<Arc<str>>,
     /// Attempts that reached a target.
-    arrived: u32,
+    delivered: u32,
     /// Whether one of them may have run the request.
-    ran: bool,
+    may_have_run: bool,
     /// What the request needs to run, where its workspace has a limit.
     token: Option<Token>,
     /// Whether the request is counted among those that the retry budget follows.
-    counted: bool,
+    in_budget: bool,
 }
 
-impl Course {
+impl RetryState {
     /// Notes whether the request's token is spent.
-    fn spend(&self, is_spent: bool) {
+    fn set_spent(&self, is_spent: bool) {
         if let Some(token) = &self.token {
-            token.spend(is_spent);
+            token.set_spent(is_spent);
         }
     }
 
     /// Gives up. Only a request that certainly has not run is refused with the promise that it
     /// never will.
-    fn give_up(&self, cause: &str, retry: Duration) -> End {
-        match self.ran {
+    fn give_up(&self, cause: &str, retry: Duration) -> RequestEnd {
+        match self.may_have_run {
             true => lost(cause.to_owned()),
             false => refuse(cause, retry),
         }
@@ -94,31 +94,31 @@
 }
 
 /// Counts a request while it is served.
-struct Running<'a>(&'a Front);
+struct RunningGuard<'a>(&'a Front);
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
     }
 }
 
 /// Room for the body of a request, given back when dropped.
-struct BodyRoom<'a> {
+struct BodyPermit<'a> {
     front: &'a Front,
     bytes: u64,
 }
 
-impl Drop for BodyRoom<'_> {
+impl Drop for BodyPermit<'_> {
     fn drop(&mut self) {
-        self.front.bytes.borrow_mut().release(self.bytes);
+        self.front.body_budget.borrow_mut().release(self.bytes);
     }
 }
 
 /// A caller's connection.
 #[derive(Debug)]
-pub(super) struct Conn {
-    pub(super) wire: CallerStream,
-    pub(super) ahead: Ahead,
+pub(super) struct CallerConnection {
+    pub(super) stream: CallerStream,
+    pub(super) pipeline: Pipeline,
     /// How long the first request may have waited before the connection was accepted.
     pub(super) waited: Cell<Duration>,
     /// Whether the host was full when the connection was opened: it is refused and closed.
@@ -128,50 +128,55 @@
 /// Serves one request; an error closes the connection.
 pub(super) async fn serve(
     front: &Rc<Front>,
-    conn: &Conn,
+    connection: &CallerConnection,
     request: Request<Incoming>,
-) -> Result<Response<Full<Bytes>>, Gone> {
+) -> Result<Response<Full<Bytes>>, CallerGone> {
     front.running.set(front.running.get() + 1);
-    let _running = Running(front);
+    let _running = RunningGuard(front);
     let start = front.shared.now();
     let id = front.id_of(request.headers());
     let (head, body) = request.into_parts();
-    let waited = conn.waited.take();
+    let waited = connection.waited.take();
     // A caller that gave up while its request lay unread wants no answer, and a run for it would take
     // a slot from one that does.
-    if conn.wire.is_closed() {
-        front.left_unread(&id, waited);
-        return Err(Gone);
+    if connection.stream.is_closed() {
+        front.log_left_unread(&id, waited);
+        return Err(CallerGone);
     }
-    let begins = body.is_end_stream();
+    let at_request_start = body.is_end_stream();
     let answer = async {
-        if conn.is_full {
-            return refuse("the host holds all connections that it may", FULL_RETRY);
+        if connection.is_full {
+            return refuse(
+                "the host holds all connections that it may",
+                FULL_RETRY_AFTER,
+            );
         }
-        match conn.ahead.take(&id, &head).await {
+        match connection.pipeline.take(&id, &head).await {
             Some(end) => end,
             None => front.answer(head, Some(body), waited).await,
         }
     };
     let answered = tokio::select! {
         end = answer => Ok(end),
-        gone = conn.ahead.watch(front, &conn.wire, begins) => Err(gone),
+        gone = connection.pipeline.watch(front, &connection.stream, at_request_start) => Err(gone),
     };
     let time = front.shared.now() - start;
     match answered {
         Ok(end) => {
-            front.told(&id, &end, time);
+            front.log_end(&id, &end, time);
             let mut response = end.response;
-            let closes =
-                front.says_farewell() || conn.is_full || front.is_tight() || front.is_outdated();
-            if closes && conn.ahead.is_empty() {
+            let closes = front.closes_connections()
+                || connection.is_full
+                || front.is_near_limit()
+                || front.keys_are_stale();
+            if closes && connection.pipeline.is_empty() {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
             }
             Ok(response)
         }
         Err(gone) => {
-            front.left(&id, time);
+            front.log_cancelled(&id, time);
             Err(gone)
         }
     }
@@ -191,36 +196,36 @@
         head: Parts,
         body: Option<Incoming>,
         waited: Duration,
-    ) -> End {
-        let trust = self.trust();
+    ) -> RequestEnd {
+        let freshness = self.key_freshness();
         let view = self.shared.view.load_full();
-        self.lanes.prune(&view);
+        self.targets.prune(&view);
         self.prune_tokens(&view);
-        if self.is_closing() {
+        if self.rejects_new() {
             return refuse("this host is about to end", Duration::ZERO);
         }
-        let presented = (self.shared.dialect.parse_credentials)(&head.headers);
-        let rights = match self.rights(&view, trust, &head.headers, &head.uri, presented) {
-            Ok(rights) => rights,
-            Err(e) => return self.turn_away(&e, &head.uri),
+        let credentials = (self.shared.dialect.parse_credentials)(&head.headers);
+        let access = match self.authorize(&view, freshness, &head.headers, &head.uri, credentials) {
+            Ok(access) => access,
+            Err(e) => return self.access_denied(&e, &head.uri),
         };
-        let left = self.left_of(&head.headers, &rights.route);
-        let left = left.saturating_sub(waited);
-        if left <= LEAST_RUN {
-            return refuse("too little time is left", OTHER_HOST);
+        let remaining = self.remaining_time(&head.headers, &access.route);
+        let remaining = remaining.saturating_sub(waited);
+        if remaining <= MIN_ATTEMPT_TIME {
+            return refuse("too little time is left", OTHER_HOST_RETRY_AFTER);
         }
-        let end = Instant::now() + left;
-        let most = view.config.as_ref().map_or(0, |c| c.limits.body);
-        let Some(_room) = self.body_room(body.as_ref(), most) else {
-            return refuse("the host holds all bodies that it may", FULL_RETRY);
+        let deadline = Instant::now() + remaining;
+        let max_bytes = view.config.as_ref().map_or(0, |c| c.limits.body);
+        let Some(_permit) = self.reserve_body(body.as_ref(), max_bytes) else {
+            return refuse("the host holds all bodies that it may", FULL_RETRY_AFTER);
         };
-        let body = match whole_body(body, most).await {
+        let body = match read_body(body, max_bytes).await {
             Ok(body) => body,
             Err(end) => return end,
         };
-        let work = self.work(head, presented, body, end);
-        let end = self.run(&work).await;
-        if let Some(workspace) = &rights.workspace {
+        let outbound = self.outbound_request(head, credentials, body, deadline);
+        let end = self.run(&outbound).await;
+        if let Some(workspace) = &access.workspace {
             let is_limited = end.outcome == Outcome::Limited;
             self.shared.meters.workspace(&workspace.name, is_limited);
         }
@@ -228,7 +233,7 @@
     }
 
     /// Time that the caller leaves, at most the route's.
-    fn left_of(&self, headers: &HeaderMap, route: &Route) -> Duration {
+    fn remaining_time(&self, headers: &HeaderMap, route: &Route) -> Duration {
         let left = headers.get(&self.shared.dialect.time_left);
         let left = left.and_then(|v| v.to_str().ok()?.trim().parse::<u64>().ok());
         left.map_or(route.timeout, Duration::from_millis)
@@ -236,48 +241,65 @@
     }
 
     /// Takes room for a body of the length that its head tells, or of the longest that is allowed.
-    fn body_room(&self, body: Option<&Incoming>, most: usize) -> Option<BodyRoom<'_>> {
-        let bytes = body.map_or(0, |body| body.size_hint().upper().unwrap_or(most as u64));
-        let bytes = bytes.min(most as u64);
-        let has_room = self.bytes.borrow_mut().try_reserve(bytes);
-        has_room.then_some(BodyRoom { front: self, bytes })
+    fn reserve_body(&self, body: Option<&Incoming>, max_bytes: usize) -> Option<BodyPermit<'_>> {
+        let bytes = body.map_or(0, |body| {
+            body.size_hint().upper().unwrap_or(max_bytes as u64)
+        });
+        let bytes = bytes.min(max_bytes as u64);
+        let is_reserved = self.body_budget.borrow_mut().try_reserve(bytes);
+        is_reserved.then_some(BodyPermit { front: self, bytes })
     }
 
-    fn work(&self, head: Parts, presented: Credentials, body: Bytes, end: Instant) -> Work {
+    fn outbound_request(
+        &self,
+        head: Parts,
+        credentials: Credentials,
+        body: Bytes,
+        deadline: Instant,
+    ) -> OutboundRequest {
         let id = self.id_of(&head.headers);
         let mut headers = head.headers;
-        strip(&mut headers);
+        strip_hop_by_hop(&mut headers);
         headers.remove(header::EXPECT);
-        Work {
+        OutboundRequest {
             id,
             method: head.method,
             uri: head.uri,
             headers,
-            presented,
+            credentials,
             body,
-            end,
-            unsaid: RefCell::default(),
+            deadline,
+            unlogged: RefCell::default(),
         }
     }
 
     /// Sends a request to targets until one answers, or it must be given up.
-    async fn run(self: &Rc<Front>, work: &Work) -> End {
-        let mut course = Course::default();
+    async fn run(self: &Rc<Front>, outbound: &OutboundRequest) -> RequestEnd {
+        let mut state = RetryState::default();
         loop {
             // What is believed may have changed since the last attempt, the route too.
-            let trust = self.trust();
+            let freshness = self.key_freshness();
             let view = self.shared.view.load_full();
-            let rights = self.rights(&view, trust, &work.headers, &work.uri, work.presented);
-            let ended = match &rights {
-                Ok(rights) => self.admitted(&view, rights, work, &mut course).await,
-                Err(e) if course.ran => Some(lost(e.to_string())),
-                Err(e) => Some(self.turn_away(e, &work.uri)),
+            let access = self.authorize(
+                &view,
+                freshness,
+                &outbound.headers,
+                &outbound.uri,
+                outbound.credentials,
+            );
+            let ended = match &access {
+                Ok(access) => {
+                    self.attempt_if_admitted(&view, access, outbound, &mut state)
+                        .await
+                }
+                Err(e) if state.may_have_run => Some(lost(e.to_string())),
+                Err(e) => Some(self.access_denied(e, &outbound.uri)),
             };
             if let Some(end) = ended {
-                let tried: Vec<_> = course.tried.iter().map(|id| &**id).collect();
-                return End {
+                let tried: Vec<_> = state.tried.iter().map(|id| &**id).collect();
+                return RequestEnd {
                     tried: tried.join(","),
-                    unsaid: work.unsaid.take(),
+                    unlogged: outbound.unlogged.take(),
                     ..end
                 };
             }
@@ -285,145 +307,159 @@
     }
 
     /// One attempt, if the workspace's limit lets the request run. One that may have run has been let.
-    async fn admitted(
+    async fn attempt_if_admitted(
         self: &Rc<Front>,
         view: &View,
-        rights: &Rights,
-        work: &Work,
-        course: &mut Course,
-    ) -> Option<End> {
-        let workspace = rights.workspace.as_ref().filter(|w| w.is_limited());
-        if let Some(workspace) = workspace.filter(|_| !course.ran) {
-            match self.admit(view, workspace, course.token.take()).await {
-                Ok(token) => course.token = Some(token),
+        access: &Access,
+        outbound: &OutboundRequest,
+        state: &mut RetryState,
+    ) -> Option<RequestEnd> {
+        let workspace = access.workspace.as_ref().filter(|w| w.is_limited());
+        if let Some(workspace) = workspace.filter(|_| !state.may_have_run) {
+            match self.admit(view, workspace, state.token.take()).await {
+                Ok(token) => state.token = Some(token),
                 Err(end) => return Some(end),
             }
         }
-        self.step(view, rights, work, course).await
+        self.step(view, access, outbound, state).await
     }
 
     /// One attempt; `None` where another may follow.
     async fn step(
         &self,
         view: &View,
-        rights: &Rights,
-        work: &Work,
-        course: &mut Course,
-    ) -> Option<End> {
-        let route = &rights.route;
-        if rights.is_homeless() {
-            return Some(
-                course.give_up("no region is a home of its route and workspace", MOST_RETRY),
-            );
+        access: &Access,
+        outbound: &OutboundRequest,
+        state: &mut RetryState,
+    ) -> Option<RequestEnd> {
+        let route = &access.route;
+        if access.has_no_region() {
+            return Some(state.give_up(
+                "no region is a home of its route and workspace",
+                MAX_BACKOFF,
+            ));
         }
-        let object = select::object(route, (self.shared.dialect.affinity_key)(&work.headers));
-        let Some(service) = select::part(route, object) else {
-            return Some(course.give_up("the route has no service", MOST_RETRY));
+        let hash =
+            select::affinity_hash(route, (self.shared.dialect.affinity_key)(&outbound.headers));
+        let Some(service) = select::pick_service(route, hash) else {
+            return Some(state.give_up("the route has no service", MAX_BACKOFF));
         };
-        if !std::mem::replace(&mut course.counted, true) {
-            self.first(service);
+        if !std::mem::replace(&mut state.in_budget, true) {
+            self.note_first_attempt(service);
         }
-        let place = match self.place(view, rights, service, object, &course.passed) {
-            Ok(place) => place,
-            Err(NoPlace::Nobody) => return Some(course.give_up("no target is left", MOST_RETRY)),
-            Err(NoPlace::Cold) => return Some(course.give_up("all targets are cold", MOST_RETRY)),
+        let selected = match self.select_target(view, access, service, hash, &state.excluded) {
+            Ok(selected) => selected,
+            Err(NoTarget::Absent) => return Some(state.give_up("no target is left", MAX_BACKOFF)),
+            Err(NoTarget::Cold) => return Some(state.give_up("all targets are cold", MAX_BACKOFF)),
         };
-        if let Some((cause, retry)) = self.hopeless(rights, service, &place, work) {
-            place.lane.aside.borrow_mut().cancel_probe();
-            return Some(course.give_up(&cause, retry));
+        if let Some((cause, retry)) = self.shed_cause(access, service, &selected, outbound) {
+            selected.handle.ejection.borrow_mut().cancel_probe();
+            return Some(state.give_up(&cause, retry));
         }
-        if course.arrived > 0 && !self.second(service, view.sharer_count(), rights.rank()) {
-            place.lane.aside.borrow_mut().cancel_probe();
-            return Some(course.give_up("the retry budget is spent", LEAST_RETRY));
+        if state.delivered > 0 && !self.try_retry(service, view.sharer_count(), access.priority()) {
+            selected.handle.ejection.borrow_mut().cancel_probe();
+            return Some(state.give_up("the retry budget is spent", MIN_BACKOFF));
         }
-        course.spend(true);
-        let tried = self.attempt(rights, &place, work).await;
-        let ran = !matches!(tried, Tried::Moved | Tried::Unsent(_) | Tried::Unrun(_));
-        course.spend(ran || course.ran);
-        self.settle(route, &place, work, course, tried)
+        state.set_spent(true);
+        let tried = self.attempt(access, &selected, outbound).await;
+        let may_have_run = !matches!(
+            tried,
+            AttemptResult::Rerouted | AttemptResult::NotSent(_) | AttemptResult::NotRun(_)
+        );
+        state.set_spent(may_have_run || state.may_have_run);
+        self.after_attempt(route, &selected, outbound, state, tried)
     }
 
     /// What follows from an attempt.
-    fn settle(
+    fn after_attempt(
         &self,
         route: &Route,
-        place: &Place,
-        work: &Work,
-        course: &mut Course,
-        tried: Tried,
-    ) -> Option<End> {
-        let target = &place.lane.target;
-        if !matches!(tried, Tried::Answered(_) | Tried::Moved) {
-            course.tried.insert(Arc::clone(&target.id));
+        selected: &SelectedTarget,
+        outbound: &OutboundRequest,
+        state: &mut RetryState,
+        tried: AttemptResult,
+    ) -> Option<RequestEnd> {
+        let target = &selected.handle.target;
+        if !matches!(tried, AttemptResult::Answered(_) | AttemptResult::Rerouted) {
+            state.tried.insert(Arc::clone(&target.id));
         }
-        let is_shed = matches!(tried, Tried::Unrun(_));
+        let is_shed = matches!(tried, AttemptResult::NotRun(_));
         let cause = match tried {
-            Tried::Answered(whole) => return Some(answered(whole)),
-            Tried::Late => return Some(late()),
-            Tried::Moved => return None,
-            Tried::Unsent(cause) => cause,
-            Tried::Unrun(cause) => {
-                course.arrived += 1;
+            AttemptResult::Answered(response) => return Some(answered(response)),
+            AttemptResult::TimedOut => return Some(late()),
+            AttemptResult::Rerouted => return None,
+            AttemptResult::NotSent(cause) => cause,
+            AttemptResult::NotRun(cause) => {
+                state.delivered += 1;
                 cause
             }
-            Tried::Lost(cause) => {
-                course.arrived += 1;
-                course.ran = true;
+            AttemptResult::Lost(cause) => {
+                state.delivered += 1;
+                state.may_have_run = true;
                 cause
             }
         };
         // Where all targets shed, its own one is no worse than another, and has the object at hand.
-        if !is_shed || !self.is_bad_common(&target.service) {
-            course.passed.insert(Arc::clone(&target.id));
+        if !is_shed || !self.failures_common(&target.service) {
+            state.excluded.insert(Arc::clone(&target.id));
         }
-        self.repeats(work, &cause, course.arrived);
-        let ended = course.arrived >= route.attempts || !has_time(work);
-        let once = course.ran && !route.repeatable;
-        (ended || once).then(|| course.give_up(&cause, LEAST_RETRY))
+        self.log_failed_attempt(outbound, &cause, state.delivered);
+        let ended = state.delivered >= route.attempts || !has_time(outbound);
+        let once = state.may_have_run && !route.repeatable;
+        (ended || once).then(|| state.give_up(&cause, MIN_BACKOFF))
     }
 
     /// Refuses at once what could not be answered before its caller leaves, and what would take the room
     /// of more urgent requests. Run all the same, it would take a slot from one that can.
-    fn hopeless(
+    fn shed_cause(
         &self,
-        rights: &Rights,
+        access: &Access,
         service: &Arc<str>,
-        place: &Place,
-        work: &Work,
+        selected: &SelectedTarget,
+        outbound: &OutboundRequest,
     ) -> Option<(String, Duration)> {
-        let (route, slots) = (&rights.route, place.lane.target.slots);
-        let left = work.end.saturating_duration_since(Instant::now());
-        let forecast = self.forecast(&route.name);
-        let whole = forecast.concurrency_limit(slots, left.min(route.objective.mul_f64(PATIENCE)));
-        let room = self.room_of(rights, service, place, whole);
-        if place.busy < room {
+        let (route, slots) = (&access.route, selected.handle.target.slots);
+        let remaining = outbound.deadline.saturating_duration_since(Instant::now());
+        let latency = self.latency(&route.name);
+        let limit = latency.concurrency_limit(
+            slots,
+            remaining.min(route.objective.mul_f64(MAX_WAIT_OBJECTIVES)),
+        );
+        let capacity = self.capacity_for(access, service, selected, limit);
+        if selected.busy < capacity {
             return None;
         }
-        let wait = forecast.queue_delay(place.busy, slots);
-        let why = match place.busy < whole {
+        let wait = latency.queue_delay(selected.busy, slots);
+        let why = match selected.busy < limit {
             true => ", the rest of its queue is for more urgent ones",
             false => "",
         };
         let cause = format!(
             "{} has {} for {slots} slots{why}",
-            place.lane.target.id, place.busy
+            selected.handle.target.id, selected.busy
         );
-        Some((cause, wait.clamp(LEAST_RETRY, MOST_RETRY)))
+        Some((cause, wait.clamp(MIN_BACKOFF, MAX_BACKOFF)))
     }
 
     /// Requests that a target may have for one more of a rank, where it may have `whole` for one of the
     /// most urgent.
-    fn room_of(&self, rights: &Rights, service: &Arc<str>, place: &Place, whole: u32) -> u32 {
-        let (now, rank) = (self.shared.now(), rights.rank());
-        let mut all = self.ranks.borrow_mut();
-        let ranks = all.entry(Arc::clone(service)).or_default();
-        let slots = place.lane.target.slots;
-        let room = ranks.concurrency_limit(rank, whole, slots, rand::random(), now);
-        ranks.record(rank, place.busy >= room, now);
-        room
+    fn capacity_for(
+        &self,
+        access: &Access,
+        service: &Arc<str>,
+        selected: &SelectedTarget,
+        limit: u32,
+    ) -> u32 {
+        let (now, priority) = (self.shared.now(), access.priority());
+        let mut shedders = self.shedders.borrow_mut();
+        let shedder = shedders.entry(Arc::clone(service)).or_default();
+        let slots = selected.handle.target.slots;
+        let capacity = shedder.concurrency_limit(priority, limit, slots, rand::random(), now);
+        shedder.record(priority, selected.busy >= capacity, now);
+        capacity
     }
 }
 
-fn has_time(work: &Work) -> bool {
-    work.end.saturating_duration_since(Instant::now()) > LEAST_RUN
+fn has_time(outbound: &OutboundRequest) -> bool {
+    outbound.deadline.saturating_duration_since(Instant::now()) > MIN_ATTEMPT_TIME
 }
--- a/crates/edge/src/front/request_log.rs
+++ b/crates/edge/src/front/request_log.rs
@@ -6,10 +6,13 @@
 use dunlinrock_node::clock::millis;
 use tokio::time::Instant;
 
-use super::{Front, access::Rights, attempt::Work, response::End, select::Place, targets::Lane};
+use super::{
+    Front, access::Access, attempt::OutboundRequest, response::RequestEnd, select::SelectedTarget,
+    targets::TargetHandle,
+};
 use crate::{
     model::Workspace,
-    trace::{Lines, Outcome, Told},
+    trace::{LineBudget, LineDecision, Outcome},
 };
 
 /// Lines a second on requests that end well, and on sends: a host at its usual load stays below.
@@ -28,10 +31,10 @@
 
 /// Budgets of lines.
 #[derive(Debug)]
-pub(super) struct Say {
-    usual: Lines,
-    failures: Lines,
-    refusals: Lines,
+pub(super) struct RequestLog {
+    usual: LineBudget,
+    failures: LineBudget,
+    refusals: LineBudget,
 }
 
 /// What a line is about; each kind has a budget of its own.
@@ -45,25 +48,25 @@
     Refusal,
 }
 
-impl Say {
-    pub(super) fn open() -> Say {
-        Say {
-            usual: Lines::open(USUAL_LINES),
-            failures: Lines::open(FAILURE_LINES),
-            refusals: Lines::open(REFUSAL_LINES),
+impl RequestLog {
+    pub(super) fn open() -> RequestLog {
+        RequestLog {
+            usual: LineBudget::open(USUAL_LINES),
+            failures: LineBudget::open(FAILURE_LINES),
+            refusals: LineBudget::open(REFUSAL_LINES),
         }
     }
 
-    fn asked(&self, kind: Kind, now: Duration) -> bool {
+    fn reserve_line(&self, kind: Kind, now: Duration) -> bool {
         let (budget, kind) = match kind {
             Kind::Usual => (&self.usual, "usual"),
             Kind::Failure => (&self.failures, "failures"),
             Kind::Refusal => (&self.refusals, "refusals"),
         };
-        match budget.ask(now) {
-            Told::Yes => true,
-            Told::No => false,
-            Told::After(dropped) => {
+        match budget.request(now) {
+            LineDecision::Yes => true,
+            LineDecision::No => false,
+            LineDecision::After(dropped) => {
                 log::warn!(target: "log", event = "dropped", kind = kind, lines = dropped; "lines were left out");
                 true
             }
@@ -86,7 +89,7 @@
     /// Age of the load that the target reported.
     load_age: Duration,
     /// Time that was left to the request.
-    left: Duration,
+    time_left: Duration,
     /// Number of the belief.
     change: u64,
     belief_age: Duration,
@@ -99,22 +102,22 @@
         self.workspace.as_ref().map_or("-", |w| &*w.name)
     }
 
-    fn say(&self, id: &str, now: Duration) {
+    fn log(&self, id: &str, now: Duration) {
         log::info!(
             target: "request", event = "sent", id = id, route = &*self.route, workspace = self.workspace(), to = &*self.to,
             rank = self.rank, busy = self.busy, slots = self.slots,
-            load_age_ms = millis(self.load_age), left_ms = millis(self.left),
+            load_age_ms = millis(self.load_age), left_ms = millis(self.time_left),
             change = self.change, belief_age_ms = millis(self.belief_age),
             held_ms = millis(now.saturating_sub(self.at)); "sent"
         );
     }
 
     /// The send and the answer in one line.
-    fn say_answered(&self, id: &str, end: &End, time: Duration) {
+    fn log_answered(&self, id: &str, end: &RequestEnd, time: Duration) {
         log::info!(
             target: "request", event = "answered", id = id, route = &*self.route, workspace = self.workspace(), to = &*self.to,
             rank = self.rank, busy = self.busy, slots = self.slots,
-            load_age_ms = millis(self.load_age), left_ms = millis(self.left),
+            load_age_ms = millis(self.load_age), left_ms = millis(self.time_left),
             change = self.change, belief_age_ms = millis(self.belief_age),
             status = end.response.status().as_u16(), time_ms = millis(time); "answered at once"
         );
@@ -122,8 +125,8 @@
 }
 
 impl Front {
-    pub(super) fn may_say(&self, kind: Kind) -> bool {
-        self.say.asked(kind, self.shared.now())
+    pub(super) fn may_log(&self, kind: Kind) -> bool {
+        self.request_log.reserve_line(kind, self.shared.now())
     }
 
     /// A request goes to a target.
@@ -131,69 +134,79 @@
     /// The line of one that may run once is written at once: if this host is killed, somebody will
     /// want to know whether it was sent. That of another one waits for the request's end, and is part
     /// of its line if it is answered at once, which is what nearly all are.
-    pub(super) fn sends(&self, rights: &Rights, place: &Place, work: &Work) {
-        let route = &rights.route;
+    pub(super) fn log_sent(
+        &self,
+        access: &Access,
+        selected: &SelectedTarget,
+        outbound: &OutboundRequest,
+    ) {
+        let route = &access.route;
         self.shared.meters.count("sent");
-        let (lane, now) = (&place.lane, self.shared.now());
+        let (handle, now) = (&selected.handle, self.shared.now());
         let sent = Sent {
             route: Arc::clone(&route.name),
-            workspace: rights.workspace.clone(),
-            to: Arc::clone(&lane.target.id),
-            rank: place.rank,
-            busy: place.busy,
-            slots: lane.target.slots,
-            load_age: lane.load_age(now),
-            left: work.end.saturating_duration_since(Instant::now()),
+            workspace: access.workspace.clone(),
+            to: Arc::clone(&handle.target.id),
+            rank: selected.rank,
+            busy: selected.busy,
+            slots: handle.target.slots,
+            load_age: handle.load_age(now),
+            time_left: outbound.deadline.saturating_duration_since(Instant::now()),
             change: self.shared.view.load().change,
             belief_age: self.shared.age(),
             at: now,
         };
-        if !route.repeatable && self.may_say(Kind::Usual) {
-            sent.say(&work.id, now);
+        if !route.repeatable && self.may_log(Kind::Usual) {
+            sent.log(&outbound.id, now);
         } else {
-            work.unsaid.borrow_mut().push(sent);
+            outbound.unlogged.borrow_mut().push(sent);
         }
     }
 
     /// A request is tried again, or given up, after an attempt failed.
-    pub(super) fn repeats(&self, work: &Work, cause: &str, arrived: u32) {
+    pub(super) fn log_failed_attempt(
+        &self,
+        outbound: &OutboundRequest,
+        cause: &str,
+        delivered: u32,
+    ) {
         self.shared.meters.count("attempt_failed");
-        self.say_held(&work.id, &work.unsaid.take(), Kind::Failure);
-        if self.may_say(Kind::Failure) {
+        self.log_held(&outbound.id, &outbound.unlogged.take(), Kind::Failure);
+        if self.may_log(Kind::Failure) {
             log::info!(
-                target: "request", event = "attempt_failed", id = &*work.id, cause = cause,
-                arrived = arrived; "an attempt failed"
+                target: "request", event = "attempt_failed", id = &*outbound.id, cause = cause,
+                arrived = delivered; "an attempt failed"
             );
         }
     }
 
     /// Writes the lines of sends that were held.
-    fn say_held(&self, id: &str, held: &[Sent], kind: Kind) {
-        for sent in held {
-            if self.may_say(kind) {
-                sent.say(id, self.shared.now());
+    fn log_held(&self, id: &str, unlogged: &[Sent], kind: Kind) {
+        for sent in unlogged {
+            if self.may_log(kind) {
+                sent.log(id, self.shared.now());
             }
         }
     }
 
     /// A request ended. One that failed keeps the lines of all its sends.
-    pub(super) fn told(&self, id: &Arc<str>, end: &End, time: Duration) {
+    pub(super) fn log_end(&self, id: &Arc<str>, end: &RequestEnd, time: Duration) {
         self.shared.meters.count(end.outcome.name());
         self.shared.meters.time("time", time);
-        let fails = end.outcome != Outcome::Answered;
-        if let ([sent], false) = (&*end.unsaid, fails) {
-            if self.may_say(Kind::Usual) {
-                sent.say_answered(id, end, time);
+        let is_failure = end.outcome != Outcome::Answered;
+        if let ([sent], false) = (&*end.unlogged, is_failure) {
+            if self.may_log(Kind::Usual) {
+                sent.log_answered(id, end, time);
             }
             return;
         }
-        let kind = match fails {
+        let kind = match is_failure {
             false => Kind::Usual,
-            true if end.tried.is_empty() && end.unsaid.is_empty() => Kind::Refusal,
+            true if end.tried.is_empty() && end.unlogged.is_empty() => Kind::Refusal,
             true => Kind::Failure,
         };
-        self.say_held(id, &end.unsaid, kind);
-        if self.may_say(kind) {
+        self.log_held(id, &end.unlogged, kind);
+        if self.may_log(kind) {
             log::info!(
                 target: "request", event = end.outcome.name(), id = &**id, cause = &*end.cause,
                 tried = &*end.tried,
@@ -204,9 +217,9 @@
     }
 
     /// The caller left before its answer.
-    pub(super) fn left(&self, id: &Arc<str>, time: Duration) {
+    pub(super) fn log_cancelled(&self, id: &Arc<str>, time: Duration) {
         self.shared.meters.count("cancelled");
-        if self.may_say(Kind::Failure) {
+        if self.may_log(Kind::Failure) {
             log::info!(
                 target: "request", event = "cancelled", id = &**id, time_ms = millis(time);
                 "the caller has left"
@@ -215,9 +228,9 @@
     }
 
     /// The caller left before its request was read.
-    pub(super) fn left_unread(&self, id: &Arc<str>, waited: Duration) {
+    pub(super) fn log_left_unread(&self, id: &Arc<str>, waited: Duration) {
         self.shared.meters.count("left_unread");
-        if self.may_say(Kind::Refusal) {
+        if self.may_log(Kind::Refusal) {
             log::info!(
                 target: "request", event = "left_unread", id = &**id, waited_ms = millis(waited);
                 "the caller had left before its request was read"
@@ -226,45 +239,45 @@
     }
 
     /// A target is newly set aside.
-    pub(super) fn set_aside(&self, lane: &Lane, evidence: Evidence) {
+    pub(super) fn log_ejected(&self, handle: &TargetHandle, evidence: Evidence) {
         self.shared.meters.count("set_aside");
         log::info!(
-            target: "belief", event = "set_aside", to = &*lane.target.id, evidence:? = evidence;
+            target: "belief", event = "set_aside", to = &*handle.target.id, evidence:? = evidence;
             "a target is set aside"
         );
     }
 
-    pub(super) fn forecast(&self, route: &Arc<str>) -> LatencyEstimator {
-        self.forecasts
+    pub(super) fn latency(&self, route: &Arc<str>) -> LatencyEstimator {
+        self.latencies
             .borrow()
             .get(route)
             .copied()
             .unwrap_or_default()
     }
 
-    pub(super) fn note_time(&self, route: &Arc<str>, time: Duration, place: &Place) {
+    pub(super) fn record_time(&self, route: &Arc<str>, time: Duration, selected: &SelectedTarget) {
         self.shared.meters.time("run", time);
-        let mut forecasts = self.forecasts.borrow_mut();
-        let forecast = forecasts.entry(Arc::clone(route)).or_default();
-        forecast.record(time, place.busy, place.lane.target.slots);
+        let mut latencies = self.latencies.borrow_mut();
+        let latency = latencies.entry(Arc::clone(route)).or_default();
+        latency.record(time, selected.busy, selected.handle.target.slots);
     }
 
-    pub(super) fn first(&self, service: &Arc<str>) {
+    pub(super) fn note_first_attempt(&self, service: &Arc<str>) {
         let rules = self.shared.reloadable.load().budget;
         self.budget(service)
             .record_request(&rules, self.shared.now());
     }
 
-    pub(super) fn second(&self, service: &Arc<str>, hosts: usize, rank: u8) -> bool {
+    pub(super) fn try_retry(&self, service: &Arc<str>, hosts: usize, priority: u8) -> bool {
         let rules = self.shared.reloadable.load().budget;
         let now = self.shared.now();
         self.budget(service)
-            .try_retry(&rules, hosts, rank, rand::random(), now)
+            .try_retry(&rules, hosts, priority, rand::random(), now)
     }
 
     fn budget(&self, service: &Arc<str>) -> RefMut<'_, RetryBudget> {
-        RefMut::map(self.budgets.borrow_mut(), |budgets| {
-            let budget = budgets.entry(Arc::clone(service));
+        RefMut::map(self.retry_budgets.borrow_mut(), |retry_budgets| {
+            let budget = retry_budgets.entry(Arc::clone(service));
             budget.or_insert_with(|| match self.shared.settings.first_start {
                 true => RetryBudget::open(),
                 false => RetryBudget::open_restarted(START),
--- a/crates/edge/src/front/response.rs
+++ b/crates/edge/src/front/response.rs
@@ -8,30 +8,33 @@
 use hyper::body::Incoming;
 
 use super::{
-    access::NoRights,
-    connection::{Whole, pass_on},
+    access::AccessError,
+    connection::{BufferedResponse, into_response},
     request_log::Sent,
 };
 use crate::trace::Outcome;
 
 /// How a request ended, for logs and metrics.
 #[derive(Debug)]
-pub(super) struct End {
+pub(super) struct RequestEnd {
     pub(super) outcome: Outcome,
     pub(super) cause: String,
     /// Targets that were tried, in the order of their ids.
     pub(super) tried: String,
     /// Sends that no log line tells yet.
-    pub(super) unsaid: Vec<Sent>,
+    pub(super) unlogged: Vec<Sent>,
     pub(super) response: Response<Full<Bytes>>,
 }
 
 /// Reads a body of at most `most` bytes.
-pub(super) async fn whole_body(body: Option<Incoming>, most: usize) -> Result<Bytes, End> {
+pub(super) async fn read_body(
+    body: Option<Incoming>,
+    max_bytes: usize,
+) -> Result<Bytes, RequestEnd> {
     let Some(body) = body else {
         return Ok(Bytes::new());
     };
-    match Limited::new(body, most).collect().await {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => Err(plain(
             StatusCode::PAYLOAD_TOO_LARGE,
@@ -47,12 +50,12 @@
 }
 
 /// No route of the configuration in force takes the request.
-pub(super) fn no_route(uri: &Uri) -> End {
+pub(super) fn no_route(uri: &Uri) -> RequestEnd {
     plain(StatusCode::NOT_FOUND, Outcome::NoRoute, uri.to_string())
 }
 
 /// The caller is not known.
-pub(super) fn unauthorized(cause: &NoRights, challenge: &'static str) -> End {
+pub(super) fn unauthorized(cause: &AccessError, challenge: &'static str) -> RequestEnd {
     let mut end = plain(
         StatusCode::UNAUTHORIZED,
         Outcome::Unauthorized,
@@ -65,36 +68,36 @@
 }
 
 /// A target answered.
-pub(super) fn answered(whole: Whole) -> End {
-    let outcome = match whole.status {
+pub(super) fn answered(buffered: BufferedResponse) -> RequestEnd {
+    let outcome = match buffered.status {
         status if status.is_success() => Outcome::Answered,
         _ => Outcome::FailedAtTarget,
     };
-    let cause = whole.status.as_u16().to_string();
-    End {
+    let cause = buffered.status.as_u16().to_string();
+    RequestEnd {
         outcome,
         cause,
         tried: String::new(),
-        unsaid: Vec::new(),
-        response: pass_on(whole),
+        unlogged: Vec::new(),
+        response: into_response(buffered),
     }
 }
 
 /// An answer of this host's own.
-fn plain(status: StatusCode, outcome: Outcome, cause: String) -> End {
+fn plain(status: StatusCode, outcome: Outcome, cause: String) -> RequestEnd {
     let mut response = Response::new(Full::new(Bytes::from(format!("{}\n", outcome.name()))));
     *response.status_mut() = status;
-    End {
+    RequestEnd {
         outcome,
         cause,
         tried: String::new(),
-        unsaid: Vec::new(),
+        unlogged: Vec::new(),
         response,
     }
 }
 
 /// The request has not run and never will; the caller may come back.
-pub(super) fn refuse(cause: &str, retry: Duration) -> End {
+pub(super) fn refuse(cause: &str, retry: Duration) -> RequestEnd {
     let mut end = plain(
         StatusCode::SERVICE_UNAVAILABLE,
         Outcome::Refused,
@@ -110,20 +113,20 @@
 }
 
 /// The workspace's limit is used up: the request has not run and never will.
-pub(super) fn limited(workspace: &str, due: Duration) -> End {
-    let mut end = refuse(&format!("{workspace} is at its limit"), due);
+pub(super) fn limited(workspace: &str, retry_after: Duration) -> RequestEnd {
+    let mut end = refuse(&format!("{workspace} is at its limit"), retry_after);
     *end.response.status_mut() = StatusCode::TOO_MANY_REQUESTS;
     end.outcome = Outcome::Limited;
     end
 }
 
 /// Nobody knows whether the request ran.
-pub(super) fn lost(cause: String) -> End {
+pub(super) fn lost(cause: String) -> RequestEnd {
     plain(StatusCode::BAD_GATEWAY, Outcome::Lost, cause)
 }
 
 /// The request was sent and its time is over.
-pub(super) fn late() -> End {
+pub(super) fn late() -> RequestEnd {
     plain(
         StatusCode::GATEWAY_TIMEOUT,
         Outcome::Late,
--- a/crates/edge/src/front/select.rs
+++ b/crates/edge/src/front/select.rs
@@ -12,7 +12,7 @@
 
 use http::{HeaderMap, Uri, header};
 
-use super::{Front, access::Rights, targets::Lane};
+use super::{Front, access::Access, targets::TargetHandle};
 use crate::{
     model::Route,
     replica::{KnownTarget, View},
@@ -21,31 +21,31 @@
 /// Time after its start in which a host sends single requests to cold targets. Hosts that start
 /// together know only of themselves at first, and each would take the whole rate for its own; in
 /// this time their entries are in the store and back from it.
-const FRESH_TIME: Duration = Duration::from_secs(3);
+const START_CAUTION_TIME: Duration = Duration::from_secs(3);
 
 /// Why no target can take a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NoPlace {
+pub(super) enum NoTarget {
     /// None is known in the regions that may run it.
-    Nobody,
+    Absent,
     /// All that are left are cold and have had their share.
     Cold,
 }
 
 /// A picked target and what decided.
 #[derive(Debug)]
-pub(super) struct Place {
-    pub(super) lane: Rc<Lane>,
+pub(super) struct SelectedTarget {
+    pub(super) handle: Rc<TargetHandle>,
     /// Region of the target.
     pub(super) region: Arc<str>,
     pub(super) rank: usize,
     pub(super) busy: u32,
     /// Number of the view that it was picked by.
-    pub(super) number: u64,
+    pub(super) change: u64,
 }
 
 /// Identifies an object on a route: a run on one route does not warm another.
-pub(super) fn object(route: &Route, name: Option<&str>) -> u64 {
+pub(super) fn affinity_hash(route: &Route, name: Option<&str>) -> u64 {
     match name {
         Some(name) => mix64(hash_str(name) ^ mix64(hash_str(&route.prefix))),
         None => rand::random(),
@@ -54,12 +54,12 @@
 
 /// The part of a route that an object belongs to. Objects keep their part while weights stay, and
 /// a change of weights moves only the difference.
-pub(super) fn part(route: &Route, object: u64) -> Option<&Arc<str>> {
+pub(super) fn pick_service(route: &Route, affinity_hash: u64) -> Option<&Arc<str>> {
     let total: f64 = route.parts.iter().map(|p| p.weight).sum();
-    let mut point = to_unit_f64(mix64(object)) * total;
+    let mut hash = to_unit_f64(mix64(affinity_hash)) * total;
     for part in &route.parts {
-        point -= part.weight;
-        if point < 0.0 {
+        hash -= part.weight;
+        if hash < 0.0 {
             return Some(&part.service);
         }
     }
@@ -68,48 +68,52 @@
 
 impl Front {
     /// Picks a target of a service for an object; targets in `tried` are left out.
-    pub(super) fn place(
+    pub(super) fn select_target(
         &self,
         view: &View,
-        rights: &Rights,
+        access: &Access,
         service: &Arc<str>,
-        object: u64,
-        tried: &BTreeSet<Arc<str>>,
-    ) -> Result<Place, NoPlace> {
-        let route = &*rights.route;
+        affinity_hash: u64,
+        excluded: &BTreeSet<Arc<str>>,
+    ) -> Result<SelectedTarget, NoTarget> {
+        let route = &*access.route;
         let now = self.shared.now();
         let all = view.services.get(service).map_or(&[][..], Vec::as_slice);
-        let known: Vec<_> = all.iter().filter(|k| allows(rights, k, tried)).collect();
-        let lanes: Vec<_> = known.iter().map(|k| self.lanes.get(&k.target)).collect();
+        let known: Vec<_> = all.iter().filter(|k| allows(access, k, excluded)).collect();
+        let handles: Vec<_> = known.iter().map(|k| self.targets.get(&k.target)).collect();
         let mut candidates: Vec<_> = known
             .iter()
-            .zip(&lanes)
-            .map(|(known, lane)| self.candidate(route, known, lane, now))
+            .zip(&handles)
+            .map(|(known, handle)| self.candidate(route, known, handle, now))
             .collect();
-        let mut held: Vec<usize> = Vec::new();
-        let point = if route.sticky { object } else { rand::random() };
-        while let Some(Choice { index, rank }) = pick(route, point, &candidates, &held) {
+        let mut rate_limited: Vec<usize> = Vec::new();
+        let hash = if route.sticky {
+            affinity_hash
+        } else {
+            rand::random()
+        };
+        while let Some(Choice { index, rank }) = pick(route, hash, &candidates, &rate_limited) {
             let cold = known[index].cold_until > now;
-            if cold && !self.admits_cold(view, service, &lanes[index], now) {
-                held.push(index);
+            if cold && !self.admits_cold(view, service, &handles[index], now) {
+                rate_limited.push(index);
                 candidates[index].healthy = false;
                 continue;
             }
             let busy = candidates[index].busy;
-            lanes[index].aside.borrow_mut().on_start(now);
-            let lane = Rc::clone(&lanes[index]);
-            return Ok(Place {
-                lane,
+            handles[index].ejection.borrow_mut().on_start(now);
+            let handle = Rc::clone(&handles[index]);
+            return Ok(SelectedTarget {
+                handle,
                 region: Arc::clone(&known[index].region),
                 rank,
                 busy,
-                number: view.change,
+                change: view.change,
             });
         }
-        Err(if held.is_empty() {
-            NoPlace::Nobody
+        Err(if rate_limited.is_empty() {
+            NoTarget::Absent
         } else {
-            NoPlace::Cold
+            NoTarget::Cold
         })
     }
 
@@ -117,22 +121,28 @@
         &self,
         route: &Route,
         known: &KnownTarget,
-        lane: &Lane,
+        handle: &TargetHandle,
         now: Duration,
     ) -> Candidate {
-        let way = self.ways.borrow().get(&known.region).copied();
-        let way = way.unwrap_or_default().as_secs_f64();
+        let rtt = self.region_rtts.borrow().get(&known.region).copied();
+        let rtt = rtt.unwrap_or_default().as_secs_f64();
         Candidate {
-            rtt_ratio: way / route.objective.as_secs_f64().max(f64::MIN_POSITIVE),
-            name_hash: lane.seed,
+            rtt_ratio: rtt / route.objective.as_secs_f64().max(f64::MIN_POSITIVE),
+            name_hash: handle.id_hash,
             slots: known.target.slots,
             is_local: known.region == self.shared.settings.region,
-            busy: lane.busy(now),
-            healthy: lane.aside.borrow().is_usable(now),
+            busy: handle.busy(now),
+            healthy: handle.ejection.borrow().is_usable(now),
         }
     }
 
-    fn admits_cold(&self, view: &View, service: &Arc<str>, lane: &Lane, now: Duration) -> bool {
+    fn admits_cold(
+        &self,
+        view: &View,
+        service: &Arc<str>,
+        handle: &TargetHandle,
+        now: Duration,
+    ) -> bool {
         let rate = view
             .config
             .as_ref()
@@ -142,25 +152,34 @@
             rate: rate.unwrap_or_default(),
             ..self.shared.reloadable.load().cold
         };
-        let part = rules.host_rate(self.seed, &view.sharer_hashes, lane.seed);
-        let part = if now < FRESH_TIME { part.min(1) } else { part };
-        lane.cold.borrow_mut().try_admit(part, now)
+        let host_rate = rules.host_rate(self.name_hash, &view.sharer_hashes, handle.id_hash);
+        let host_rate = if now < START_CAUTION_TIME {
+            host_rate.min(1)
+        } else {
+            host_rate
+        };
+        handle.cold_limiter.borrow_mut().try_admit(host_rate, now)
     }
 }
 
 /// Chooses among the candidates that are not held back.
-fn pick(route: &Route, point: u64, candidates: &[Candidate], held: &[usize]) -> Option<Choice> {
+fn pick(
+    route: &Route,
+    hash: u64,
+    candidates: &[Candidate],
+    rate_limited: &[usize],
+) -> Option<Choice> {
     let rules = affinity::AffinityConfig::default();
     let choice = match route.sticky {
-        true => affinity::choose_affine(point, candidates, &rules)?,
-        false => affinity::choose_least_loaded(point, candidates, &rules)?,
+        true => affinity::choose_affine(hash, candidates, &rules)?,
+        false => affinity::choose_least_loaded(hash, candidates, &rules)?,
     };
     // With no sound one left the choice may fall on one that is held back.
-    (!held.contains(&choice.index)).then_some(choice)
+    (!rate_limited.contains(&choice.index)).then_some(choice)
 }
 
-fn allows(rights: &Rights, known: &KnownTarget, tried: &BTreeSet<Arc<str>>) -> bool {
-    rights.allows(&known.region) && !tried.contains(&known.target.id)
+fn allows(access: &Access, known: &KnownTarget, excluded: &BTreeSet<Arc<str>>) -> bool {
+    access.allows(&known.region) && !excluded.contains(&known.target.id)
 }
 
 /// The route of a request.
--- a/crates/edge/src/front/targets.rs
+++ b/crates/edge/src/front/targets.rs
@@ -15,7 +15,7 @@
 
 use tokio::sync::Notify;
 
-use super::{connection::Link, idle::Kept};
+use super::{connection::TargetConnection, idle::IdleConnection};
 use crate::{
     model::{ReportedLoad, Target},
     replica::View,
@@ -23,144 +23,146 @@
 
 /// Idle connections kept to one target: as many as it has slots are used at a time, and each that
 /// is kept saves the target an accept.
-const IDLE: usize = 12;
+const MAX_IDLE_PER_TARGET: usize = 12;
 
 /// How long a reported load counts; it fades over this time. Targets' runs take some hundred
 /// milliseconds, after which others have begun.
-const LOAD_TIME: Duration = Duration::from_secs(1);
+const LOAD_DECAY_TIME: Duration = Duration::from_secs(1);
 
 /// A target as this host sees it.
 #[derive(Debug)]
-pub(super) struct Lane {
+pub(super) struct TargetHandle {
     pub(super) target: Arc<Target>,
-    pub(super) seed: u64,
-    pub(super) aside: RefCell<Ejection>,
-    pub(super) cold: RefCell<ColdStartLimiter>,
+    pub(super) id_hash: u64,
+    pub(super) ejection: RefCell<Ejection>,
+    pub(super) cold_limiter: RefCell<ColdStartLimiter>,
     /// Tells those whose requests are at the target that it is down.
-    pub(super) fell: Notify,
+    pub(super) down_notify: Notify,
     /// Requests of this host that are at the target.
-    own: Cell<u32>,
+    in_flight: Cell<u32>,
     /// Requests of other hosts there, when that was reported.
-    others: Cell<(u32, Duration)>,
-    idle: RefCell<Vec<Kept>>,
+    reported_load: Cell<(u32, Duration)>,
+    idle: RefCell<Vec<IdleConnection>>,
 }
 
-impl Lane {
-    fn open(target: Arc<Target>) -> Lane {
-        Lane {
-            seed: hash::hash_str(&target.id),
+impl TargetHandle {
+    fn open(target: Arc<Target>) -> TargetHandle {
+        TargetHandle {
+            id_hash: hash::hash_str(&target.id),
             target,
-            aside: RefCell::new(Ejection::open()),
-            cold: RefCell::new(ColdStartLimiter::open()),
-            fell: Notify::new(),
-            own: Cell::new(0),
-            others: Cell::new((0, Duration::ZERO)),
+            ejection: RefCell::new(Ejection::open()),
+            cold_limiter: RefCell::new(ColdStartLimiter::open()),
+            down_notify: Notify::new(),
+            in_flight: Cell::new(0),
+            reported_load: Cell::new((0, Duration::ZERO)),
             idle: RefCell::default(),
         }
     }
 
     /// Whether it is the lane of this process of the target.
-    fn is_of(&self, target: &Target) -> bool {
+    fn matches(&self, target: &Target) -> bool {
         (self.target.born, self.target.address) == (target.born, target.address)
     }
 
     /// Requests that the target runs or queues, as far as is known.
     pub(super) fn busy(&self, now: Duration) -> u32 {
-        let (others, at) = self.others.get();
-        let age = now.saturating_sub(at).as_secs_f64() / LOAD_TIME.as_secs_f64();
-        let left = f64::from(others) * (1.0 - age).max(0.0);
-        self.own.get() + left.round() as u32
+        let (reported_load, at) = self.reported_load.get();
+        let age = now.saturating_sub(at).as_secs_f64() / LOAD_DECAY_TIME.as_secs_f64();
+        let remaining = f64::from(reported_load) * (1.0 - age).max(0.0);
+        self.in_flight.get() + remaining.round() as u32
     }
 
     /// Age of the load that the target reported last.
     pub(super) fn load_age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.others.get().1)
+        now.saturating_sub(self.reported_load.get().1)
     }
 
     /// Takes the load of an answer in; the answered request is still counted among this host's own.
-    pub(super) fn report(&self, load: ReportedLoad, now: Duration) {
-        let own = self.own.get().saturating_sub(1);
-        let others = (load.running + load.waiting).saturating_sub(own);
-        self.others.set((others, now));
+    pub(super) fn record_load(&self, load: ReportedLoad, now: Duration) {
+        let in_flight = self.in_flight.get().saturating_sub(1);
+        let reported_load = (load.running + load.waiting).saturating_sub(in_flight);
+        self.reported_load.set((reported_load, now));
     }
 
     /// Counts a request that goes to the target, until the guard is dropped.
-    pub(super) fn enter(self: &Rc<Lane>) -> Visit {
-        self.own.set(self.own.get() + 1);
-        Visit(Rc::clone(self))
+    pub(super) fn track_request(self: &Rc<TargetHandle>) -> InFlightGuard {
+        self.in_flight.set(self.in_flight.get() + 1);
+        InFlightGuard(Rc::clone(self))
     }
 
     /// Takes an idle connection.
-    pub(super) fn take(&self) -> Option<Link> {
+    pub(super) fn take_idle(&self) -> Option<TargetConnection> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(kept) = idle.pop() {
-            let link = kept.take();
-            if link.is_reusable() {
-                return Some(link);
+        while let Some(idle_connection) = idle.pop() {
+            let connection = idle_connection.take();
+            if connection.is_reusable() {
+                return Some(connection);
             }
         }
         None
     }
 
     /// Keeps a connection for the next request.
-    pub(super) fn keep(&self, link: Link) {
+    pub(super) fn keep_idle(&self, connection: TargetConnection) {
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < IDLE {
-            idle.extend(Kept::keep(link));
+        if idle.len() < MAX_IDLE_PER_TARGET {
+            idle.extend(IdleConnection::keep(connection));
         }
     }
 
     /// Closes all idle connections: one to a target that is down would take a request with it.
-    pub(super) fn close(&self) {
+    pub(super) fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 }
 
 /// A request at a target.
 #[derive(Debug)]
-pub(super) struct Visit(Rc<Lane>);
+pub(super) struct InFlightGuard(Rc<TargetHandle>);
 
-impl Drop for Visit {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.own.set(self.0.own.get() - 1);
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
     }
 }
 
 /// All lanes.
 #[derive(Debug, Default)]
-pub(super) struct Lanes {
-    held: RefCell<BTreeMap<Arc<str>, Rc<Lane>>>,
+pub(super) struct TargetTable {
+    handles: RefCell<BTreeMap<Arc<str>, Rc<TargetHandle>>>,
     /// Number of the view that the lanes were last compared with.
-    number: Cell<u64>,
+    change: Cell<u64>,
 }
 
-impl Lanes {
+impl TargetTable {
     /// The lane of a target's present process.
     ///
     /// One that started again under its id has lost what was at it, is sound, and knows no object:
     /// nothing of its old lane holds, and repeatable requests at the old process go elsewhere at once.
-    pub(super) fn get(&self, target: &Arc<Target>) -> Rc<Lane> {
-        let mut held = self.held.borrow_mut();
-        let lane = held
+    pub(super) fn get(&self, target: &Arc<Target>) -> Rc<TargetHandle> {
+        let mut handles = self.handles.borrow_mut();
+        let handle = handles
             .entry(Arc::clone(&target.id))
-            .or_insert_with(|| Rc::new(Lane::open(Arc::clone(target))));
-        if !lane.is_of(target) {
-            let old = std::mem::replace(lane, Rc::new(Lane::open(Arc::clone(target))));
-            old.close();
-            old.fell.notify_waiters();
+            .or_insert_with(|| Rc::new(TargetHandle::open(Arc::clone(target))));
+        if !handle.matches(target) {
+            let old = std::mem::replace(handle, Rc::new(TargetHandle::open(Arc::clone(target))));
+            old.close_idle();
+            old.down_notify.notify_waiters();
         }
-        Rc::clone(lane)
+        Rc::clone(handle)
     }
 
     /// Forgets targets that get no more work, and closes their idle connections.
     pub(super) fn prune(&self, view: &View) {
-        if self.number.replace(view.change) == view.change {
+        if self.change.replace(view.change) == view.change {
             return;
         }
-        let live: BTreeSet<_> = {
-            let live = view.services.values().flatten();
-            live.map(|k| &k.target.id).collect()
+        let present: BTreeSet<_> = {
+            let present = view.services.values().flatten();
+            present.map(|k| &k.target.id).collect()
         };
-        self.held.borrow_mut().retain(|id, _| live.contains(id));
+        self.handles
+            .borrow_mut()
+            .retain(|id, _| present.contains(id));
     }
 }
--- a/crates/edge/src/host/freshness.rs
+++ b/crates/edge/src/host/freshness.rs
@@ -15,7 +15,7 @@
 const COMPACTION_SILENCE: Duration = Duration::from_millis(1200);
 
 /// Allowance for clocks that run at different rates.
-const SLACK: Duration = Duration::from_millis(300);
+const CLOCK_SLACK: Duration = Duration::from_millis(300);
 
 /// When what a host believes was last proved to be the store's word.
 ///
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub struct Freshness {
     /// Since the machine's start, in milliseconds.
-    proved: AtomicU64,
+    confirmed: AtomicU64,
 }
 
 impl Freshness {
@@ -32,13 +32,13 @@
     /// That is when a call was *sent* which the store answered: an answer may be on its way for
     /// seconds.
     pub fn confirm(&self, at: Duration) {
-        self.proved.fetch_max(millis(at), Ordering::Relaxed);
+        self.confirmed.fetch_max(millis(at), Ordering::Relaxed);
     }
 
     /// Time since then.
     pub fn age(&self) -> Duration {
-        let proved = Duration::from_millis(self.proved.load(Ordering::Relaxed));
-        since_boot().saturating_sub(proved)
+        let confirmed = Duration::from_millis(self.confirmed.load(Ordering::Relaxed));
+        since_boot().saturating_sub(confirmed)
     }
 }
 
@@ -54,5 +54,5 @@
 /// The greatest age at which callers are served by their keys, where a key that was taken away may
 /// serve for `revoke` at most.
 pub fn max_key_age(revoke: Duration) -> Duration {
-    revoke.saturating_sub(COMPACTION_SILENCE + SLACK)
+    revoke.saturating_sub(COMPACTION_SILENCE + CLOCK_SLACK)
 }
--- a/crates/edge/src/host/mod.rs
+++ b/crates/edge/src/host/mod.rs
@@ -103,8 +103,8 @@
 }
 
 /// Binds an address; port 0 becomes the one that was taken.
-fn bind(duty: &str, held: &mut SocketAddr) -> anyhow::Result<TcpListener> {
-    let address = *held;
+fn bind(name: &str, bound: &mut SocketAddr) -> anyhow::Result<TcpListener> {
+    let address = *bound;
     let open = || -> std::io::Result<TcpListener> {
         let socket = Socket::new(
             Domain::for_address(address),
@@ -119,8 +119,8 @@
         Ok(socket.into())
     };
     let listener = open().with_context(|| {
-        format!("cannot listen for {duty} on {address}; is another process using the port?")
+        format!("cannot listen for {name} on {address}; is another process using the port?")
     })?;
-    *held = listener.local_addr().context("the listener")?;
+    *bound = listener.local_addr().context("the listener")?;
     Ok(listener)
 }
--- a/crates/edge/src/host/shared.rs
+++ b/crates/edge/src/host/shared.rs
@@ -13,7 +13,7 @@
 
 use super::freshness::{Freshness, max_key_age};
 use crate::{
-    limits::{Asked, Counter, NotCounting},
+    limits::{GrantError, TokenIssuer, TokenRequest},
     meters::Meters,
     model::{Config, Dialect, HostEntry, Item, PlatformStore},
     replica::{Changes, ConfigUpdate, ConfigUpdateError, Replica, View},
@@ -62,18 +62,18 @@
     /// Counters and histograms.
     pub meters: Meters,
     replica: Mutex<Replica>,
-    past: Mutex<Past>,
+    history: Mutex<ViewHistory>,
     /// How old what is believed is.
     pub freshness: Freshness,
     /// Slices of limits that this host counts.
-    pub(crate) token_issuer: Counter,
+    pub(crate) token_issuer: TokenIssuer,
 }
 
 /// What a view takes from those before it.
 #[derive(Debug, Default)]
-struct Past {
+struct ViewHistory {
     /// Until when targets of domains that were evacuated are taken for cold.
-    warmed: BTreeMap<Arc<str>, Duration>,
+    cold_until: BTreeMap<Arc<str>, Duration>,
     sharers: RecentHosts,
 }
 
@@ -90,9 +90,9 @@
             phase: watch::channel(Phase::Serving).0,
             meters: Meters::open(),
             replica: Mutex::new(Replica::open()),
-            past: Mutex::default(),
+            history: Mutex::default(),
             freshness: Freshness::default(),
-            token_issuer: Counter::open(),
+            token_issuer: TokenIssuer::open(),
         })
     }
 
@@ -148,21 +148,21 @@
     /// When the news cannot be read, or do not fit the version that is held; the changes are not taken then.
     pub fn apply_update(
         &self,
-        news: Option<&ConfigUpdate>,
+        update: Option<&ConfigUpdate>,
         changes: Changes,
     ) -> Result<(), ConfigUpdateError> {
         let now = self.now();
         let mut replica = self.replica();
         let before = replica.change_count();
-        let learned = news.map_or(Ok(()), |news| replica.apply_update(news));
-        if learned.is_ok() {
+        let applied = update.map_or(Ok(()), |update| replica.apply_update(update));
+        if applied.is_ok() {
             replica.apply_changes(changes, now);
         }
         // Of several steps some may have been taken before one that does not fit.
         if replica.change_count() > before {
             self.publish(&replica, now);
         }
-        learned
+        applied
     }
 
     /// Takes a whole reading in; what it does not name is believed in for a while longer.
@@ -188,18 +188,18 @@
     /// Gives out tokens of a slice that this host counts.
     pub(crate) fn grant_tokens(
         &self,
-        asked: &Asked,
-    ) -> Result<BTreeMap<Arc<str>, TokenGrant>, NotCounting> {
+        request: &TokenRequest,
+    ) -> Result<BTreeMap<Arc<str>, TokenGrant>, GrantError> {
         if *self.phase.borrow() != Phase::Serving {
-            return Err(NotCounting::Unleased);
+            return Err(GrantError::NoLease);
         }
         let age = self.age();
         let (view, rules) = (self.view.load(), self.reloadable.load().limit);
-        let (me, counter) = (&self.settings.name, &self.token_issuer);
-        let given = counter.give(me, asked, (age, &view), &rules)?;
-        let count: u32 = given.values().map(|given| given.count).sum();
+        let (me, issuer) = (&self.settings.name, &self.token_issuer);
+        let grants = issuer.grant(me, request, (age, &view), &rules)?;
+        let count: u32 = grants.values().map(|grants| grants.count).sum();
         self.meters.add("tokens_given", count as usize);
-        Ok(given)
+        Ok(grants)
     }
 
     /// Takes up what may change while the host runs, from another reading of the settings file.
@@ -229,27 +229,28 @@
 
     fn publish(&self, replica: &Replica, now: Duration) {
         let (before, live) = (self.view.load_full(), self.reloadable.load());
-        let mut past = self.past.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut view = View::open(replica, &live.domains, &past.warmed, &before);
-        let back: Vec<_> = before
+        let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut view = View::open(replica, &live.domains, &history.cold_until, &before);
+        let returned: Vec<_> = before
             .evacuated
             .difference(&view.evacuated)
             .cloned()
             .collect();
-        if !back.is_empty() {
+        if !returned.is_empty() {
             // Targets that got nothing for a while are cold, and say so with their next heartbeat;
             // their objects would all return before that.
             let services = view.config.iter().flat_map(|c| c.services.values());
             let cold = services.map(|s| s.cold).max().unwrap_or_default();
-            past.warmed
-                .extend(back.into_iter().map(|domain| (domain, now + cold)));
-            view = View::open(replica, &live.domains, &past.warmed, &before);
+            history
+                .cold_until
+                .extend(returned.into_iter().map(|domain| (domain, now + cold)));
+            view = View::open(replica, &live.domains, &history.cold_until, &before);
         }
-        self.token_issuer.keep(&self.settings.name, &view);
-        view.sharer_hashes = past
+        self.token_issuer.retain_owned(&self.settings.name, &view);
+        view.sharer_hashes = history
             .sharers
             .update(&before.host_hashes, &view.host_hashes, now);
-        crate::trace::believed(&before, &view);
+        crate::trace::log_view_change(&before, &view);
         self.view.store(Arc::new(view));
         self.changed.send_replace(Watermark {
             publish_revision: replica.publish_revision(),
--- a/crates/edge/src/limits/issuer.rs
+++ b/crates/edge/src/limits/issuer.rs
@@ -19,7 +19,7 @@
 /// What another host asks for: tokens by workspace.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize, Serialize)]
-pub(crate) struct Asked {
+pub(crate) struct TokenRequest {
     /// Tokens wanted, by the name of the workspace.
     pub(crate) wants: BTreeMap<Arc<str>, u32>,
 }
@@ -27,81 +27,83 @@
 /// Why a host gives out nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-pub(crate) enum NotCounting {
+pub(crate) enum GrantError {
     /// What it believes is too old.
     #[error("what is believed is too old")]
-    Outdated,
+    Stale,
     /// Its lease may have ended, and another host may count.
     #[error("the lease may have ended")]
-    Unleased,
+    NoLease,
 }
 
 /// The slices that a host counts.
 #[derive(Debug)]
-pub(crate) struct Counter {
+pub(crate) struct TokenIssuer {
     /// Start of the process, as time since the machine's start.
-    opened: Duration,
+    started_at: Duration,
     buckets: Mutex<BTreeMap<Arc<str>, TokenBucket>>,
     /// Until when the host's lease has certainly not ended, as time since the machine's start, in
     /// milliseconds.
-    leased: AtomicU64,
+    lease_end: AtomicU64,
     /// When the host was last announced anew after its lease had ended, in the same way.
-    announced: AtomicU64,
+    reannounced_at: AtomicU64,
 }
 
-impl Counter {
+impl TokenIssuer {
     /// Opens a counter that has given out nothing.
-    pub(crate) fn open() -> Counter {
-        Counter {
-            opened: since_boot(),
+    pub(crate) fn open() -> TokenIssuer {
+        TokenIssuer {
+            started_at: since_boot(),
             buckets: Mutex::default(),
-            leased: AtomicU64::new(0),
-            announced: AtomicU64::new(0),
+            lease_end: AtomicU64::new(0),
+            reannounced_at: AtomicU64::new(0),
         }
     }
 
     /// Notes that the host was just announced, though it had been before: its lease had ended.
-    pub(crate) fn announce_anew(&self) {
+    pub(crate) fn note_reannounced(&self) {
         let now = millis(since_boot());
-        self.announced.store(now, Ordering::Relaxed);
+        self.reannounced_at.store(now, Ordering::Relaxed);
     }
 
     /// Notes until when the host is certainly listed; zero ends it.
-    pub(crate) fn lease_until(&self, until: Duration) {
-        self.leased.store(millis(until), Ordering::Relaxed);
+    pub(crate) fn set_lease_end(&self, until: Duration) {
+        self.lease_end.store(millis(until), Ordering::Relaxed);
     }
 
     /// Gives out tokens; nothing of what another host counts, or nobody limits. `age` is that of what `view`
     /// holds, and taken before it.
-    pub(crate) fn give(
+    pub(crate) fn grant(
         &self,
         me: &str,
-        asked: &Asked,
+        request: &TokenRequest,
         (age, view): (Duration, &View),
         rules: &RateLimitConfig,
-    ) -> Result<BTreeMap<Arc<str>, TokenGrant>, NotCounting> {
+    ) -> Result<BTreeMap<Arc<str>, TokenGrant>, GrantError> {
         let now = since_boot();
         if age > MAX_GRANT_AGE {
-            return Err(NotCounting::Outdated);
+            return Err(GrantError::Stale);
         }
-        if now >= Duration::from_millis(self.leased.load(Ordering::Relaxed)) {
-            return Err(NotCounting::Unleased);
+        if now >= Duration::from_millis(self.lease_end.load(Ordering::Relaxed)) {
+            return Err(GrantError::NoLease);
         }
         // The list that is believed may be from before the last lease ended.
-        if now.saturating_sub(age) < Duration::from_millis(self.announced.load(Ordering::Relaxed)) {
-            return Err(NotCounting::Unleased);
+        if now.saturating_sub(age)
+            < Duration::from_millis(self.reannounced_at.load(Ordering::Relaxed))
+        {
+            return Err(GrantError::NoLease);
         }
-        let mut given = BTreeMap::new();
-        for (name, want) in &asked.wants {
+        let mut grants = BTreeMap::new();
+        for (name, want) in &request.wants {
             if view.limit_owners.may_grant(me, name, now) {
-                let taken = self.take(name, *want, view, rules);
-                given.extend(taken.map(|taken| (Arc::clone(name), taken)));
+                let grant = self.grant_one(name, *want, view, rules);
+                grants.extend(grant.map(|grant| (Arc::clone(name), grant)));
             }
         }
-        Ok(given)
+        Ok(grants)
     }
 
-    fn take(
+    fn grant_one(
         &self,
         name: &str,
         want: u32,
@@ -110,17 +112,17 @@
     ) -> Option<TokenGrant> {
         let workspace = view.config.as_ref()?.workspace(name);
         let workspace = workspace.filter(|w| w.is_limited())?;
-        let (roster, now) = (&view.limit_owners, since_boot());
-        let slice = rules.share(workspace.rate, workspace.burst, roster.shares().len());
+        let (owners, now) = (&view.limit_owners, since_boot());
+        let share = rules.share(workspace.rate, workspace.burst, owners.shares().len());
         let mut buckets = self.buckets.lock().unwrap_or_else(PoisonError::into_inner);
         let bucket = buckets.entry(Arc::clone(&workspace.name));
         let bucket =
-            bucket.or_insert_with(|| TokenBucket::open(roster.stable_since().max(self.opened)));
-        Some(bucket.take(&slice, want, now))
+            bucket.or_insert_with(|| TokenBucket::open(owners.stable_since().max(self.started_at)));
+        Some(bucket.take(&share, want, now))
     }
 
     /// Forgets what this host does not count any more: others give it out meanwhile.
-    pub(crate) fn keep(&self, me: &str, view: &View) {
+    pub(crate) fn retain_owned(&self, me: &str, view: &View) {
         let now = since_boot();
         let mut buckets = self.buckets.lock().unwrap_or_else(PoisonError::into_inner);
         buckets.retain(|name, _| view.limit_owners.is_owner(me, name, now));
--- a/crates/edge/src/limits/mod.rs
+++ b/crates/edge/src/limits/mod.rs
@@ -13,5 +13,5 @@
 mod issuer;
 mod owners;
 
-pub(crate) use self::issuer::{Asked, Counter, NotCounting};
+pub(crate) use self::issuer::{GrantError, TokenIssuer, TokenRequest};
 pub use self::owners::{JOIN_DELAY, LimitOwners, ListedHost, MAX_GRANT_AGE, SETTLE_DELAY};
--- a/crates/edge/src/limits/owners.rs
+++ b/crates/edge/src/limits/owners.rs
@@ -29,27 +29,27 @@
 
 /// Part of a slice's hosts which, when they join within [`JOIN_TIME`], do not wait for it: all were
 /// killed, or all leases ended with the store's, and who counted before is one of them.
-const MASS_PART: f64 = 0.75;
+const MASS_JOIN_FRACTION: f64 = 0.75;
 
 /// A listed host.
 #[derive(Clone, Debug)]
 struct Member {
-    seed: u64,
+    name_hash: u64,
     entry: Arc<HostEntry>,
     /// Store's revision at which its entry was created.
     created: u64,
     /// Since when it is listed, as time since the machine's start; zero where it was listed before this
     /// host knew anything.
-    since: Duration,
+    listed_since: Duration,
     /// Since when its entry is the same one: later than `since` if it ended while nobody saw it.
-    joined: Duration,
+    joined_at: Duration,
 }
 
 /// The listed hosts, by slice.
 #[derive(Clone, Debug, Default)]
 pub struct LimitOwners {
-    slices: BTreeMap<Arc<str>, Vec<Member>>,
-    changed: Duration,
+    shares: BTreeMap<Arc<str>, Vec<Member>>,
+    stable_since: Duration,
 }
 
 /// A host's entry, and the store's revision at which it was created.
@@ -69,12 +69,12 @@
         let has_regions = regions.len() > 1;
         let names = regions.into_iter().filter(|_| has_regions);
         let names = names.chain(domains.keys().filter(|_| !has_regions));
-        let mut slices: BTreeMap<Arc<str>, Vec<Member>> =
+        let mut shares: BTreeMap<Arc<str>, Vec<Member>> =
             names.map(|name| (Arc::clone(name), Vec::new())).collect();
         for (entry, created) in hosts {
             let region = domains.get(&entry.domain);
-            let slice = region.map(|r| if has_regions { r } else { &entry.domain });
-            let Some(members) = slice.and_then(|slice| slices.get_mut(slice)) else {
+            let share = region.map(|r| if has_regions { r } else { &entry.domain });
+            let Some(members) = share.and_then(|share| shares.get_mut(share)) else {
                 continue;
             };
             let known = old.get(&entry.name);
@@ -85,63 +85,65 @@
             };
             let same = known.filter(|known| known.created == *created);
             members.push(Member {
-                seed: hash_str(&entry.name),
+                name_hash: hash_str(&entry.name),
                 entry: Arc::clone(entry),
                 created: *created,
-                since: known.map_or(new, |known| known.since),
-                joined: same.map_or(new, |known| known.joined),
+                listed_since: known.map_or(new, |known| known.listed_since),
+                joined_at: same.map_or(new, |known| known.joined_at),
             });
         }
-        let mut roster = LimitOwners {
-            slices,
-            changed: before.map_or(Duration::ZERO, |roster| roster.changed),
+        let mut owners = LimitOwners {
+            shares,
+            stable_since: before.map_or(Duration::ZERO, |owners| owners.stable_since),
         };
-        let is_same = roster.by_name().map(|(name, _)| name).eq(old.into_keys());
+        let is_same = owners.by_name().map(|(name, _)| name).eq(old.into_keys());
         if before.is_some() && !is_same {
-            roster.changed = now + SETTLE_DELAY;
+            owners.stable_since = now + SETTLE_DELAY;
         }
-        roster
+        owners
     }
 
     /// Names of the slices.
     pub fn shares(&self) -> impl ExactSizeIterator<Item = &Arc<str>> {
-        self.slices.keys()
+        self.shares.keys()
     }
 
     /// Who counts a slice for a workspace, as far as others are concerned.
-    pub fn owner(&self, slice: &str, workspace: &str, now: Duration) -> Option<&Arc<HostEntry>> {
-        let members = self.slices.get(slice)?;
-        member(members, workspace, now).map(|m| &m.entry)
+    pub fn owner(&self, share: &str, workspace: &str, now: Duration) -> Option<&Arc<HostEntry>> {
+        let members = self.shares.get(share)?;
+        owner_of(members, workspace, now).map(|m| &m.entry)
     }
 
     /// Whether a host counts a slice for a workspace.
     pub fn is_owner(&self, me: &str, workspace: &str, now: Duration) -> bool {
-        self.counted(me, workspace, now).is_some()
+        self.owned(me, workspace, now).is_some()
     }
 
     /// Whether it does, and may give out tokens of it.
     pub fn may_grant(&self, me: &str, workspace: &str, now: Duration) -> bool {
-        let counted = self.counted(me, workspace, now);
-        counted.is_some_and(|(member, members)| !member.has_joined(now) || is_mass(members, now))
+        let owned = self.owned(me, workspace, now);
+        owned.is_some_and(|(owner_of, members)| {
+            !owner_of.is_joining(now) || is_mass_join(members, now)
+        })
     }
 
     /// Since when the same hosts count: the last change of the list, and the time in which who joined
     /// then settled.
     pub fn stable_since(&self) -> Duration {
-        self.changed
+        self.stable_since
     }
 
-    fn counted(&self, me: &str, workspace: &str, now: Duration) -> Option<(&Member, &[Member])> {
-        let mut all = self.slices.values();
+    fn owned(&self, me: &str, workspace: &str, now: Duration) -> Option<(&Member, &[Member])> {
+        let mut all = self.shares.values();
         let members = all.find(|members| members.iter().any(|m| &*m.entry.name == me))?;
-        let member = member(members, workspace, now)?;
-        (&*member.entry.name == me).then_some((member, members))
+        let owner_of = owner_of(members, workspace, now)?;
+        (&*owner_of.entry.name == me).then_some((owner_of, members))
     }
 
     /// The hosts by name, in an order that depends on their slices alone.
     fn by_name(&self) -> impl Iterator<Item = (&Arc<str>, &Member)> {
         let members: BTreeMap<_, _> = self
-            .slices
+            .shares
             .values()
             .flatten()
             .map(|m| (&m.entry.name, m))
@@ -152,27 +154,27 @@
 
 impl Member {
     /// Whether others may not know it yet.
-    fn has_joined(&self, now: Duration) -> bool {
-        !self.joined.is_zero() && now < self.joined + JOIN_DELAY
+    fn is_joining(&self, now: Duration) -> bool {
+        !self.joined_at.is_zero() && now < self.joined_at + JOIN_DELAY
     }
 
     fn is_settled(&self, now: Duration) -> bool {
-        self.since.is_zero() || self.since + SETTLE_DELAY <= now
+        self.listed_since.is_zero() || self.listed_since + SETTLE_DELAY <= now
     }
 }
 
 /// Who of a slice's hosts counts for a workspace: one of those with at least half of the greatest share of
 /// a processor, since each request may ask it.
-fn member<'a>(members: &'a [Member], workspace: &str, now: Duration) -> Option<&'a Member> {
+fn owner_of<'a>(members: &'a [Member], workspace: &str, now: Duration) -> Option<&'a Member> {
     let settled = || members.iter().filter(|m| m.is_settled(now));
-    let most = settled().map(|m| m.entry.power).max()?;
+    let max_power = settled().map(|m| m.entry.power).max()?;
     let workspace = hash_str(workspace);
     settled()
-        .filter(|m| m.entry.power.saturating_mul(2) >= most)
-        .max_by_key(|m| mix64(m.seed ^ workspace))
+        .filter(|m| m.entry.power.saturating_mul(2) >= max_power)
+        .max_by_key(|m| mix64(m.name_hash ^ workspace))
 }
 
-fn is_mass(members: &[Member], now: Duration) -> bool {
-    let joined = members.iter().filter(|m| m.has_joined(now)).count();
-    joined as f64 >= members.len() as f64 * MASS_PART
+fn is_mass_join(members: &[Member], now: Duration) -> bool {
+    let joined_at = members.iter().filter(|m| m.is_joining(now)).count();
+    joined_at as f64 >= members.len() as f64 * MASS_JOIN_FRACTION
 }
