--- a/crates/edge/src/lookup/mod.rs
+++ b/crates/edge/src/lookup/mod.rs
@@ -8,7 +8,7 @@
 use crate::{host::Shared, model::LookupQuery};
 
 /// Hosts named in one answer.
-const MOST: usize = 64;
+const MAX_HOSTS: usize = 64;
 
 /// How long callers may keep an answer. A host that stops or dies is used for this long after it is
 /// known; shorter, and callers would ask more often than they send requests.
@@ -40,14 +40,14 @@
 }
 
 fn answer(shared: &Shared, request: &Request) -> Response {
-    let Some(ask) = (shared.dialect.parse_lookup)(request.uri()) else {
+    let Some(query) = (shared.dialect.parse_lookup)(request.uri()) else {
         return (
             StatusCode::BAD_REQUEST,
             "the region and the failure domain are missing",
         )
             .into_response();
     };
-    let hosts = choose(shared, &ask);
+    let hosts = choose(shared, &query);
     if hosts.is_empty() {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
@@ -62,7 +62,7 @@
 
 /// The hosts of the caller's region, else all: requests for one object then come through the same
 /// few hosts, and do not cross a link between regions twice.
-fn choose(shared: &Shared, ask: &LookupQuery) -> Vec<SocketAddr> {
+fn choose(shared: &Shared, query: &LookupQuery) -> Vec<SocketAddr> {
     let view = shared.view.load();
     let mut hosts: Vec<_> = view.hosts.values().cloned().collect();
     let me = &shared.settings.name;
@@ -74,15 +74,19 @@
     if !shared.is_ready() {
         hosts.retain(|h| h.name != *me);
     }
-    let live = shared.reloadable.load();
-    let region_of = |domain: &Arc<str>| live.domains.get(domain);
-    let near: Vec<_> = hosts
+    let reloadable = shared.reloadable.load();
+    let region_of = |domain: &Arc<str>| reloadable.domains.get(domain);
+    let in_region: Vec<_> = hosts
         .iter()
-        .filter(|h| region_of(&h.domain) == Some(&ask.region))
+        .filter(|h| region_of(&h.domain) == Some(&query.region))
         .map(|h| h.callers)
         .collect();
     let all = hosts.iter().map(|h| h.callers);
-    let mut addresses = if near.is_empty() { all.collect() } else { near };
-    addresses.truncate(MOST);
+    let mut addresses = if in_region.is_empty() {
+        all.collect()
+    } else {
+        in_region
+    };
+    addresses.truncate(MAX_HOSTS);
     addresses
 }
--- a/crates/edge/src/meters/mod.rs
+++ b/crates/edge/src/meters/mod.rs
@@ -11,7 +11,7 @@
 use cadence::{Counted, CountedExt, Gauged, StatsdClient, Timed};
 use viz::{IntoResponse, Request, Router};
 
-use self::{sink::Table, workspaces::Workspaces};
+use self::{sink::MemorySink, workspaces::Workspaces};
 use crate::host::Shared;
 
 /// Stands before every name.
@@ -24,18 +24,18 @@
 #[derive(Debug)]
 pub struct Meters {
     client: StatsdClient,
-    table: Table,
+    sink: MemorySink,
     workspaces: Workspaces,
 }
 
 impl Meters {
     /// Opens meters that have counted nothing.
     pub fn open() -> Meters {
-        let table = Table::default();
-        let client = StatsdClient::from_sink(PREFIX, table.clone());
+        let sink = MemorySink::default();
+        let client = StatsdClient::from_sink(PREFIX, sink.clone());
         Meters {
             client,
-            table,
+            sink,
             workspaces: Workspaces::default(),
         }
     }
@@ -75,7 +75,7 @@
 
     /// All of them as text, a line each.
     pub fn text(&self) -> String {
-        let mut text = self.table.text();
+        let mut text = self.sink.text();
         self.workspaces.write(PREFIX, &mut text);
         text
     }
--- a/crates/edge/src/meters/sink.rs
+++ b/crates/edge/src/meters/sink.rs
@@ -11,17 +11,17 @@
 use hdrhistogram::Histogram;
 
 /// Longest time that is told apart, in milliseconds: longer than any deadline.
-const LONGEST: u64 = 60_000;
+const MAX_TIME_MS: u64 = 60_000;
 
 /// Digits that are told apart: a hundredth is finer than any use of these figures.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// Quantiles that are served.
 const QUANTILES: [(&str, f64); 3] = [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)];
 
 /// What was counted; clones share it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Table {
+pub(super) struct MemorySink {
     inner: Arc<Mutex<Inner>>,
 }
 
@@ -32,7 +32,7 @@
     times: BTreeMap<String, Histogram<u64>>,
 }
 
-impl MetricSink for Table {
+impl MetricSink for MemorySink {
     /// Takes a metric in, as `name:value|type`.
     fn emit(&self, metric: &str) -> io::Result<usize> {
         let unread = || io::Error::new(io::ErrorKind::InvalidInput, metric.to_owned());
@@ -46,7 +46,9 @@
             inner.gauges.insert(name.to_owned(), value);
         } else {
             let times = inner.times.entry(name.to_owned());
-            let open = || Histogram::new_with_max(LONGEST, DIGITS).map_err(io::Error::other);
+            let open = || {
+                Histogram::new_with_max(MAX_TIME_MS, SIGNIFICANT_DIGITS).map_err(io::Error::other)
+            };
             let histogram = match times {
                 std::collections::btree_map::Entry::Occupied(held) => held.into_mut(),
                 std::collections::btree_map::Entry::Vacant(place) => place.insert(open()?),
@@ -57,7 +59,7 @@
     }
 }
 
-impl Table {
+impl MemorySink {
     pub(super) fn text(&self) -> String {
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let mut text = String::new();
--- a/crates/edge/src/meters/workspaces.rs
+++ b/crates/edge/src/meters/workspaces.rs
@@ -8,13 +8,13 @@
 };
 
 /// Workspaces with lines of their own.
-const SHOWN: usize = 16;
+const MAX_SHOWN: usize = 16;
 
 /// Workspaces that are counted apart. One that comes after is counted with the others.
-const MOST: usize = 32_768;
+const MAX_WORKSPACES: usize = 32_768;
 
 /// Name under which the others are counted; no workspace has an empty name.
-const REST: &str = "";
+const OTHERS: &str = "";
 
 /// Requests of one workspace.
 #[derive(Clone, Copy, Debug, Default)]
@@ -33,11 +33,11 @@
     /// Counts a request.
     pub(super) fn count(&self, name: &Arc<str>, is_limited: bool) {
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
-        let has_room = counts.len() < MOST || counts.contains_key(name);
-        let name = if has_room {
+        let is_counted_apart = counts.len() < MAX_WORKSPACES || counts.contains_key(name);
+        let name = if is_counted_apart {
             Arc::clone(name)
         } else {
-            REST.into()
+            OTHERS.into()
         };
         let counts = counts.entry(name).or_default();
         counts.requests += 1;
@@ -49,12 +49,14 @@
         let counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         let mut rows: Vec<_> = counts.iter().filter(|(name, _)| !name.is_empty()).collect();
         rows.sort_by_key(|(_, counts)| std::cmp::Reverse(counts.requests));
-        let rest = rows.iter().skip(SHOWN).map(|(_, counts)| **counts);
-        let rest = rest.chain(counts.get(REST).copied()).reduce(|a, b| Counts {
-            requests: a.requests + b.requests,
-            limited: a.limited + b.limited,
-        });
-        let shown = rows.iter().take(SHOWN);
+        let rest = rows.iter().skip(MAX_SHOWN).map(|(_, counts)| **counts);
+        let rest = rest
+            .chain(counts.get(OTHERS).copied())
+            .reduce(|a, b| Counts {
+                requests: a.requests + b.requests,
+                limited: a.limited + b.limited,
+            });
+        let shown = rows.iter().take(MAX_SHOWN);
         let shown = shown.map(|(name, counts)| (format!("workspace.{name}"), **counts));
         for (name, counts) in shown.chain(rest.map(|rest| ("workspaces_rest".to_owned(), rest))) {
             let _ = writeln!(text, "{prefix}.{name}.requests {}", counts.requests);
--- a/crates/edge/src/model/packed.rs
+++ b/crates/edge/src/model/packed.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 /// Largest value that is unpacked, in bytes: a broken message must not take a host's memory.
-const MOST: u64 = 16 << 20;
+const MAX_UNPACKED_BYTES: u64 = 16 << 20;
 
 /// A packed value. Clones share its bytes.
 ///
@@ -40,7 +40,7 @@
     pub fn unpack<T: DeserializeOwned>(&self) -> Result<T, PackError> {
         let mut plain = Vec::new();
         DeflateDecoder::new(&*self.0)
-            .take(MOST)
+            .take(MAX_UNPACKED_BYTES)
             .read_to_end(&mut plain)?;
         unpack(&plain)
     }
--- a/crates/edge/src/model/patch.rs
+++ b/crates/edge/src/model/patch.rs
@@ -76,13 +76,13 @@
     ///
     /// When it does not begin at `old`.
     pub fn apply(&self, old: &Config) -> Result<Config, VersionMismatch> {
-        let misfit = VersionMismatch {
+        let mismatch = VersionMismatch {
             from: self.from,
             held: old.version,
         };
-        let fits = (old.version == self.from).then_some(old);
-        let mut routes = fits.and_then(by_key).ok_or(misfit)?;
-        let mut workspaces = by_name(old).ok_or(misfit)?;
+        let base = (old.version == self.from).then_some(old);
+        let mut routes = base.and_then(by_key).ok_or(mismatch)?;
+        let mut workspaces = by_name(old).ok_or(mismatch)?;
         for name in &self.closed {
             workspaces.remove(name);
         }
--- a/crates/edge/src/replica/changes.rs
+++ b/crates/edge/src/replica/changes.rs
@@ -41,90 +41,92 @@
         for item in changes.items {
             changed |= self.apply_item(item, now);
         }
-        for ending in changes.endings {
-            changed |= self.defer_removal(ending, now);
+        for deferred in changes.endings {
+            changed |= self.defer_removal(deferred, now);
         }
         if let Some(whole) = changes.whole {
-            changed |= self.restrict(whole, now);
+            changed |= self.retain_keys(whole, now);
         }
         self.set_synced(changes.reached);
         changed
     }
 
     /// Takes a whole reading in: what it does not name is gone, unless it is newer than the reading.
-    pub fn replace(&mut self, at: u64, items: Vec<Item>, now: Duration) -> bool {
-        self.replace_deferring(at, items, Duration::ZERO, now)
+    pub fn replace(&mut self, revision: u64, items: Vec<Item>, now: Duration) -> bool {
+        self.replace_deferring(revision, items, Duration::ZERO, now)
     }
 
     /// The same, where what the reading does not name is believed in for a while longer.
     pub fn replace_deferring(
         &mut self,
-        at: u64,
+        revision: u64,
         items: Vec<Item>,
         left: Duration,
         now: Duration,
     ) -> bool {
         let keys = items.iter().map(|item| Arc::clone(&item.key)).collect();
         let whole = FullKeySet {
-            since: at,
+            since: revision,
             keys: Some(keys),
             left,
         };
         let changes = Changes {
             items,
             whole: Some(whole),
-            reached: at,
+            reached: revision,
             ..Changes::default()
         };
         self.apply_changes(changes, now)
     }
 
     /// Removes what is not among the keys that are there, unless it is newer.
-    fn restrict(&mut self, whole: FullKeySet, now: Duration) -> bool {
+    fn retain_keys(&mut self, whole: FullKeySet, now: Duration) -> bool {
         let FullKeySet { since, keys, left } = whole;
         if since > self.since {
-            (self.since, self.doubt) = (since, now + left);
+            (self.since, self.defer_until) = (since, now + left);
         }
         let Some(keys) = keys else {
             return false;
         };
-        let gone: Vec<_> = self
+        let absent: Vec<_> = self
             .present_items()
             .map(|item| Arc::clone(&item.key))
             .filter(|key| !keys.contains(key))
             .collect();
         let mut changed = false;
-        for key in gone {
-            let ending = DeferredRemoval {
+        for key in absent {
+            let deferred = DeferredRemoval {
                 key,
                 rev: since,
                 left,
             };
-            changed |= self.defer_removal(ending, now);
+            changed |= self.defer_removal(deferred, now);
         }
         changed
     }
 
     /// What a host that misses nothing up to a revision is to be told.
     pub fn changes(&self, rev: u64, now: Duration) -> Changes {
-        let endings = self.held.values().filter_map(|held| {
+        let endings = self.items.values().filter_map(|stored| {
             // Told of an item, a host is told of its end as well.
-            let ending = held.ending.filter(|e| e.said.max(held.said) > rev)?;
+            let deferred = stored
+                .pending
+                .filter(|e| e.publish_revision.max(stored.publish_revision) > rev)?;
             Some(DeferredRemoval {
-                key: Arc::clone(&held.item.key),
-                rev: ending.rev,
-                left: ending.due.saturating_sub(now),
+                key: Arc::clone(&stored.item.key),
+                rev: deferred.rev,
+                left: deferred.due_at.saturating_sub(now),
             })
         });
         Changes {
             items: self.changed_since(rev, now),
             endings: endings.collect(),
-            whole: (rev < self.since).then(|| self.whole(rev, now)),
-            reached: self.reached,
+            whole: (rev < self.since).then(|| self.full_key_set(rev, now)),
+            reached: self.synced_revision,
         }
     }
 
-    fn whole(&self, rev: u64, now: Duration) -> FullKeySet {
+    fn full_key_set(&self, rev: u64, now: Duration) -> FullKeySet {
         let keys = || {
             self.present_items()
                 .map(|item| Arc::clone(&item.key))
@@ -133,7 +135,7 @@
         FullKeySet {
             since: self.since,
             keys: (rev > 0).then(keys),
-            left: self.doubt.saturating_sub(now),
+            left: self.defer_until.saturating_sub(now),
         }
     }
 }
--- a/crates/edge/src/replica/deferred.rs
+++ b/crates/edge/src/replica/deferred.rs
@@ -2,66 +2,70 @@
 
 use std::{sync::Arc, time::Duration};
 
-use super::{Held, Replica, removal};
+use super::{Replica, StoredItem, removal};
 use crate::model::DeferredRemoval;
 
 /// A removal that is held back.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingRemoval {
     pub(super) rev: u64,
     /// When it counts.
-    pub(super) due: Duration,
+    pub(super) due_at: Duration,
     /// As in [`Held`].
-    pub(super) said: u64,
+    pub(super) publish_revision: u64,
 }
 
 impl Replica {
     /// Takes in a removal that is held back; tells whether it is new.
-    pub fn defer_removal(&mut self, ending: DeferredRemoval, now: Duration) -> bool {
-        let DeferredRemoval { key, rev, left } = ending;
-        let Some(known) = self.held.get(&key).filter(|h| h.item.entry.is_some()) else {
+    pub fn defer_removal(&mut self, deferred: DeferredRemoval, now: Duration) -> bool {
+        let DeferredRemoval { key, rev, left } = deferred;
+        let Some(known) = self.items.get(&key).filter(|h| h.item.entry.is_some()) else {
             return self.apply_item(removal(key, rev), now);
         };
-        let pending = known.ending;
+        let pending = known.pending;
         if left.is_zero() {
             return self.apply_item(removal(key, rev), now);
         }
         if known.item.rev >= rev || pending.is_some_and(|pending| pending.rev >= rev) {
             return false;
         }
-        let said = self.number(&key, rev);
+        let publish_revision = self.next_publish_revision(&key, rev);
         // Held back twice, an item is not believed in for longer.
-        let due = pending.map_or(now + left, |pending| pending.due.min(now + left));
-        if let Some(held) = self.held.get_mut(&key) {
-            held.ending = Some(Pending { rev, due, said });
+        let due_at = pending.map_or(now + left, |pending| pending.due_at.min(now + left));
+        if let Some(stored) = self.items.get_mut(&key) {
+            stored.pending = Some(PendingRemoval {
+                rev,
+                due_at,
+                publish_revision,
+            });
         }
-        self.last += 1;
+        self.change_count += 1;
         true
     }
 
     /// When the next removal that is held back counts.
     pub fn next_deferred(&self) -> Option<Duration> {
-        let endings = self.held.values().filter_map(|held| held.ending);
-        endings.map(|ending| ending.due).min()
+        let endings = self.items.values().filter_map(|stored| stored.pending);
+        endings.map(|pending| pending.due_at).min()
     }
 
     /// Removes what was held back for long enough; tells whether there was something. Others were told
     /// of it before, and remove it themselves.
     pub fn apply_deferred(&mut self, now: Duration) -> bool {
         let mut changed = false;
-        for held in self.held.values_mut() {
-            let Some(ending) = held.ending.filter(|ending| ending.due <= now) else {
+        for stored in self.items.values_mut() {
+            let Some(pending) = stored.pending.filter(|pending| pending.due_at <= now) else {
                 continue;
             };
-            *held = Held {
-                item: removal(Arc::clone(&held.item.key), ending.rev),
-                heard: now,
-                said: ending.said,
-                ending: None,
+            *stored = StoredItem {
+                item: removal(Arc::clone(&stored.item.key), pending.rev),
+                received_at: now,
+                publish_revision: pending.publish_revision,
+                pending: None,
             };
             changed = true;
         }
-        self.last += u64::from(changed);
+        self.change_count += u64::from(changed);
         changed
     }
 }
--- a/crates/edge/src/replica/mod.rs
+++ b/crates/edge/src/replica/mod.rs
@@ -22,7 +22,7 @@
 
 use dunlinrock_node::wire::PackError;
 
-use self::deferred::Pending;
+use self::deferred::PendingRemoval;
 pub use self::{
     changes::{Changes, FullKeySet},
     config_history::{ConfigHistory, ConfigUpdate, ConfigUpdateError},
@@ -31,17 +31,17 @@
 use crate::model::{Config, Entry, Item, KeyIndex, RouteIndex, Target};
 
 /// How far two words on the end of a target's cold time may differ and still say the same.
-const COLD_SWING: Duration = Duration::from_millis(700);
+const COLD_TOLERANCE: Duration = Duration::from_millis(700);
 
 /// An item and when it was heard.
 #[derive(Clone, Debug)]
-struct Held {
+struct StoredItem {
     item: Item,
-    heard: Duration,
+    received_at: Duration,
     /// Revision under which others are told of the last change that says something new.
-    said: u64,
+    publish_revision: u64,
     /// A later removal that is held back.
-    ending: Option<Pending>,
+    pending: Option<PendingRemoval>,
 }
 
 /// The newest items.
@@ -50,20 +50,20 @@
 /// as a removal that is held back.
 #[derive(Debug, Default)]
 pub struct Replica {
-    held: BTreeMap<Arc<str>, Held>,
+    items: BTreeMap<Arc<str>, StoredItem>,
     /// Number of the last change; grows with each.
-    last: u64,
+    change_count: u64,
     /// Store's revision up to which nothing is missing.
-    reached: u64,
+    synced_revision: u64,
     /// Store's revision after which every removal is known.
     since: u64,
     /// Until when items that a reading did not name are believed in.
-    doubt: Duration,
+    defer_until: Duration,
     /// Highest revision under which something was said.
-    said: u64,
+    publish_revision: u64,
     /// Keys of changes that came late, until `reached` grows.
-    late: BTreeSet<Arc<str>>,
-    versions: ConfigHistory,
+    late_keys: BTreeSet<Arc<str>>,
+    config: ConfigHistory,
 }
 
 impl Replica {
@@ -74,52 +74,55 @@
 
     /// Number of the last change.
     pub fn change_count(&self) -> u64 {
-        self.last
+        self.change_count
     }
 
     /// Store's revision up to which nothing is missing.
     pub fn synced_revision(&self) -> u64 {
-        self.reached
+        self.synced_revision
     }
 
     /// Highest revision under which [`World::after`] tells something.
     pub fn publish_revision(&self) -> u64 {
-        self.said
+        self.publish_revision
     }
 
     /// Nothing up to a revision is missing any more.
     pub fn set_synced(&mut self, rev: u64) {
-        if rev <= self.reached {
+        if rev <= self.synced_revision {
             return;
         }
-        self.reached = rev;
-        for key in std::mem::take(&mut self.late) {
-            if let Some(held) = self.held.get_mut(&key) {
-                held.said = rev;
-                held.ending.iter_mut().for_each(|ending| ending.said = rev);
-                self.said = self.said.max(rev);
+        self.synced_revision = rev;
+        for key in std::mem::take(&mut self.late_keys) {
+            if let Some(stored) = self.items.get_mut(&key) {
+                stored.publish_revision = rev;
+                stored
+                    .pending
+                    .iter_mut()
+                    .for_each(|pending| pending.publish_revision = rev);
+                self.publish_revision = self.publish_revision.max(rev);
             }
         }
     }
 
     /// The configuration in force.
     pub fn config(&self) -> Option<&Arc<Config>> {
-        self.versions.current()
+        self.config.current()
     }
 
     /// Workspaces of the configuration in force, by their keys.
     pub fn keys(&self) -> &KeyIndex {
-        self.versions.keys()
+        self.config.keys()
     }
 
     /// Its routes by host name and prefix.
     pub fn routes(&self) -> &RouteIndex {
-        self.versions.routes()
+        self.config.routes()
     }
 
     /// Number of the configuration in force; 0 where none is known.
     pub fn version(&self) -> u64 {
-        self.versions.number()
+        self.config.number()
     }
 
     /// What a host that holds a version of the configuration is to be told of later ones.
@@ -127,8 +130,8 @@
     /// # Errors
     ///
     /// When the version in force cannot be packed.
-    pub fn update_since(&mut self, held: u64) -> Result<Option<ConfigUpdate>, PackError> {
-        self.versions.update_since(held)
+    pub fn update_since(&mut self, stored: u64) -> Result<Option<ConfigUpdate>, PackError> {
+        self.config.update_since(stored)
     }
 
     /// Takes in what another host tells of the configuration.
@@ -136,73 +139,82 @@
     /// # Errors
     ///
     /// When it cannot be read, or does not fit the version that is held.
-    pub fn apply_update(&mut self, news: &ConfigUpdate) -> Result<(), ConfigUpdateError> {
+    pub fn apply_update(&mut self, update: &ConfigUpdate) -> Result<(), ConfigUpdateError> {
         let before = self.version();
-        let learned = self.versions.apply_update(news);
-        self.last += u64::from(self.version() > before);
-        learned
+        let applied = self.config.apply_update(update);
+        self.change_count += u64::from(self.version() > before);
+        applied
     }
 
     /// Takes an item in; tells whether it changes what is believed.
     pub fn apply_item(&mut self, item: Item, now: Duration) -> bool {
         if let Some(Entry::Config(config)) = &item.entry {
-            let newer = self.versions.replace_if_newer(config);
-            self.last += u64::from(newer);
+            let newer = self.config.replace_if_newer(config);
+            self.change_count += u64::from(newer);
             return newer;
         }
-        let known = self.held.get(&item.key);
+        let known = self.items.get(&item.key);
         if known.is_some_and(|known| known.item.rev >= item.rev) {
             return false;
         }
-        let same = known.is_some_and(|known| known.says(&item, now));
-        let before = known.map_or(0, |known| known.said);
-        let ending = known.and_then(|known| known.ending);
-        let said = if same {
+        let same = known.is_some_and(|known| known.repeats(&item, now));
+        let before = known.map_or(0, |known| known.publish_revision);
+        let pending = known.and_then(|known| known.pending);
+        let publish_revision = if same {
             before
         } else {
-            self.number(&item.key, item.rev)
+            self.next_publish_revision(&item.key, item.rev)
         };
-        let held = Held {
-            heard: now,
-            said,
-            ending: ending.filter(|ending| ending.rev > item.rev),
+        let stored = StoredItem {
+            received_at: now,
+            publish_revision,
+            pending: pending.filter(|pending| pending.rev > item.rev),
             item,
         };
-        self.held.insert(Arc::clone(&held.item.key), held);
-        self.last += u64::from(!same);
+        self.items.insert(Arc::clone(&stored.item.key), stored);
+        self.change_count += u64::from(!same);
         !same
     }
 
     /// Revision under which others are told of a change. They have been told that nothing up to `reached`
     /// is missing, so that one which comes late is told as if it were newer; to those that have got
     /// further elsewhere, once this host has too.
-    fn number(&mut self, key: &Arc<str>, rev: u64) -> u64 {
-        let is_late = rev <= self.reached;
+    fn next_publish_revision(&mut self, key: &Arc<str>, rev: u64) -> u64 {
+        let is_late = rev <= self.synced_revision;
         if is_late {
-            self.late.insert(Arc::clone(key));
+            self.late_keys.insert(Arc::clone(key));
         }
-        let said = if is_late { self.reached + 1 } else { rev };
-        self.said = self.said.max(said);
-        said
+        let publish_revision = if is_late {
+            self.synced_revision + 1
+        } else {
+            rev
+        };
+        self.publish_revision = self.publish_revision.max(publish_revision);
+        publish_revision
     }
 
     /// Items that are there.
     pub fn present_items(&self) -> impl Iterator<Item = &Item> {
-        let items = self.held.values().map(|held| &held.item);
+        let items = self.items.values().map(|stored| &stored.item);
         items.filter(|item| item.entry.is_some())
     }
 
     /// Items that said something new after a revision, those that are gone too.
     pub fn changed_since(&self, rev: u64, now: Duration) -> Vec<Item> {
-        let newer = self.held.values().filter(|held| held.said > rev);
-        newer.map(|held| self.aged(held, now)).collect()
+        let newer = self
+            .items
+            .values()
+            .filter(|stored| stored.publish_revision > rev);
+        newer
+            .map(|stored| self.with_remaining_cold(stored, now))
+            .collect()
     }
 
     /// A follower counts a target's cold time from when it hears of it.
-    fn aged(&self, held: &Held, now: Duration) -> Item {
-        let mut item = held.item.clone();
+    fn with_remaining_cold(&self, stored: &StoredItem, now: Duration) -> Item {
+        let mut item = stored.item.clone();
         if let Some(Entry::Target(target)) = &mut item.entry {
-            let passed = now.saturating_sub(held.heard);
+            let passed = now.saturating_sub(stored.received_at);
             let cold = target.cold.saturating_sub(passed);
             if cold != target.cold {
                 *target = Arc::new(Target {
@@ -224,20 +236,20 @@
     }
 }
 
-impl Held {
+impl StoredItem {
     /// Whether an item says nothing new: targets repeat themselves with every heartbeat. One that was
     /// created since is new, whatever it says: others may have heard of the removal in between; and of a
     /// second removal, of what was there in between.
-    fn says(&self, item: &Item, now: Duration) -> bool {
+    fn repeats(&self, item: &Item, now: Duration) -> bool {
         let is_removal = item.created == 0 && item.entry.is_none();
         if item.created > self.item.rev || is_removal {
             return false;
         }
         match (&self.item.entry, &item.entry) {
             (Some(Entry::Target(old)), Some(Entry::Target(new))) => {
-                let (was, is) = (self.heard + old.cold, now + new.cold);
+                let (was, is) = (self.received_at + old.cold, now + new.cold);
                 let still = new.cold.is_zero() && was <= now;
-                let near = still || was.abs_diff(is) < COLD_SWING;
+                let near = still || was.abs_diff(is) < COLD_TOLERANCE;
                 near && Target {
                     cold: old.cold,
                     ..Target::clone(new)
--- a/crates/edge/src/replica/view.rs
+++ b/crates/edge/src/replica/view.rs
@@ -58,44 +58,44 @@
     pub fn open(
         replica: &Replica,
         domains: &BTreeMap<Arc<str>, Arc<str>>,
-        warmed: &BTreeMap<Arc<str>, Duration>,
+        cold_until: &BTreeMap<Arc<str>, Duration>,
         before: &View,
     ) -> View {
         let mut listed = Vec::new();
         let mut view = View {
-            change: replica.last,
+            change: replica.change_count,
             config: replica.config().cloned(),
             keys: replica.keys().clone(),
             routes: replica.routes().clone(),
             ..View::default()
         };
-        for held in replica.held.values() {
-            match &held.item.entry {
+        for stored in replica.items.values() {
+            match &stored.item.entry {
                 Some(Entry::Evacuated(domain)) => {
                     view.evacuated.insert(Arc::clone(domain));
                 }
                 Some(Entry::Host(host)) => {
                     view.hosts.insert(Arc::clone(&host.name), Arc::clone(host));
-                    listed.push((Arc::clone(host), held.item.created));
+                    listed.push((Arc::clone(host), stored.item.created));
                 }
                 _ => {}
             }
         }
-        let roster = (before.change > 0).then_some(&before.limit_owners);
-        view.limit_owners = LimitOwners::next(roster, &listed, domains, since_boot());
+        let owners = (before.change > 0).then_some(&before.limit_owners);
+        view.limit_owners = LimitOwners::next(owners, &listed, domains, since_boot());
         view.host_hashes = view.hosts.keys().map(|name| hash::hash_str(name)).collect();
-        for held in replica.held.values() {
-            let Some(Entry::Target(target)) = &held.item.entry else {
+        for stored in replica.items.values() {
+            let Some(Entry::Target(target)) = &stored.item.entry else {
                 continue;
             };
             if target.leaving || view.evacuated.contains(&target.domain) {
                 continue;
             }
-            let since = warmed.get(&target.domain).copied().unwrap_or_default();
+            let evacuated_until = cold_until.get(&target.domain).copied().unwrap_or_default();
             let known = KnownTarget {
                 target: Arc::clone(target),
                 region: domains.get(&target.domain).cloned().unwrap_or_default(),
-                cold_until: since.max(held.heard + target.cold),
+                cold_until: evacuated_until.max(stored.received_at + target.cold),
             };
             let service = view.services.entry(Arc::clone(&target.service));
             service.or_default().push(known);
--- a/crates/edge/src/settings/mod.rs
+++ b/crates/edge/src/settings/mod.rs
@@ -9,21 +9,21 @@
 use dunlinrock_schema::edge::{EdgeBounds, EdgeSettings};
 
 /// Open files of a process where the settings do not say: what systems usually allow.
-const DESCRIPTORS: i64 = 4096;
+const DEFAULT_DESCRIPTORS: i64 = 4096;
 
 /// Least limit on open files with which a host can serve: its listeners, timers and the store take
 /// about 30.
-const LEAST_DESCRIPTORS: i64 = 64;
+const MIN_DESCRIPTORS: i64 = 64;
 
 /// Memory of a process where the settings do not say, in millions of bytes.
-const MEMORY_MB: f64 = 256.0;
+const DEFAULT_MEMORY_MB: f64 = 256.0;
 
 /// Least memory with which a host can serve: one at rest takes about 12 million bytes.
-const LEAST_MEMORY_MB: f64 = 16.0;
+const MIN_MEMORY_MB: f64 = 16.0;
 
 /// Least time after which a key that was taken away serves no more. What a host in touch with the store
 /// believes is a second old; with less than this it would refuse callers all the time.
-const LEAST_REVOKE: Duration = Duration::from_secs(2);
+const MIN_REVOKE: Duration = Duration::from_secs(2);
 
 /// Addresses on which a host is served.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -111,8 +111,8 @@
     let reloadable = ReloadableSettings {
         domains: raw.domains,
         seeds,
-        grace: check.time("bounds.grace", bounds.grace.as_deref(), "6s"),
-        ttl: check.time("bounds.lookup_ttl", bounds.lookup_ttl.as_deref(), "5s"),
+        grace: check.duration("bounds.grace", bounds.grace.as_deref(), "6s"),
+        ttl: check.duration("bounds.lookup_ttl", bounds.lookup_ttl.as_deref(), "5s"),
         budget: budget(&bounds, &mut check),
         cold: ColdStartLimits {
             rate: 0.0,
@@ -124,13 +124,13 @@
     };
     let limits = raw.limits.unwrap_or_default();
     let descriptors = check.descriptors(limits.descriptors);
-    let memory = check.number("limits.memory_mb", limits.memory_mb, MEMORY_MB);
-    if memory < LEAST_MEMORY_MB {
-        check.found("limits.memory_mb", &memory.to_string(), "give 16 or more");
+    let memory = check.number("limits.memory_mb", limits.memory_mb, DEFAULT_MEMORY_MB);
+    if memory < MIN_MEMORY_MB {
+        check.report("limits.memory_mb", &memory.to_string(), "give 16 or more");
     }
     let processor = check.number("limits.processor", limits.processor, 1.0);
     if processor <= 0.0 {
-        check.found(
+        check.report(
             "limits.processor",
             &processor.to_string(),
             "give more than 0",
@@ -149,9 +149,9 @@
         reloadable,
     };
     if !settings.reloadable.domains.contains_key(&settings.domain) {
-        check.found("domain", &settings.domain, "name one of `domains`");
+        check.report("domain", &settings.domain, "name one of `domains`");
     }
-    check.end()?;
+    check.finish()?;
     Ok(settings)
 }
 
@@ -180,28 +180,28 @@
     RetryLimits {
         ratio: check.number("bounds.retry_ratio", bounds.retry_ratio, 0.2),
         slack: check.number("bounds.retry_slack", bounds.retry_slack, 10.0),
-        window: check.time("bounds.retry_window", bounds.retry_window.as_deref(), "10s"),
+        window: check.duration("bounds.retry_window", bounds.retry_window.as_deref(), "10s"),
     }
 }
 
 fn revoke(bounds: &EdgeBounds, check: &mut Check) -> Option<Duration> {
     let text = bounds.revoke.as_deref()?;
-    let time = check.time("bounds.revoke", Some(text), text);
-    if time < LEAST_REVOKE {
-        check.found("bounds.revoke", text, "give 2s or more");
+    let time = check.duration("bounds.revoke", Some(text), text);
+    if time < MIN_REVOKE {
+        check.report("bounds.revoke", text, "give 2s or more");
     }
     Some(time)
 }
 
 fn limit(bounds: &EdgeBounds, check: &mut Check) -> RateLimitConfig {
     let rules = RateLimitConfig {
-        window: check.time("bounds.limit_window", bounds.limit_window.as_deref(), "5s"),
+        window: check.duration("bounds.limit_window", bounds.limit_window.as_deref(), "5s"),
         over: check.number("bounds.limit_over", bounds.limit_over, 0.1),
         slack: check.number("bounds.limit_slack", bounds.limit_slack, 10.0),
     };
     if rules.window.is_zero() {
         let text = bounds.limit_window.as_deref().unwrap_or_default();
-        check.found("bounds.limit_window", text, "give more than 0s");
+        check.report("bounds.limit_window", text, "give more than 0s");
     }
     rules
 }
@@ -209,50 +209,50 @@
 /// Findings of one file.
 #[derive(Debug, Default)]
 struct Check {
-    findings: Vec<String>,
+    mistakes: Vec<String>,
 }
 
 impl Check {
-    fn found(&mut self, key: &str, value: &str, mend: &str) {
-        self.findings.push(format!("{key}: `{value}`: {mend}"));
+    fn report(&mut self, key: &str, value: &str, remedy: &str) {
+        self.mistakes.push(format!("{key}: `{value}`: {remedy}"));
     }
 
     fn address(&mut self, key: &str, text: &str) -> SocketAddr {
         text.parse().unwrap_or_else(|_| {
-            self.found(key, text, "give IP:PORT, as in 127.0.0.1:17101");
+            self.report(key, text, "give IP:PORT, as in 127.0.0.1:17101");
             SocketAddr::from(([127, 0, 0, 1], 0))
         })
     }
 
-    fn time(&mut self, key: &str, text: Option<&str>, otherwise: &str) -> Duration {
-        let text = text.unwrap_or(otherwise);
+    fn duration(&mut self, key: &str, text: Option<&str>, default: &str) -> Duration {
+        let text = text.unwrap_or(default);
         parse_duration(text).unwrap_or_else(|| {
-            self.found(key, text, "give a number and `ms` or `s`, as in 1500ms");
+            self.report(key, text, "give a number and `ms` or `s`, as in 1500ms");
             Duration::ZERO
         })
     }
 
-    fn number(&mut self, key: &str, value: Option<f64>, otherwise: f64) -> f64 {
-        let value = value.unwrap_or(otherwise);
+    fn number(&mut self, key: &str, value: Option<f64>, default: f64) -> f64 {
+        let value = value.unwrap_or(default);
         if !(value.is_finite() && value >= 0.0) {
-            self.found(key, &value.to_string(), "give a number of 0 or more");
+            self.report(key, &value.to_string(), "give a number of 0 or more");
         }
         value
     }
 
     fn descriptors(&mut self, value: Option<i64>) -> u32 {
-        let value = value.unwrap_or(DESCRIPTORS);
-        if value < LEAST_DESCRIPTORS {
-            self.found("limits.descriptors", &value.to_string(), "give 64 or more");
+        let value = value.unwrap_or(DEFAULT_DESCRIPTORS);
+        if value < MIN_DESCRIPTORS {
+            self.report("limits.descriptors", &value.to_string(), "give 64 or more");
         }
         u32::try_from(value).unwrap_or(u32::MAX)
     }
 
-    fn end(self) -> anyhow::Result<()> {
-        if self.findings.is_empty() {
+    fn finish(self) -> anyhow::Result<()> {
+        if self.mistakes.is_empty() {
             return Ok(());
         }
-        bail!("{}", self.findings.join("\n"))
+        bail!("{}", self.mistakes.join("\n"))
     }
 }
 
--- a/crates/edge/src/trace/line_budget.rs
+++ b/crates/edge/src/trace/line_budget.rs
@@ -3,11 +3,11 @@
 use std::{cell::Cell, time::Duration};
 
 /// Length of the span that a budget covers.
-const SPAN: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 
 /// Whether a line is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum LineDecision {
     /// It is.
     Yes,
     /// It is, and this many before it were left out.
@@ -18,38 +18,38 @@
 
 /// Budget of lines of one kind.
 #[derive(Debug)]
-pub struct Lines {
-    most: u32,
-    since: Cell<Duration>,
+pub struct LineBudget {
+    max_lines: u32,
+    window_start: Cell<Duration>,
     written: Cell<u32>,
     dropped: Cell<u32>,
 }
 
-impl Lines {
+impl LineBudget {
     /// Opens a budget of `most` lines a second.
-    pub fn open(most: u32) -> Lines {
-        Lines {
-            most,
-            since: Cell::new(Duration::ZERO),
+    pub fn open(max_lines: u32) -> LineBudget {
+        LineBudget {
+            max_lines,
+            window_start: Cell::new(Duration::ZERO),
             written: Cell::new(0),
             dropped: Cell::new(0),
         }
     }
 
     /// Asks for one line.
-    pub fn ask(&self, now: Duration) -> Told {
-        if now >= self.since.get() + SPAN {
-            self.since.set(now);
+    pub fn request(&self, now: Duration) -> LineDecision {
+        if now >= self.window_start.get() + WINDOW {
+            self.window_start.set(now);
             self.written.set(0);
         }
-        if self.written.get() >= self.most {
+        if self.written.get() >= self.max_lines {
             self.dropped.set(self.dropped.get() + 1);
-            return Told::No;
+            return LineDecision::No;
         }
         self.written.set(self.written.get() + 1);
         match self.dropped.take() {
-            0 => Told::Yes,
-            dropped => Told::After(dropped),
+            0 => LineDecision::Yes,
+            dropped => LineDecision::After(dropped),
         }
     }
 }
--- a/crates/edge/src/trace/mod.rs
+++ b/crates/edge/src/trace/mod.rs
@@ -11,7 +11,7 @@
 use std::{collections::BTreeSet, sync::Arc};
 
 pub use self::{
-    line_budget::{Lines, Told},
+    line_budget::{LineBudget, LineDecision},
     outcome::Outcome,
 };
 use crate::{
@@ -20,10 +20,10 @@
 };
 
 /// Names in one line; a failure domain holds a few dozen targets.
-const NAMES: usize = 40;
+const MAX_NAMES: usize = 40;
 
 /// Tells how a new view differs from the one before.
-pub fn believed(before: &View, after: &View) {
+pub fn log_view_change(before: &View, after: &View) {
     let version = |view: &View| view.config.as_ref().map(|c| c.version);
     if version(before) != version(after) {
         log::info!(
@@ -31,14 +31,14 @@
             change = after.change; "another configuration is in force"
         );
     }
-    tell(
+    log_set_change(
         "evacuated",
         &before.evacuated,
         &after.evacuated,
         after.change,
     );
-    tell("hosts", &names(before), &names(after), after.change);
-    tell("targets", &targets(before), &targets(after), after.change);
+    log_set_change("hosts", &names(before), &names(after), after.change);
+    log_set_change("targets", &targets(before), &targets(after), after.change);
 }
 
 fn names(view: &View) -> BTreeSet<Arc<str>> {
@@ -51,9 +51,14 @@
     all.map(|known| Arc::clone(&known.target.id)).collect()
 }
 
-fn tell(event: &str, before: &BTreeSet<Arc<str>>, after: &BTreeSet<Arc<str>>, change: u64) {
+fn log_set_change(
+    event: &str,
+    before: &BTreeSet<Arc<str>>,
+    after: &BTreeSet<Arc<str>>,
+    change: u64,
+) {
     let list = |a: &BTreeSet<Arc<str>>, b: &BTreeSet<Arc<str>>| {
-        let names: Vec<_> = a.difference(b).take(NAMES).map(|n| &**n).collect();
+        let names: Vec<_> = a.difference(b).take(MAX_NAMES).map(|n| &**n).collect();
         names.join(",")
     };
     let (added, removed) = (list(after, before), list(before, after));
@@ -67,10 +72,10 @@
 }
 
 /// Tells what is wrong with the workspaces of a configuration that is taken in.
-pub fn workspaces(config: &Config, keys: &KeyIndex) {
+pub fn log_config_warnings(config: &Config, keys: &KeyIndex) {
     let shared = keys.shared(&config.workspaces);
     if !shared.is_empty() {
-        let names: Vec<_> = shared.iter().take(NAMES).map(|n| &**n).collect();
+        let names: Vec<_> = shared.iter().take(MAX_NAMES).map(|n| &**n).collect();
         log::warn!(
             target: "belief", event = "shared_keys", version = config.version, workspaces = &*names.join(",");
             "keys of these workspaces are held by others as well, and count for those"
@@ -80,7 +85,7 @@
         let is_apart =
             |homes: &BTreeSet<Arc<str>>| !homes.is_empty() && homes.is_disjoint(&workspace.homes);
         let routes = config.routes.iter().filter(|r| is_apart(&r.homes));
-        let routes: Vec<_> = routes.take(NAMES).map(|r| &*r.name).collect();
+        let routes: Vec<_> = routes.take(MAX_NAMES).map(|r| &*r.name).collect();
         if !workspace.homes.is_empty() && !routes.is_empty() {
             log::warn!(
                 target: "belief", event = "no_home", version = config.version, workspace = &*workspace.name,
