--- a/crates/edge/src/front/accept.rs
+++ b/crates/edge/src/front/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections, so that none waits in the listen queue.
+//! Accepts callers' connections quickly, so that none waits in the listen queue.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,27 +10,29 @@
 
 use super::{Front, serve_connection};
 
-/// Pause after a failed accept: out of descriptors it fails at once and again.
+/// Backoff after a failed accept: without free descriptors, accept fails again immediately.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Time between two looks whether the listen queue is empty.
+/// Interval between two checks whether the listen queue is empty.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two reports of the connections held.
+/// Interval at which the connection gauges are reported.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Shortest wait in the listen queue that counts: below it, two looks lie further apart than that.
+/// Shortest wait in the listen queue that is taken into account. Two checks may lie up to this far
+/// apart, so shorter waits cannot be told from zero.
 const MIN_QUEUE_WAIT: Duration = Duration::from_millis(250);
 
-/// How long a connection must have been idle to be closed for another: callers that go on send their
-/// next request within this time mostly, and would have to connect again.
+/// How long a connection must have been idle before it may be closed to make place for another.
+/// Active callers mostly send their next request within this time and would have to reconnect.
 const MIN_EVICTION_IDLE: Duration = Duration::from_secs(1);
 
-/// When the listen queue was last seen empty, which bounds how long what is accepted has waited.
+/// Tracks when the listen queue was last empty, which bounds how long an accepted connection has
+/// waited.
 ///
-/// Failure: a host that stands still for seconds reads requests afterwards as if they had just come,
-/// and hands on more time than their callers still have. A connection that is accepted was opened after
-/// the queue was last empty, whatever held the host up.
+/// A host that stalls for seconds would otherwise treat the requests it reads afterwards as new,
+/// and pass on more time than their callers still have. An accepted connection was opened after the
+/// queue was last empty, whatever stalled the host.
 #[derive(Debug)]
 struct ListenQueue {
     last_empty: Instant,
@@ -42,7 +44,7 @@
             let mut is_first_poll = true;
             let accept = std::future::poll_fn(|cx| {
                 let polled = listener.poll_accept(cx);
-                // Polled first after a connection or a pause, it has asked the kernel.
+                // The first poll after a connection or a sleep has asked the kernel.
                 if polled.is_pending() && std::mem::take(&mut is_first_poll) {
                     self.last_empty = Instant::now();
                 }
@@ -61,7 +63,7 @@
     }
 }
 
-/// Accepts for as long as it is polled.
+/// Accepts connections for as long as it is polled.
 pub(super) async fn accept(front: &Rc<Front>, listener: &TcpListener) {
     let mut queue = ListenQueue {
         last_empty: Instant::now(),
@@ -82,7 +84,7 @@
     }
 }
 
-/// Reports the connections held, for as long as it is polled.
+/// Reports the number of connections for as long as it is polled.
 pub(super) async fn gauge(front: &Front) {
     loop {
         tokio::time::sleep(GAUGE_INTERVAL).await;
@@ -97,7 +99,7 @@
 }
 
 impl Front {
-    /// Connections held now.
+    /// Returns the number of open connections.
     pub(super) fn open_connections(&self) -> OpenConnections {
         OpenConnections {
             callers: self.open_callers.get(),
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Whether connections end with the next answer, as few more may be opened.
+    /// Whether connections are closed after the next response because few more may be opened.
     pub(super) fn is_near_limit(&self) -> bool {
         self.shared
             .settings
@@ -113,8 +115,8 @@
             .above_high_watermark(self.open_connections())
     }
 
-    /// A caller has opened a connection. Closes idle ones where the bound is near; tells whether the
-    /// new one's request must be refused, as the host is full.
+    /// Handles a new connection of a caller: closes idle ones near the connection limit. Returns
+    /// true if the host is full and the request must be refused.
     fn on_accept(&self) -> bool {
         match self
             .shared
@@ -140,7 +142,7 @@
         }
     }
 
-    /// One line where the host comes near its bound, and one where it is below it again.
+    /// Logs when the number of connections comes near the limit, and when it is below again.
     fn log_pressure(&self, open: OpenConnections) {
         let rules = self.shared.settings.connections;
         let is_near = rules.above_low_watermark(open);
--- a/crates/edge/src/front/access.rs
+++ b/crates/edge/src/front/access.rs
@@ -1,4 +1,5 @@
-//! What a request may do by the configuration in force: its route, its workspace, its homes.
+//! Access of a request under the active configuration: its route, its workspace, and the regions in
+//! which it may run.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,74 +11,77 @@
     replica::View,
 };
 
-/// Age of what is believed up to which an unknown key is called one. A key that was just added is
-/// known this late at most.
+/// Greatest age of the replica at which an unknown key is rejected as unknown. A key that was just
+/// added is known at most this late.
 const MAX_UNKNOWN_KEY_AGE: Duration = Duration::from_millis(1600);
 
-/// What a request may do.
+/// The route and workspace that a request is authorized for.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Access {
     pub(super) route: Arc<Route>,
-    /// Whose request it is, if anybody's.
+    /// Workspace of the caller, if it is authenticated.
     pub(super) workspace: Option<Arc<Workspace>>,
-    /// Whether callers' credentials are for hosts alone.
+    /// Whether the configuration has workspaces, so that callers' credentials are checked here and
+    /// not shown to targets.
     pub(super) requires_key: bool,
 }
 
 impl Access {
-    /// Whether the request may run in a region: homes of its route and of its workspace bind both.
+    /// Whether the request may run in a region: the allowed regions of its route and of its
+    /// workspace both apply.
     pub(super) fn allows(&self, region: &Arc<str>) -> bool {
         let workspace = self.workspace.iter().map(|w| &w.homes);
         let mut homes = workspace.chain([&self.route.homes]);
         homes.all(|homes| homes.is_empty() || homes.contains(region))
     }
 
-    /// Its rank; 0 is the most urgent. A workspace's goes before a route's.
+    /// Priority of the request; 0 is the highest. A workspace's priority takes precedence over its
+    /// route's.
     pub(super) fn priority(&self) -> u8 {
         let workspace = self.workspace.as_ref().and_then(|w| w.rank);
         workspace.unwrap_or(self.route.priority)
     }
 
-    /// Whether no region is a home of both.
+    /// Whether no region is allowed by both the route and the workspace.
     pub(super) fn has_no_region(&self) -> bool {
         let mut homes = self.route.homes.iter();
         !self.route.homes.is_empty() && !homes.any(|region| self.allows(region))
     }
 }
 
-/// How far what is believed goes. To be taken before the view that it is about: a view that is taken
-/// first may be replaced, and its successor proved, in between.
+/// Freshness of the replica. Must be read before the view that it is used with: a view that is read
+/// first may be replaced, and its successor confirmed, in between.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KeyFreshness {
-    /// Age of what is believed.
+    /// Time since the store last confirmed the replica.
     age: Duration,
-    /// Whether callers may be served by their keys.
+    /// Whether the known keys are fresh enough to serve callers by.
     is_fresh: bool,
 }
 
-/// Why a request has no rights.
+/// Why a request is denied access.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub(super) enum AccessError {
     /// No configuration is known.
     #[error("no configuration is known yet")]
     NoConfig,
-    /// No route takes it.
+    /// No route matches.
     #[error("no route")]
     NoRoute,
-    /// Keys may have been taken away meanwhile, or added.
+    /// Keys may have been revoked or added since the replica was confirmed.
     #[error("what is known of keys is {} ms old", age.as_millis())]
     StaleKeys {
-        /// How old it is.
+        /// Age of the replica.
         age: Duration,
     },
     /// The caller sent no key.
     #[error("no key")]
     MissingKey,
-    /// The caller sent something else than a key.
+    /// The caller sent something other than a key.
     #[error("unreadable credentials")]
     MalformedKey,
-    /// No workspace holds its key.
+    /// No workspace has this key.
     #[error("unknown key, by version {version}")]
     UnknownKey {
         /// Version of the configuration.
@@ -86,7 +90,7 @@
 }
 
 impl Front {
-    /// How far what is believed goes now.
+    /// Returns the current freshness of the replica.
     pub(super) fn key_freshness(&self) -> KeyFreshness {
         KeyFreshness {
             is_fresh: self.shared.keys_are_fresh(),
@@ -94,7 +98,7 @@
         }
     }
 
-    /// What a request may do by a view.
+    /// Determines the access of a request under a view.
     pub(super) fn authorize(
         &self,
         view: &View,
@@ -125,7 +129,7 @@
     }
 }
 
-/// A key that is not known may have been added since.
+/// Returns the error for an unknown key: it may have been added since the replica was confirmed.
 fn unknown_key(version: u64, freshness: KeyFreshness) -> AccessError {
     if freshness.age > MAX_UNKNOWN_KEY_AGE {
         return AccessError::StaleKeys { age: freshness.age };
--- a/crates/edge/src/front/admit.rs
+++ b/crates/edge/src/front/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a request may run: by its caller's rights, and by its workspace's limit.
+//! Admission of a request, by its caller's access and its workspace's rate limit.
 
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 use crate::{model::Workspace, replica::View};
 
 impl Front {
-    /// The answer to a request without rights: it has not run.
+    /// Returns the response to a request that is denied access. The request has not run.
     pub(super) fn access_denied(&self, cause: &AccessError, uri: &Uri) -> RequestEnd {
         match cause {
             AccessError::NoConfig | AccessError::StaleKeys { .. } => {
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Whether callers with keys are refused, as what is known of keys is too old: they are better off
-    /// at another host.
+    /// Whether callers with keys are refused because the known keys are stale; another host may
+    /// serve them.
     pub(super) fn keys_are_stale(&self) -> bool {
         let view = self.shared.view.load();
         let config = view.config.as_ref();
@@ -36,7 +36,8 @@
         requires_key && !self.shared.keys_are_fresh()
     }
 
-    /// Gets a token for a request of a workspace with a limit, unless the one that it holds is still good.
+    /// Returns a token for a request of a workspace with a rate limit: `held` if it is still valid,
+    /// else a new one.
     pub(super) async fn admit(
         self: &Rc<Front>,
         view: &View,
--- a/crates/edge/src/front/attempt.rs
+++ b/crates/edge/src/front/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one target.
+//! One attempt to run a request at one target.
 
 use std::{
     cell::{Cell, RefCell},
@@ -22,34 +22,34 @@
 };
 use crate::model::{Credentials, Route};
 
-/// What is sent to targets.
+/// A request as it is sent to targets.
 #[derive(Debug)]
 pub(super) struct OutboundRequest {
     pub(super) id: Arc<str>,
     pub(super) method: Method,
     pub(super) uri: Uri,
     pub(super) headers: HeaderMap,
-    /// How the caller said who it is.
+    /// Credentials of the caller.
     pub(super) credentials: Credentials,
     pub(super) body: Bytes,
-    /// When the caller stops waiting, or the route's timeout is over.
+    /// The earlier of the caller's deadline and the route's timeout.
     pub(super) deadline: Instant,
-    /// Sends that no log line tells yet.
+    /// Attempts that are not in a log line yet.
     pub(super) unlogged: RefCell<Vec<Sent>>,
 }
 
-/// How one attempt ended.
+/// How an attempt ended.
 pub(super) enum AttemptResult {
     Answered(BufferedResponse),
-    /// It did not run and never will.
+    /// The target did not run it and never will.
     NotRun(String),
     /// Nothing was sent.
     NotSent(String),
-    /// It may have run.
+    /// It may have run; the result is unknown.
     Lost(String),
-    /// Its time is over, and it may have run.
+    /// Timed out; it may have run.
     TimedOut,
-    /// Nothing was sent, as it is to go elsewhere by now.
+    /// Nothing was sent, because the request must now go to another target.
     Rerouted,
 }
 
@@ -104,16 +104,16 @@
         result
     }
 
-    /// What a request that got no answer in time says about its target: something only if it had the
-    /// time that a sound one needs.
+    /// Returns what a timeout says about the target: nothing, unless the attempt had as much time
+    /// as a healthy target needs.
     ///
-    /// Load: targets that run many times slower. Without this nothing ever spoke against them, and
-    /// their objects' requests ended at them, late, one after the other.
+    /// Without this, targets that run many times slower would never be ejected, and the requests
+    /// whose affinity key prefers them would time out one after the other.
     fn timeout_evidence(&self, route: &Route, time: Duration) -> Option<Evidence> {
         (time >= route.objective).then_some(Evidence::Bad)
     }
 
-    /// Exchanges on a kept connection, or on a new one.
+    /// Exchanges a request and a response on an idle connection, or on a new one.
     async fn exchange(
         &self,
         access: &Access,
@@ -144,15 +144,15 @@
                     }
                     return Ok(response);
                 }
-                // The target closed a kept connection before anything was sent.
+                // The target closed an idle connection before anything was sent.
                 Err(ExchangeError::NotSent(_)) if was_used => sent.set(false),
                 Err(e) => return Err(e),
             }
         }
     }
 
-    /// Opens a connection, and notes how long the way takes. The shortest time counts: longer ones hold
-    /// lost packets, and the target's and this host's own delays.
+    /// Opens a connection and records the round-trip time to the target's region. The shortest time
+    /// counts: longer ones include lost packets and delays of the target or of this host.
     async fn connect(&self, selected: &SelectedTarget) -> Result<TargetConnection, ExchangeError> {
         let start = Instant::now();
         let connection =
@@ -165,11 +165,12 @@
         Ok(connection)
     }
 
-    /// Whether what is believed now still sends the request where it is about to go.
+    /// Whether the current view would still send the request to the selected target.
     ///
-    /// Opening a connection between regions takes some hundred milliseconds. A host that was cut off
-    /// and has just learned of a newer configuration would send a request by the old one, also out
-    /// of the regions that may run it; a target that began to leave would get one more.
+    /// Opening a connection between regions takes some hundred milliseconds. Without this check, a
+    /// host that was cut off and has just received a newer configuration would send a request under
+    /// the old one, even to a region where it may not run; and a target that started to drain would
+    /// get one more.
     fn is_still_valid(
         &self,
         access: &Access,
@@ -230,14 +231,14 @@
         request
     }
 
-    /// Whether an answer belongs to a request. A target may answer twice, and the second answer
-    /// comes where that of the next request is expected.
+    /// Whether a response belongs to the request. A target may answer twice, and the second
+    /// response comes where that of the next request is expected.
     fn matches_request(&self, outbound: &OutboundRequest, response: &BufferedResponse) -> bool {
         let echoed = response.headers.get(&self.shared.dialect.request_id);
         echoed.is_some_and(|id| id.as_bytes() == outbound.id.as_bytes())
     }
 
-    /// Tells what an answer is worth, and what it says about the target.
+    /// Classifies a response, and returns what it says about the target.
     fn classify(
         &self,
         handle: &TargetHandle,
@@ -256,7 +257,7 @@
             let is_full = load.is_some_and(|l| l.running + l.waiting >= handle.target.slots);
             let evidence = match (status, is_full) {
                 (StatusCode::MISDIRECTED_REQUEST, _) => Evidence::Down,
-                // A target with all slots taken sheds rightly.
+                // A target whose slots are all taken is right to shed.
                 (_, true) => return (AttemptResult::NotRun(format!("{status}, full")), None),
                 _ => Evidence::Bad,
             };
@@ -279,7 +280,7 @@
                 Some(Evidence::Bad),
             );
         }
-        // These would tell the caller that nothing ran, which the target has not said.
+        // These statuses would tell the caller that nothing ran, which the target has not said.
         let claims_not_run = [408, 429, 503].contains(&status.as_u16());
         if claims_not_run {
             return (
@@ -294,7 +295,8 @@
         (AttemptResult::Answered(response), Some(evidence))
     }
 
-    /// Whether the targets of a service turn so much away that another one is no better.
+    /// Whether failures are so common among the targets of a service that another target is no
+    /// better.
     pub(super) fn failures_common(&self, service: &Arc<str>) -> bool {
         let rates = self.failure_rates.borrow();
         rates.get(service).is_some_and(FailureRate::is_high)
@@ -323,8 +325,8 @@
     }
 }
 
-/// Waits until the target is known to be down, for a request that may then run elsewhere. One that
-/// may run once only is better left waiting: the target may yet answer it.
+/// Waits until the target is known to be down, if the request may then be retried elsewhere. A
+/// request that is not idempotent keeps waiting: the target may still answer it.
 async fn wait_down(handle: &TargetHandle, route: &Route) {
     match route.repeatable {
         true => handle.down_notify.notified().await,
--- a/crates/edge/src/front/caller_stream.rs
+++ b/crates/edge/src/front/caller_stream.rs
@@ -1,10 +1,10 @@
-//! A caller's connection that notices at once when the caller leaves, and lets further requests be
-//! seen before their turn.
+//! A caller's connection that reads ahead, to detect at once that the caller disconnected and to
+//! see pipelined requests early.
 //!
-//! A caller that sends further requests before the first is answered leaves bytes unread, and behind
-//! unread bytes the HTTP library does not see the end of the connection: targets would go on working
-//! for a caller that is gone. So the bytes are read ahead into a bounded buffer, and the end behind
-//! them is seen.
+//! A caller that sends further requests before the first is answered leaves bytes unread, and
+//! behind unread bytes the HTTP library does not see the end of the connection: targets would keep
+//! working for a caller that is gone. So the bytes are read ahead into a bounded buffer, and the
+//! end behind them is seen.
 
 use std::{
     cell::RefCell,
@@ -23,17 +23,17 @@
     net::TcpStream,
 };
 
-/// Bytes read ahead. A caller that fills it is not seen to leave until some of it is used; heads of
-/// pipelined requests are a few hundred bytes each.
+/// Size of the read-ahead buffer. While a caller has filled it, its disconnect is not seen; heads
+/// of pipelined requests are a few hundred bytes each.
 const MAX_READ_AHEAD: usize = 32 << 10;
 
-/// Ends a head.
+/// End of a request head.
 const HEAD_END: &[u8; 4] = b"\r\n\r\n";
 
-/// One read.
+/// Size of one read.
 const READ_CHUNK: usize = 4 << 10;
 
-/// A connection, shared by the HTTP library and by those that wait for its end.
+/// A caller's connection, shared by the HTTP library and by tasks that wait for its end.
 #[derive(Clone, Debug)]
 pub struct CallerStream(Rc<RefCell<Inner>>);
 
@@ -42,19 +42,19 @@
     stream: TcpStream,
     /// Bytes that were read and not yet given to the HTTP library.
     buffer: BytesMut,
-    /// Bytes of `ahead` that were looked at as further requests.
+    /// Length of the part of `buffer` that was already parsed as pipelined requests.
     parsed: usize,
     /// The last bytes given to the library: the end of a head may be split between two reads.
     last_bytes: [u8; 3],
-    /// Whether the library gets nothing for now, and whom to wake when it does again.
+    /// Whether reads of the library are paused; `waker` resumes them.
     is_paused: bool,
     waker: Option<Waker>,
-    /// Whether the other side has closed its direction, or the connection is broken.
+    /// Whether the caller has closed its direction, or the connection is broken.
     is_over: bool,
 }
 
 impl CallerStream {
-    /// Takes a connection over.
+    /// Wraps an accepted connection.
     pub fn open(stream: TcpStream) -> CallerStream {
         CallerStream(Rc::new(RefCell::new(Inner {
             stream,
@@ -67,24 +67,24 @@
         })))
     }
 
-    /// Waits until more bytes were read ahead; `false` once the caller has closed the connection.
-    /// To be polled by the task that serves it.
+    /// Waits until more bytes were read ahead; returns false once the caller has closed the
+    /// connection. Must be polled by the task that serves the connection.
     pub(super) async fn wait_for_more(&self) -> bool {
         let before = self.0.borrow().buffer.len();
         std::future::poll_fn(|cx| self.0.borrow_mut().poll_more(cx, before)).await
     }
 
-    /// Whether the caller has already closed the connection and nothing more is to be read.
+    /// Whether the caller has already closed the connection and nothing more can be read.
     ///
-    /// The kernel is asked. The runtime tells of the end of a connection only with its next turn: where
-    /// a turn is long, a caller's request and its end arrive in the same one, and the end is not seen
-    /// before the request has been sent on.
+    /// This asks the kernel. The runtime reports the end of a connection only in its next turn: if
+    /// a turn is long, a request and the disconnect arrive in the same one, and the disconnect
+    /// would be seen only after the request was sent on.
     pub fn is_closed(&self) -> bool {
         let mut inner = self.0.borrow_mut();
         if !inner.is_over {
             let mut byte = [MaybeUninit::uninit()];
             let peeked = SockRef::from(&inner.stream).peek(&mut byte);
-            // Any other error than that there is nothing yet breaks the next read as well.
+            // Any error but "nothing to read yet" breaks the next read as well.
             inner.is_over = match peeked {
                 Ok(n) => n == 0,
                 Err(e) => e.kind() != io::ErrorKind::WouldBlock,
@@ -93,15 +93,15 @@
         inner.is_over
     }
 
-    /// Gives the HTTP library nothing until the guard is dropped. What is read ahead meanwhile
-    /// begins where the next request does.
+    /// Pauses reads of the HTTP library until the guard is dropped. Bytes read ahead meanwhile
+    /// begin with the next request.
     pub(super) fn pause_reads(&self) -> ReadPause {
         self.0.borrow_mut().is_paused = true;
         ReadPause(self.clone())
     }
 
-    /// Looks at the bytes read ahead that were not looked at before. `look` tells how many of them
-    /// it used.
+    /// Passes the bytes that were read ahead and not parsed yet to `parse_ahead`, which returns how
+    /// many of them it used.
     pub(super) fn parse_ahead(&self, parse_ahead: impl FnOnce(&[u8]) -> usize) -> bool {
         let inner = &mut *self.0.borrow_mut();
         let used = parse_ahead(&inner.buffer[inner.parsed..]);
@@ -110,7 +110,7 @@
     }
 }
 
-/// Holds a connection's further bytes back from the HTTP library.
+/// Pauses the HTTP library's reads until it is dropped.
 #[derive(Debug)]
 pub(super) struct ReadPause(CallerStream);
 
@@ -125,14 +125,16 @@
 }
 
 impl CallerStream {
-    /// Tells the caller that nothing more comes, then reads and drops what still arrives, until it
-    /// closes its direction too or a time is over. To be called once the last answer is written.
+    /// Lingering close: shuts down the sending direction, then reads and drops what still arrives
+    /// until the caller closes its direction or `time` is over. Call it once the last response is
+    /// written.
     ///
-    /// Closed with unread bytes, a connection is reset, and the reset overtakes the answer: a caller
-    /// that had already sent its next request would get nothing for the one that ran.
+    /// A connection that is closed with unread bytes is reset, and the reset overtakes the
+    /// response: a caller that had already sent its next request would lose the response to the one
+    /// that ran.
     pub(super) async fn linger(&self, time: Duration) {
         let drained = std::future::poll_fn(|cx| {
-            // A connection that cannot be shut down is broken, which the next read tells.
+            // A connection that cannot be shut down is broken, which the next read reports.
             let _ = Pin::new(&mut self.0.borrow_mut().stream).poll_shutdown(cx);
             let mut inner = self.0.borrow_mut();
             while !inner.is_over {
@@ -142,7 +144,7 @@
             }
             Poll::Ready(())
         });
-        // A caller that does not close in time has had its answer for long.
+        // A caller that does not close in time has received its response long ago.
         let _ = tokio::time::timeout(time, drained).await;
     }
 }
@@ -161,8 +163,9 @@
         Poll::Ready(false)
     }
 
-    /// Length of what the library gets next: to the end of a head, if one ends here. With a head it
-    /// never gets the beginning of the next request, so that what stays here begins with that.
+    /// Returns how many bytes the library gets next: up to the end of a head, if one ends here. It
+    /// never gets a head together with the beginning of the next request, so what stays in the
+    /// buffer begins with that request.
     fn next_len(&self) -> usize {
         let mut window = self.last_bytes;
         for (n, byte) in self.buffer.iter().enumerate() {
--- a/crates/edge/src/front/connection.rs
+++ b/crates/edge/src/front/connection.rs
@@ -12,48 +12,47 @@
 
 use super::idle::{ConnectionCounter, OpenGuard};
 
-/// Time in which a connection must open. Between regions a round trip takes some tens of
-/// milliseconds; a lost packet is sent again only after a second, and another target is tried
-/// before that.
+/// Timeout for opening a connection. A round trip between regions takes some tens of milliseconds;
+/// a lost packet is retransmitted only after a second, and another target is tried before that.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for which a target may leave what was sent to it unconfirmed, and the pause before and
-/// between the probes that ask a waiting connection whether the other side is there.
+/// How long sent data may stay unacknowledged, and the delay before and between keep-alive probes
+/// on a silent connection.
 ///
-/// A target that loses power says nothing: without these its requests wait until their deadlines,
-/// and a kept connection takes the next ones too. A link that loses one packet in twenty loses four
-/// in a row, which is what passes in this time, once in 160,000; the kernel's shortest probe is one
-/// second.
+/// A target that loses power sends nothing: without this its requests wait until their deadlines,
+/// and an idle connection takes the next ones too. A link that loses one packet in twenty loses
+/// four in a row, which is what passes in this time, once in 160,000; the kernel's shortest probe
+/// interval is one second.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which a connection is broken.
+/// Unanswered probes after which a connection counts as broken.
 const PROBES: u32 = 2;
 
-/// Largest answer taken, in bytes. Answers are passed on only once they are whole, so that one
-/// which breaks off never looks complete; memory bounds how large that may be.
+/// Largest response accepted, in bytes. Responses are buffered completely before they are passed
+/// on, so that a truncated one never looks complete; memory bounds how large that may be.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// How long a connection is kept idle where the target does not say.
+/// How long a connection is kept idle if the target does not say.
 const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(8);
 
-/// Part of the target's own idle time that is used: the rest covers a request on its way when the
-/// target closes.
+/// Fraction of the target's own idle timeout that is used; the rest covers a request on its way
+/// when the target closes.
 const IDLE_FRACTION: f64 = 0.85;
 
-/// How far an exchange came when it failed.
+/// How far a failed exchange came.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ExchangeError {
     /// Certainly nothing was sent.
     NotSent(String),
-    /// Nothing was sent, as the request is to go elsewhere by now.
+    /// Nothing was sent, because the request must now go to another target.
     Rerouted,
-    /// Something may have been sent, and no whole answer came back.
+    /// Something may have been sent, and no complete response came back.
     Sent(String),
-    /// The same, and the target does not answer the kernel's probes either.
+    /// Like `Sent`, and the target does not answer the kernel's keep-alive probes either.
     Unreachable(String),
 }
 
-/// A whole answer of a target.
+/// A complete response of a target.
 #[derive(Debug)]
 pub(super) struct BufferedResponse {
     pub(super) status: StatusCode,
@@ -61,13 +60,13 @@
     pub(super) body: Bytes,
 }
 
-/// An open connection. Dropped, it is closed at once, and with it the run of a request that is on
-/// it: a target stops work for a caller that is gone.
+/// An open connection to a target. Dropping it closes it at once, and with it ends the request that
+/// runs on it: a target stops working for a disconnected caller.
 #[derive(Debug)]
 pub(super) struct TargetConnection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    /// Until when it may be used again.
+    /// Until when the connection may be reused.
     reusable_until: Instant,
     /// Whether an exchange was completed on it.
     was_used: bool,
@@ -110,24 +109,24 @@
         })
     }
 
-    /// What counts the host's connections to targets.
+    /// Returns the counter of the host's connections to targets.
     pub(super) fn counter(&self) -> &Rc<ConnectionCounter> {
         self.open.counter()
     }
 
-    /// Whether another request may be sent. One that the target has closed, or on which bytes came
-    /// unasked, is not ready.
+    /// Whether another request may be sent. False if the target has closed the connection or sent
+    /// unsolicited bytes.
     pub(super) fn is_reusable(&self) -> bool {
         self.was_used && self.sender.is_ready() && Instant::now() < self.reusable_until
     }
 
-    /// Whether it was used before, so that its end says nothing about the target.
+    /// Whether the connection was used before, so that its end says nothing about the target.
     pub(super) fn is_used(&self) -> bool {
         self.was_used
     }
 
-    /// Sends a request and waits for the whole answer. Tells also whether the connection may be
-    /// used again.
+    /// Sends a request and waits for the complete response. Also returns whether the connection may
+    /// be reused.
     pub(super) async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -137,7 +136,7 @@
         }
         let response = match self.sender.try_send_request(request).await {
             Ok(response) => response,
-            // The library gives the request back where it has not begun to send it.
+            // The library returns the request if it has not begun to send it.
             Err(mut e) => {
                 let unsent = e.take_message().is_some();
                 let error = e.into_error();
@@ -173,7 +172,7 @@
     tokens.any(|token| token.trim().eq_ignore_ascii_case("close"))
 }
 
-/// What a failure after the first byte says.
+/// Classifies an error after the first byte was sent.
 fn exchange_error(error: &hyper::Error) -> ExchangeError {
     let source = error
         .source()
@@ -196,7 +195,7 @@
     socket.set_tcp_keepalive(&probes.with_retries(PROBES))
 }
 
-/// The target's own idle time, from `Keep-Alive: timeout=N`, in part.
+/// Returns the usable fraction of the target's idle timeout, from `Keep-Alive: timeout=N`.
 fn idle_time(headers: &HeaderMap) -> Duration {
     let value = headers.get("keep-alive").and_then(|v| v.to_str().ok());
     let mut tokens = value.into_iter().flat_map(|v| v.split(','));
@@ -207,7 +206,7 @@
     })
 }
 
-/// Takes off the headers that concern one connection only.
+/// Removes hop-by-hop headers.
 pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
@@ -233,7 +232,7 @@
     headers.remove(header::CONTENT_LENGTH);
 }
 
-/// Makes a response of a whole answer.
+/// Converts a complete response of a target into the response to the caller.
 pub(super) fn into_response(buffered: BufferedResponse) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(buffered.body));
     *response.status_mut() = buffered.status;
--- a/crates/edge/src/front/idle.rs
+++ b/crates/edge/src/front/idle.rs
@@ -1,20 +1,20 @@
-//! How many connections to targets a host holds, and which it keeps idle.
+//! Counts a host's connections to targets, and limits how many stay idle.
 
 use std::{cell::Cell, rc::Rc};
 
 use super::connection::TargetConnection;
 
-/// Connections to targets that a host holds.
+/// Number of connections to targets.
 #[derive(Debug)]
 pub(super) struct ConnectionCounter {
     open: Cell<u32>,
     idle: Cell<u32>,
-    /// Idle ones that may be kept, at all targets together.
+    /// Largest number of idle ones, over all targets.
     max_idle: u32,
 }
 
 impl ConnectionCounter {
-    /// Opens a count of which up to `most` may be kept idle.
+    /// Creates a counter that allows up to `max_idle` idle connections.
     pub(super) fn open(max_idle: u32) -> Rc<ConnectionCounter> {
         Rc::new(ConnectionCounter {
             open: Cell::new(0),
@@ -23,7 +23,7 @@
         })
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     pub(super) fn count(&self) -> u32 {
         self.open.get()
     }
@@ -50,7 +50,7 @@
     }
 }
 
-/// A connection that is kept idle.
+/// A pooled idle connection.
 #[derive(Debug)]
 pub(super) struct IdleConnection {
     connection: TargetConnection,
@@ -58,21 +58,21 @@
 }
 
 impl IdleConnection {
-    /// Keeps a connection, unless as many are kept as may be.
+    /// Pools a connection, unless the limit of idle ones is reached.
     pub(super) fn keep(connection: TargetConnection) -> Option<IdleConnection> {
         let counter = Rc::clone(connection.counter());
         let permit = IdlePermit::take(counter)?;
         Some(IdleConnection { connection, permit })
     }
 
-    /// Gives the connection back.
+    /// Takes the connection out of the pool.
     pub(super) fn take(self) -> TargetConnection {
         drop(self.permit);
         self.connection
     }
 }
 
-/// Counts a kept connection.
+/// Counts an idle connection until it is dropped.
 #[derive(Debug)]
 struct IdlePermit(Rc<ConnectionCounter>);
 
--- a/crates/edge/src/front/idle_callers.rs
+++ b/crates/edge/src/front/idle_callers.rs
@@ -1,4 +1,5 @@
-//! Which connections of callers are idle, and which of them are closed for others.
+//! Tracks which callers' connections are idle, and closes the longest idle ones when descriptors
+//! run short.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,7 +15,7 @@
 /// When a connection became idle, and its number.
 type IdleKey = (Instant, u64);
 
-/// Idle connections of a host's callers, the longest idle first.
+/// Idle connections of callers, the longest idle first.
 #[derive(Debug, Default)]
 pub(super) struct IdleTracker {
     connections: RefCell<BTreeMap<IdleKey, Rc<Notify>>>,
@@ -22,13 +23,13 @@
 }
 
 impl IdleTracker {
-    /// Idle connections.
+    /// Returns the number of idle connections.
     pub(super) fn count(&self) -> u32 {
         u32::try_from(self.connections.borrow().len()).unwrap_or(u32::MAX)
     }
 
-    /// Tells up to `most` connections that have been idle for `time` or more to close, the longest
-    /// idle first. Tells how many.
+    /// Asks up to `max` connections that have been idle for `time` or more to close, the longest
+    /// idle first. Returns how many.
     pub(super) fn close_oldest(&self, max: u32, time: Duration) -> u32 {
         let mut connections = self.connections.borrow_mut();
         let mut closed = 0;
@@ -46,16 +47,16 @@
     }
 }
 
-/// Use of one connection.
+/// Usage of one connection.
 #[derive(Debug)]
 pub(super) struct ConnectionUsage {
     idle: Rc<IdleTracker>,
     number: u64,
     /// Requests being served; the library serves one at a time.
     running: Cell<u32>,
-    /// When the last one ended, or the connection began.
+    /// When the last request ended, or the connection was opened.
     since: Cell<Instant>,
-    /// Tells the connection to close.
+    /// Asks the connection to close.
     close_notify: Rc<Notify>,
 }
 
@@ -64,7 +65,7 @@
 pub(super) struct UsageGuard<'a>(&'a ConnectionUsage);
 
 impl ConnectionUsage {
-    /// Counts a connection as idle until its first request.
+    /// Registers a connection as idle until its first request.
     pub(super) fn open(idle: &Rc<IdleTracker>) -> ConnectionUsage {
         idle.last_number.set(idle.last_number.get() + 1);
         let usage = ConnectionUsage {
@@ -78,20 +79,20 @@
         usage
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Marks the connection as used until the guard is dropped.
     pub(super) fn start(&self) -> UsageGuard<'_> {
         self.running.set(self.running.get() + 1);
         self.idle.connections.borrow_mut().remove(&self.key());
         UsageGuard(self)
     }
 
-    /// Waits until the connection has not been used for a time, or is told to close while idle.
+    /// Waits until the connection has been idle for `time`, or is asked to close while idle.
     pub(super) async fn idle_for(&self, time: Duration) {
         while self.running.get() > 0 || self.since.get().elapsed() < time {
             tokio::select! {
                 () = tokio::time::sleep(IDLE_CHECK_INTERVAL) => {}
                 () = self.close_notify.notified() => {
-                    // A request may have been read since the connection was told.
+                    // A request may have been read since the connection was asked to close.
                     if self.running.get() == 0 {
                         return;
                     }
@@ -104,7 +105,7 @@
         (self.since.get(), self.number)
     }
 
-    /// From now on the connection is idle.
+    /// Marks the connection as idle from now on.
     fn mark_idle(&self) {
         self.since.set(Instant::now());
         let mut connections = self.idle.connections.borrow_mut();
--- a/crates/edge/src/front/mod.rs
+++ b/crates/edge/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' duty: accepts connections and runs requests at targets.
+//! Front end: accepts callers' connections and sends their requests to targets.
 
 mod accept;
 mod access;
@@ -56,46 +56,48 @@
     model::Limits,
 };
 
-/// Limits on callers before a configuration is known.
+/// Limits on callers that apply until a configuration is known.
 const DEFAULT_LIMITS: Limits = Limits {
     head: 16 << 10,
     body: 1 << 20,
     idle: Duration::from_secs(15),
 };
 
-/// Smallest buffer that the HTTP library takes.
+/// Smallest buffer that the HTTP library accepts.
 const MIN_BUFFER: usize = 8 << 10;
 
-/// Time that a caller has for its request where the host is full: it is refused, and its connection
-/// must not stay.
+/// Timeout for the request on a connection that is accepted at the connection limit. The request is
+/// refused, and its connection must not stay open.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long after the request to stop callers are served as before. Look-ups that name this host
-/// have mostly expired by then; earlier, callers would come straight back.
+/// Delay between the start of a graceful shutdown and the first closed connection. Until then
+/// callers are served as before: look-ups that name this host have mostly expired by then, and
+/// callers that were disconnected earlier would reconnect to it.
 const CLOSE_DELAY: Duration = Duration::from_millis(1000);
 
-/// Part of the grace after which no new request is taken. What was taken has the other half to end.
+/// Fraction of the grace period after which new requests are refused. Running requests have the
+/// other half to finish.
 const ACCEPT_FRACTION: f64 = 0.5;
 
-/// Part of the grace after which the process ends whatever still runs.
+/// Fraction of the grace period after which the process ends, whatever still runs.
 const DRAIN_FRACTION: f64 = 0.9;
 
-/// How long a connection is read after its last answer. Callers close it when they see the end of
-/// the other direction, a round trip later; a request that arrives here is not answered any more,
-/// so the time must stay below what a caller may lose unnoticed.
+/// How long a connection is read after its last response. Callers close it when they see the
+/// half-close, a round trip later. A request that arrives in this time is not answered, so it must
+/// stay below what a caller may lose unnoticed.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// How much longer than callers may leave a connection idle it is kept, so that it is never this
-/// side which closes first.
+/// How much longer than the callers' idle limit a connection is kept, so that the host is never the
+/// side that closes first.
 const IDLE_SLACK: Duration = Duration::from_secs(2);
 
-/// Longest pause between two looks whether a connection is idle.
+/// Longest interval between two checks whether a connection is idle.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause between two looks whether the last request has ended.
+/// Interval between two checks whether the last request has ended.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// State of the duty; one thread uses it.
+/// State of the front end; used by one thread only.
 #[derive(Debug)]
 struct Front {
     shared: Arc<Shared>,
@@ -104,36 +106,37 @@
     targets: TargetTable,
     retry_budgets: RefCell<BTreeMap<Arc<str>, RetryBudget>>,
     latencies: RefCell<BTreeMap<Arc<str>, LatencyEstimator>>,
-    /// What the targets of each service answer.
+    /// Failure rate of the targets of each service.
     failure_rates: RefCell<BTreeMap<Arc<str>, FailureRate>>,
-    /// What each service's requests found lately, by rank.
+    /// Load shedding by priority, for each service.
     shedders: RefCell<BTreeMap<Arc<str>, PriorityShedder>>,
-    /// Shortest time in which a connection to a target of a region was opened: the way there and back.
+    /// Shortest time in which a connection to a target of a region was opened: an estimate of the
+    /// round-trip time.
     region_rtts: RefCell<BTreeMap<Arc<str>, Duration>>,
     request_log: RequestLog,
     /// Requests being served.
     running: Cell<u32>,
     /// Open connections of callers.
     open_callers: Cell<u32>,
-    /// Those of them that are idle.
+    /// Tracks which of them are idle.
     idle_callers: Rc<IdleTracker>,
-    /// Tokens for requests of workspaces.
+    /// Tokens for requests of workspaces with a rate limit.
     tokens: RefCell<Tokens>,
-    /// Version of the configuration that `tokens` was last compared with.
+    /// Version of the configuration that `tokens` was last pruned for.
     pruned_version: Cell<u64>,
-    /// Calls to other hosts.
+    /// HTTP client for calls to other hosts.
     client: Client,
-    /// Connections to targets.
+    /// Counts connections to targets.
     target_connections: Rc<ConnectionCounter>,
-    /// Bytes of bodies being held.
+    /// Memory for request bodies.
     body_budget: RefCell<BodyBudget>,
-    /// Whether the connections were last seen near their bound.
+    /// Whether the number of connections was near the limit at the last check.
     near_limit: Cell<bool>,
-    /// When the host was asked to stop.
+    /// When the graceful shutdown started.
     draining_since: Cell<Option<Instant>>,
 }
 
-/// Spawns the duty; it ends once a planned stop is over.
+/// Spawns the front-end thread. It ends when a graceful shutdown is complete.
 pub(crate) fn spawn(shared: Arc<Shared>, listener: TcpListener) -> anyhow::Result<JoinHandle<()>> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let thread = std::thread::Builder::new().name("callers".to_owned());
@@ -184,8 +187,8 @@
     }
 }
 
-/// Waits until a planned stop is over: no new request is taken and the last one has ended, or the
-/// grace has.
+/// Waits until a graceful shutdown is complete: new requests are refused and the last one has
+/// ended, or the grace period is over.
 async fn drained(front: &Front) {
     let grace = front.shared.reloadable.load().grace;
     tokio::time::sleep(grace.mul_f64(ACCEPT_FRACTION)).await;
@@ -193,12 +196,12 @@
     while front.running.get() > 0 && Instant::now() < deadline {
         tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
-    // Answers that are ready are still being written.
+    // Responses that are ready are still being written.
     tokio::time::sleep(DRAIN_CHECK_INTERVAL * 2).await;
 }
 
 impl Front {
-    /// Whether new requests are turned away, as the host ends soon.
+    /// Whether new requests are refused because the host is about to stop.
     fn rejects_new(&self) -> bool {
         let take = self.shared.reloadable.load().grace.mul_f64(ACCEPT_FRACTION);
         self.draining_since
@@ -206,7 +209,7 @@
             .is_some_and(|since| since.elapsed() >= take)
     }
 
-    /// Whether connections end with the next answer.
+    /// Whether connections are closed after the next response.
     fn closes_connections(&self) -> bool {
         self.draining_since
             .get()
@@ -214,7 +217,7 @@
     }
 }
 
-/// Counts an open connection of a caller.
+/// Counts an open connection of a caller until it is dropped.
 struct OpenGuard(Rc<Front>);
 
 impl OpenGuard {
@@ -230,8 +233,8 @@
     }
 }
 
-/// Serves a connection that has waited for `waited` in the listen queue; where the host is full, its
-/// request is refused.
+/// Serves a connection that may have waited for `waited` in the listen queue. If the host is at its
+/// connection limit (`is_full`), the request is refused.
 async fn serve_connection(front: Rc<Front>, stream: TcpStream, waited: Duration, is_full: bool) {
     let _open = OpenGuard::count(&front);
     if let Err(e) = stream.set_nodelay(true) {
@@ -260,7 +263,8 @@
     };
     let service = service_fn(|request: Request<Incoming>| {
         let used = usage.start();
-        // At once, before the library reads on: behind a request without a body the next one begins.
+        // Paused here, before the library reads on: behind a request without a body the next one
+        // begins.
         let pause = request
             .body()
             .is_end_stream()
@@ -271,8 +275,8 @@
             served.await
         }
     });
-    // The library's own time for a head counts the pause between two requests as part of the second
-    // head, and closes without a word; so idle connections are ended here.
+    // The library's timeout for a head counts the pause between two requests as part of the second
+    // head and closes without a response, so idle connections are closed here instead.
     let served = http1::Builder::new()
         .max_buf_size(limits.head.max(MIN_BUFFER))
         .serve_connection(TokioIo::new(caller_stream.clone()), service);
--- a/crates/edge/src/front/pipeline.rs
+++ b/crates/edge/src/front/pipeline.rs
@@ -1,10 +1,10 @@
-//! Requests that a caller sent behind one that is not answered yet.
+//! Pipelined requests: requests that a caller sent behind one that is not answered yet.
 //!
-//! Load: callers that send several requests at once on a connection. Answers must come in the order
-//! of the requests, and the HTTP library reads a request only when the one before it is answered;
-//! run one after the other, the third of them waits for two runs, and is late although targets are
-//! free. So repeatable requests without a body are begun as soon as they are seen. The library still
-//! reads and frames every request; when it comes to one that was begun, it waits for that run.
+//! Responses must come in the order of the requests, and the HTTP library reads a request only when
+//! the one before it is answered. Run one after the other, the third request waits for two runs and
+//! is late although targets are free. So idempotent requests without a body are started as soon as
+//! they are seen. The library still reads and frames every request; when it comes to one that was
+//! started early, it waits for that run.
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, sync::Arc, time::Duration};
 
@@ -15,25 +15,27 @@
     Front, caller_stream::CallerStream, request::CallerGone, response::RequestEnd, select,
 };
 
-/// Requests of one connection that are begun ahead: callers send a few at once, and one that sends
-/// more must not take all slots.
+/// Largest number of requests of one connection that are started early: callers send a few at once,
+/// and one that sends more must not take all slots.
 const MAX_PIPELINED: usize = 8;
 
-/// Header fields of a request that is begun ahead; one with more waits for its turn.
+/// Largest number of header fields of a request that is started early; one with more waits for its
+/// turn.
 const MAX_PIPELINED_FIELDS: usize = 32;
 
-/// Requests of one connection that were begun ahead of their turn.
+/// Requests of one connection that were started early.
 #[derive(Debug, Default)]
 pub(super) struct Pipeline {
     started: RefCell<BTreeMap<Arc<str>, PipelinedRequest>>,
 }
 
-/// A run that was begun ahead. Dropped before its turn, it is cancelled: its caller is gone.
+/// A request that was started early. If it is dropped before its turn, it is cancelled: its caller
+/// is gone.
 #[derive(Debug)]
 struct PipelinedRequest {
     method: Method,
     target: String,
-    /// The run; `None` once its turn has come.
+    /// The running request; `None` once its turn has come.
     task: Option<JoinHandle<RequestEnd>>,
     front: Rc<Front>,
     id: Arc<str>,
@@ -49,12 +51,12 @@
 }
 
 impl Pipeline {
-    /// Whether requests are begun whose turn has not come.
+    /// Whether no request was started early that still waits for its turn.
     pub(super) fn is_empty(&self) -> bool {
         self.started.borrow().is_empty()
     }
 
-    /// The end of a request, if it was begun ahead.
+    /// Returns the result of a request, if it was started early.
     pub(super) async fn take(&self, id: &str, head: &Parts) -> Option<RequestEnd> {
         let mut started = self.started.borrow_mut().remove(id)?;
         let target = head
@@ -66,15 +68,16 @@
         }
         let task = started.task.take()?;
         let _abort = AbortOnDrop(task.abort_handle());
-        // A run that was aborted or panicked has no end; the request is then run in its turn.
+        // A run that was aborted or panicked has no result; the request then runs in its turn.
         task.await.ok()
     }
 
-    /// Begins further requests as they are seen, until the caller leaves. To be called with `begins`
-    /// only where what is read ahead begins with a request: behind one without a body.
+    /// Starts pipelined requests as they are seen, until the caller disconnects. `at_request_start`
+    /// must only be true if the bytes read ahead begin with a request, that is, behind one without
+    /// a body.
     ///
-    /// A body that arrives in pieces is read ahead as well. Were its second piece taken for a request,
-    /// a caller could have anything run in another one's name.
+    /// A body that arrives in pieces is read ahead as well. If its second piece were taken for a
+    /// request, a caller could have anything run in another caller's name.
     pub(super) async fn watch(
         &self,
         front: &Rc<Front>,
@@ -89,8 +92,8 @@
         }
     }
 
-    /// Begins the request at the start of `bytes`, if it is whole and may run ahead. Tells its
-    /// length; nothing behind a request that waits for its turn is looked at.
+    /// Starts the request at the start of `bytes`, if it is complete and may start early, and
+    /// returns its length. Requests behind one that must wait for its turn are not looked at.
     fn start(&self, front: &Rc<Front>, bytes: &[u8]) -> usize {
         if front.draining_since.get().is_some() || self.started.borrow().len() >= MAX_PIPELINED {
             return 0;
@@ -125,7 +128,7 @@
     }
 }
 
-/// Ends a task when dropped.
+/// Aborts a task when dropped.
 struct AbortOnDrop(tokio::task::AbortHandle);
 
 impl Drop for AbortOnDrop {
@@ -135,8 +138,8 @@
 }
 
 impl Front {
-    /// Whether a request may run before its turn: only one that may run again, since its caller
-    /// sends it anew if the connection ends before it is answered.
+    /// Whether a request may start before its turn: only if it is idempotent, since its caller
+    /// sends it again if the connection ends before it is answered.
     fn may_start_early(&self, head: &Parts) -> bool {
         let view = self.shared.view.load();
         let route = select::route(&view, &head.headers, &head.uri);
@@ -144,13 +147,13 @@
     }
 }
 
-/// Parses a whole head of a request without a body.
+/// Parses the complete head of a request without a body.
 fn parse(bytes: &[u8]) -> Option<(Parts, usize)> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_PIPELINED_FIELDS];
     let mut head = httparse::Request::new(&mut fields);
     let length = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        // Not whole yet, or the library's to refuse when its turn comes.
+        // Incomplete, or left to the library to reject in its turn.
         Ok(httparse::Status::Partial) | Err(_) => return None,
     };
     if head.method != Some("GET") || head.version != Some(1) {
--- a/crates/edge/src/front/request.rs
+++ b/crates/edge/src/front/request.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its answer.
+//! Handling of one request of a caller, from its head to its response.
 
 use std::{
     cell::{Cell, RefCell},
@@ -31,25 +31,25 @@
     trace::Outcome,
 };
 
-/// When a caller is told to come back after a refusal for want of room, at least: a target's slot
-/// frees within this time.
+/// Shortest `Retry-After` of a refusal for lack of capacity: a slot of a target becomes free within
+/// this time.
 pub(super) const MIN_BACKOFF: Duration = Duration::from_millis(100);
 
-/// And at most: longer, and callers with short deadlines would not come back at all.
+/// Longest `Retry-After`: beyond it, callers with short deadlines would not come back at all.
 pub(super) const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// When a caller is told to come back while this host cannot serve and another may.
+/// `Retry-After` while this host cannot serve and another may.
 pub(super) const OTHER_HOST_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// When a caller is told to come back to a host that is full: idle connections are closed, and runs end,
-/// within this time.
+/// `Retry-After` of a host at its connection or memory limit: within this time idle connections are
+/// closed and running requests end.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// How late an answer may be expected and still be worth a slot, in objectives of its route. While
-/// there is more to do than slots, a late answer makes the next one late as well.
+/// Latest expected response that is still worth a slot, in objectives of the route. While there is
+/// more work than slots, a late response makes the next one late as well.
 const MAX_WAIT_OBJECTIVES: f64 = 2.5;
 
-/// Least time that must be left for another run to be of use.
+/// Shortest remaining time with which another attempt is useful.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(50);
 
 /// The caller closed its connection.
@@ -58,33 +58,33 @@
 #[error("the caller has left")]
 pub(super) struct CallerGone;
 
-/// What the attempts of a request have led to.
+/// State of a request over its attempts.
 #[derive(Debug, Default)]
 struct RetryState {
-    /// Targets that were asked.
+    /// Targets that the request was sent to.
     tried: BTreeSet<Arc<str>>,
-    /// Those of them that are not asked again.
+    /// Those of them that are excluded from further attempts.
     excluded: BTreeSet<Arc<str>>,
     /// Attempts that reached a target.
     delivered: u32,
     /// Whether one of them may have run the request.
     may_have_run: bool,
-    /// What the request needs to run, where its workspace has a limit.
+    /// Token for the request, if its workspace has a rate limit.
     token: Option<Token>,
-    /// Whether the request is counted among those that the retry budget follows.
+    /// Whether the retry budget has counted the request.
     in_budget: bool,
 }
 
 impl RetryState {
-    /// Notes whether the request's token is spent.
+    /// Records whether the request's token is consumed.
     fn set_spent(&self, is_spent: bool) {
         if let Some(token) = &self.token {
             token.set_spent(is_spent);
         }
     }
 
-    /// Gives up. Only a request that certainly has not run is refused with the promise that it
-    /// never will.
+    /// Returns the result of a request that is given up. It is refused, which promises that it
+    /// never runs, only if it certainly has not run.
     fn give_up(&self, cause: &str, retry: Duration) -> RequestEnd {
         match self.may_have_run {
             true => lost(cause.to_owned()),
@@ -102,7 +102,7 @@
     }
 }
 
-/// Room for the body of a request, given back when dropped.
+/// Memory reserved for the body of a request; released when dropped.
 struct BodyPermit<'a> {
     front: &'a Front,
     bytes: u64,
@@ -121,7 +121,8 @@
     pub(super) pipeline: Pipeline,
     /// How long the first request may have waited before the connection was accepted.
     pub(super) waited: Cell<Duration>,
-    /// Whether the host was full when the connection was opened: it is refused and closed.
+    /// Whether the host was full when the connection was opened: its request is refused and the
+    /// connection closed.
     pub(super) is_full: bool,
 }
 
@@ -137,8 +138,8 @@
     let id = front.id_of(request.headers());
     let (head, body) = request.into_parts();
     let waited = connection.waited.take();
-    // A caller that gave up while its request lay unread wants no answer, and a run for it would take
-    // a slot from one that does.
+    // A caller that disconnected while its request lay unread needs no response, and a run for it
+    // would take a slot from another request.
     if connection.stream.is_closed() {
         front.log_left_unread(&id, waited);
         return Err(CallerGone);
@@ -232,7 +233,7 @@
         end
     }
 
-    /// Time that the caller leaves, at most the route's.
+    /// Returns the remaining time that the caller gives, at most the route's timeout.
     fn remaining_time(&self, headers: &HeaderMap, route: &Route) -> Duration {
         let left = headers.get(&self.shared.dialect.time_left);
         let left = left.and_then(|v| v.to_str().ok()?.trim().parse::<u64>().ok());
@@ -240,7 +241,8 @@
             .min(route.timeout)
     }
 
-    /// Takes room for a body of the length that its head tells, or of the longest that is allowed.
+    /// Reserves memory for a body of the length that its head gives, or of the greatest allowed
+    /// length.
     fn reserve_body(&self, body: Option<&Incoming>, max_bytes: usize) -> Option<BodyPermit<'_>> {
         let bytes = body.map_or(0, |body| {
             body.size_hint().upper().unwrap_or(max_bytes as u64)
@@ -273,11 +275,11 @@
         }
     }
 
-    /// Sends a request to targets until one answers, or it must be given up.
+    /// Sends a request to targets until one answers or it must be given up.
     async fn run(self: &Rc<Front>, outbound: &OutboundRequest) -> RequestEnd {
         let mut state = RetryState::default();
         loop {
-            // What is believed may have changed since the last attempt, the route too.
+            // The view may have changed since the last attempt, and with it the route.
             let freshness = self.key_freshness();
             let view = self.shared.view.load_full();
             let access = self.authorize(
@@ -306,7 +308,8 @@
         }
     }
 
-    /// One attempt, if the workspace's limit lets the request run. One that may have run has been let.
+    /// Makes one attempt, if the workspace's rate limit admits the request. A request that may have
+    /// run was admitted before.
     async fn attempt_if_admitted(
         self: &Rc<Front>,
         view: &View,
@@ -324,7 +327,7 @@
         self.step(view, access, outbound, state).await
     }
 
-    /// One attempt; `None` where another may follow.
+    /// Makes one attempt; returns `None` if another may follow.
     async fn step(
         &self,
         view: &View,
@@ -370,7 +373,7 @@
         self.after_attempt(route, &selected, outbound, state, tried)
     }
 
-    /// What follows from an attempt.
+    /// Updates the state after an attempt, and returns the result if the request is complete.
     fn after_attempt(
         &self,
         route: &Route,
@@ -399,7 +402,8 @@
                 cause
             }
         };
-        // Where all targets shed, its own one is no worse than another, and has the object at hand.
+        // If all targets shed, the preferred target is no worse than another and is warm for this
+        // affinity key.
         if !is_shed || !self.failures_common(&target.service) {
             state.excluded.insert(Arc::clone(&target.id));
         }
@@ -409,8 +413,9 @@
         (ended || once).then(|| state.give_up(&cause, MIN_BACKOFF))
     }
 
-    /// Refuses at once what could not be answered before its caller leaves, and what would take the room
-    /// of more urgent requests. Run all the same, it would take a slot from one that can.
+    /// Returns why a request is shed, if it cannot be answered in time or would take queue capacity
+    /// reserved for higher priorities. Run all the same, it would take a slot from a request that
+    /// can be answered.
     fn shed_cause(
         &self,
         access: &Access,
@@ -441,8 +446,8 @@
         Some((cause, wait.clamp(MIN_BACKOFF, MAX_BACKOFF)))
     }
 
-    /// Requests that a target may have for one more of a rank, where it may have `whole` for one of the
-    /// most urgent.
+    /// Returns how many requests a target may have in flight for one more of this priority to be
+    /// sent, where `limit` applies to the highest priority.
     fn capacity_for(
         &self,
         access: &Access,
