--- a/crates/edge/benches/configuration.rs
+++ b/crates/edge/benches/configuration.rs
@@ -1,4 +1,4 @@
-//! Wall time and size of what hosts tell each other of a configuration of 4,200 routes.
+//! Time and size of configuration updates between hosts, for a configuration of 4,200 routes.
 //!
 //! ```text
 //! cargo bench -p dunlinrock-edge --bench configuration
--- a/crates/edge/benches/identity.rs
+++ b/crates/edge/benches/identity.rs
@@ -1,4 +1,4 @@
-//! Costs of telling whose request it is, which route it takes, and of counting it.
+//! Cost of finding the workspace of a key and the route of a request, and of taking a token.
 
 #![allow(missing_docs, reason = "criterion's macros make items without any")]
 
--- a/crates/edge/src/control/tree.rs
+++ b/crates/edge/src/control/tree.rs
@@ -1,10 +1,11 @@
-//! From whom each host hears of changes.
+//! Distribution tree: which host each host receives changes from.
 //!
 //! The heartbeats of all targets pass through every host that watches the store; in a fleet of 600
-//! targets that is some 120 KB a second for each, most of it between regions. So two hosts read, and
-//! pass on only what changes something. They do not pass it to everybody: in each region two *heads*
-//! ask the readers, and the other hosts form a tree below the heads, so that a change crosses to a
-//! region twice, whatever its size, and no host serves more than a few.
+//! targets that is some 120 KB a second for each, most of it between regions. So two hosts, the
+//! *readers*, read the store and pass on only effective changes. They do not send them to every
+//! host: in each region two *heads* ask the readers, and the other hosts form a tree below the
+//! heads, so that a change crosses to a region twice, whatever its size, and no host serves more
+//! than a few.
 
 use std::{collections::BTreeMap, sync::Arc};
 
--- a/crates/edge/src/host/mod.rs
+++ b/crates/edge/src/host/mod.rs
@@ -1,4 +1,4 @@
-//! One edge host, running.
+//! A running edge host.
 
 mod freshness;
 mod shared;
@@ -22,8 +22,8 @@
     settings::Settings,
 };
 
-/// Connections that may wait to be accepted: a burst of callers opens some hundred at once, and one
-/// that finds the queue full is only tried again after a second.
+/// Length of the listen queue: a burst of callers opens some hundred connections at once, and one
+/// that finds the queue full is retried only after a second.
 const BACKLOG: i32 = 1024;
 
 /// A running host.
@@ -35,7 +35,7 @@
 }
 
 impl Host {
-    /// Binds the host's addresses and spawns its duties.
+    /// Binds the host's addresses and spawns its threads.
     ///
     /// # Errors
     ///
@@ -73,22 +73,22 @@
         })
     }
 
-    /// What the duties share, for programs that embed the host.
+    /// Returns the state that the threads share, for programs that embed the host.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Begins a planned stop.
+    /// Starts a graceful shutdown.
     pub fn start_shutdown(&self) {
         log::info!(target: "host", event = "stop", host = &*self.shared.settings.name; "planned stop begins");
         self.shared.advance_phase(Phase::Draining);
     }
 
-    /// Waits for the end of a planned stop.
+    /// Waits for the end of a graceful shutdown.
     ///
     /// # Errors
     ///
-    /// When a duty has died.
+    /// When a thread has panicked.
     pub fn join(self) -> anyhow::Result<()> {
         self.front
             .join()
@@ -102,7 +102,7 @@
     }
 }
 
-/// Binds an address; port 0 becomes the one that was taken.
+/// Binds an address; port 0 is replaced by the assigned one.
 fn bind(name: &str, bound: &mut SocketAddr) -> anyhow::Result<TcpListener> {
     let address = *bound;
     let open = || -> std::io::Result<TcpListener> {
@@ -111,7 +111,7 @@
             Type::STREAM,
             Some(Protocol::TCP),
         )?;
-        // A host that starts again must not wait for its old connections to be forgotten.
+        // A restarted host must not wait until its old connections have left TIME_WAIT.
         socket.set_reuse_address(true)?;
         socket.bind(&address.into())?;
         socket.listen(BACKLOG)?;
--- a/crates/edge/src/host/shared.rs
+++ b/crates/edge/src/host/shared.rs
@@ -1,4 +1,4 @@
-//! What the duties of a host share.
+//! State shared by the threads of a host.
 
 use std::{
     collections::BTreeMap,
@@ -20,42 +20,42 @@
     settings::{ReloadableSettings, Settings},
 };
 
-/// How far the host is in its life.
+/// Phase of the host's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It serves.
+    /// The host serves callers.
     Serving,
-    /// It was asked to stop.
+    /// A graceful shutdown has started.
     Draining,
     /// Callers are no longer served.
     Stopped,
 }
 
-/// Up to where a host can be told something.
+/// How far followers can be updated.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Watermark {
-    /// Highest revision under which an item said something new.
+    /// Highest revision under which a change was published.
     pub publish_revision: u64,
     /// Version of the configuration.
     pub version: u64,
 }
 
-/// What the duties share.
+/// State shared by the threads of a host.
 #[derive(Debug)]
 pub struct Shared {
-    /// Checked settings, as the host started with them; those that may change are in `live`.
+    /// Settings that the host started with; those that can be reloaded are in `reloadable`.
     pub settings: Settings,
-    /// Settings that may change, as of the last reading of the file.
+    /// Reloadable settings, as last read from the file.
     pub reloadable: ArcSwap<ReloadableSettings>,
     /// The platform's store.
     pub store: PlatformStore,
-    /// The platform's names.
+    /// The platform's headers, paths and formats.
     pub dialect: Dialect,
     /// Time since the start.
     pub clock: Clock,
-    /// What requests are served by.
+    /// Snapshot that requests are served from.
     pub view: ArcSwap<View>,
-    /// Up to where others can be told something.
+    /// How far followers can be updated; changes wake those that wait.
     pub changed: watch::Sender<Watermark>,
     /// Phase of the host.
     pub phase: watch::Sender<Phase>,
@@ -63,16 +63,16 @@
     pub meters: Meters,
     replica: Mutex<Replica>,
     history: Mutex<ViewHistory>,
-    /// How old what is believed is.
+    /// When the store last confirmed the replica.
     pub freshness: Freshness,
-    /// Slices of limits that this host counts.
+    /// Tokens of the limit shares that this host owns.
     pub(crate) token_issuer: TokenIssuer,
 }
 
-/// What a view takes from those before it.
+/// What a view takes over from earlier ones.
 #[derive(Debug, Default)]
 struct ViewHistory {
-    /// Until when targets of domains that were evacuated are taken for cold.
+    /// Until when the targets of formerly evacuated domains count as cold.
     cold_until: BTreeMap<Arc<str>, Duration>,
     sharers: RecentHosts,
 }
@@ -96,24 +96,24 @@
         })
     }
 
-    /// What is believed.
+    /// Locks the replica.
     pub fn replica(&self) -> MutexGuard<'_, Replica> {
         self.replica.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Whether callers should come here.
+    /// Whether callers should use this host.
     pub fn is_ready(&self) -> bool {
         let view = self.view.load();
         let serves = |config: &Arc<Config>| config.workspaces.is_empty() || self.keys_are_fresh();
         *self.phase.borrow() == Phase::Serving && view.config.as_ref().is_some_and(serves)
     }
 
-    /// Goes on to a later phase.
+    /// Advances to a later phase.
     pub fn advance_phase(&self, phase: Phase) {
         self.phase.send_if_modified(|held| {
             let later = phase > *held;
@@ -122,7 +122,7 @@
         });
     }
 
-    /// Takes changes in, and publishes what they change.
+    /// Applies changes and publishes the new view.
     pub fn apply_changes(&self, changes: Changes) {
         let now = self.now();
         let mut replica = self.replica();
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Removes what was held back for long enough.
+    /// Applies deferred removals that are due.
     pub fn apply_deferred(&self) {
         let now = self.now();
         let mut replica = self.replica();
@@ -140,12 +140,13 @@
         }
     }
 
-    /// Takes in what another host tells: news of the configuration, and changes. All of it is published at
-    /// once: a request never meets a route whose targets are still to come.
+    /// Applies a configuration update and changes from another host. Both are published at once, so
+    /// that a request never meets a route whose targets are still to come.
     ///
     /// # Errors
     ///
-    /// When the news cannot be read, or do not fit the version that is held; the changes are not taken then.
+    /// When the update cannot be read or does not fit the active version; the changes are not
+    /// applied then.
     pub fn apply_update(
         &self,
         update: Option<&ConfigUpdate>,
@@ -158,14 +159,14 @@
         if applied.is_ok() {
             replica.apply_changes(changes, now);
         }
-        // Of several steps some may have been taken before one that does not fit.
+        // Some patches may have been applied before one that does not fit.
         if replica.change_count() > before {
             self.publish(&replica, now);
         }
         applied
     }
 
-    /// Takes a whole reading in; what it does not name is believed in for a while longer.
+    /// Applies a full read; the removal of items that are not in it is deferred by `left`.
     pub fn replace(&self, at: u64, items: Vec<Item>, left: Duration) {
         let now = self.now();
         let mut replica = self.replica();
@@ -174,18 +175,18 @@
         }
     }
 
-    /// Time since what is believed was provably the store's word.
+    /// Returns the time since the store last confirmed the replica.
     pub fn age(&self) -> Duration {
         self.freshness.age()
     }
 
-    /// Whether callers may be served by their keys.
+    /// Whether the known keys are fresh enough to serve callers by.
     pub fn keys_are_fresh(&self) -> bool {
         let revoke = self.reloadable.load().revoke;
         revoke.is_none_or(|revoke| self.age() <= max_key_age(revoke))
     }
 
-    /// Gives out tokens of a slice that this host counts.
+    /// Grants tokens of the limit shares that this host owns.
     pub(crate) fn grant_tokens(
         &self,
         request: &TokenRequest,
@@ -202,12 +203,12 @@
         Ok(grants)
     }
 
-    /// Takes up what may change while the host runs, from another reading of the settings file.
+    /// Applies the reloadable settings of a newly read file.
     pub fn reload(&self, settings: Settings) {
         let fixed = self.settings.restart_changes(&settings).join(",");
         let changed = settings.reloadable != **self.reloadable.load();
         self.reloadable.store(Arc::new(settings.reloadable));
-        // Regions of failure domains stand in the view.
+        // Views contain the regions of failure domains.
         self.publish(&self.replica(), self.now());
         log::info!(
             target: "host", event = "reload", changed = changed, next_start = &*fixed;
@@ -215,7 +216,7 @@
         );
     }
 
-    /// This host, as others should know it.
+    /// Returns this host's entry for the store.
     pub fn host_entry(&self, distance: u32) -> HostEntry {
         HostEntry {
             name: Arc::clone(&self.settings.name),
@@ -237,8 +238,8 @@
             .cloned()
             .collect();
         if !returned.is_empty() {
-            // Targets that got nothing for a while are cold, and say so with their next heartbeat;
-            // their objects would all return before that.
+            // Targets that got no requests for a while are cold, and report it with their next
+            // heartbeat; the requests for their affinity keys would all return before that.
             let services = view.config.iter().flat_map(|c| c.services.values());
             let cold = services.map(|s| s.cold).max().unwrap_or_default();
             history
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,10 +1,10 @@
-//! One entry host that sends straight to targets.
+//! An edge host: a proxy that accepts callers' requests and sends them straight to targets.
 //!
-//! Where a platform has a store that announces targets and hosts, no host owns a target's slots:
-//! each chooses by itself, and the choices agree because all hash alike. A [`Host`](host::Host)
-//! follows the store ([`control`]), keeps what it believes ([`replica`]), and serves callers
-//! ([`front`], [`lookup`]). An adapter gives it the platform's [`Feed`](model::Feed) and
-//! [`Dialect`](model::Dialect).
+//! It is for platforms whose store lists targets and hosts. No host owns a target's slots: each
+//! host selects targets by itself, and the selections agree because all hosts use the same hash. A
+//! [`Host`](host::Host) follows the store ([`control`]), keeps a [`replica`] of it, and serves callers
+//! ([`front`], [`lookup`]). An adapter provides the platform's [`PlatformStore`](model::PlatformStore)
+//! and [`Dialect`](model::Dialect).
 //!
 //! ```
 //! use dunlinrock_edge::settings;
@@ -18,9 +18,9 @@
 //!     store = { address = "127.0.0.1:9" }
 //!     bounds = { grace = "2.5s" }
 //! "#;
-//! assert_eq!(settings::parse(text).unwrap().live.grace.as_millis(), 2500);
+//! assert_eq!(settings::parse(text).unwrap().reloadable.grace.as_millis(), 2500);
 //!
-//! // Every mistake is told at once.
+//! // All mistakes are reported at once.
 //! let wrong = text.replace("2.5s", "soon").replace("127.0.0.1:9", "the store");
 //! let error = settings::parse(&wrong).unwrap_err().to_string();
 //! assert!(error.contains("bounds.grace") && error.contains("store.address"));
--- a/crates/edge/src/lookup/mod.rs
+++ b/crates/edge/src/lookup/mod.rs
@@ -1,4 +1,4 @@
-//! Answers callers that ask which hosts to use, and whoever asks whether this host is ready.
+//! Serves look-ups, which tell callers which hosts to use, and the readiness check.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -7,11 +7,11 @@
 
 use crate::{host::Shared, model::LookupQuery};
 
-/// Hosts named in one answer.
+/// Largest number of hosts in one response.
 const MAX_HOSTS: usize = 64;
 
-/// How long callers may keep an answer. A host that stops or dies is used for this long after it is
-/// known; shorter, and callers would ask more often than they send requests.
+/// How long callers may cache a response. A host that stops or dies is used for this long after
+/// that is known; with a shorter time callers would make more look-ups than requests.
 const TTL: Duration = Duration::from_secs(2);
 
 /// Serves look-ups.
@@ -23,7 +23,7 @@
     })
 }
 
-/// Serves readiness.
+/// Serves the readiness check.
 pub(crate) fn readiness(shared: &Arc<Shared>) -> Router {
     let (path, shared) = (shared.dialect.ready_path, Arc::clone(shared));
     Router::new().get(path, move |_: Request| {
@@ -60,17 +60,17 @@
     response
 }
 
-/// The hosts of the caller's region, else all: requests for one object then come through the same
-/// few hosts, and do not cross a link between regions twice.
+/// Returns the hosts of the caller's region, or all if there are none. Requests for one affinity
+/// key then come through the same few hosts, and do not cross a link between regions twice.
 fn choose(shared: &Shared, query: &LookupQuery) -> Vec<SocketAddr> {
     let view = shared.view.load();
     let mut hosts: Vec<_> = view.hosts.values().cloned().collect();
     let me = &shared.settings.name;
-    // Before its announcement is back from the store a host knows at least of itself.
+    // Until its announcement has been read back from the store, a host knows at least of itself.
     if shared.is_ready() && !hosts.iter().any(|h| h.name == *me) {
         hosts.push(Arc::new(shared.host_entry(0)));
     }
-    // After its announcement is withdrawn the store's word may be a moment behind.
+    // The replica may still contain the announcement for a moment after its withdrawal.
     if !shared.is_ready() {
         hosts.retain(|h| h.name != *me);
     }
--- a/crates/edge/src/meters/mod.rs
+++ b/crates/edge/src/meters/mod.rs
@@ -1,7 +1,7 @@
 //! Counters, gauges and latency histograms, served as text.
 //!
-//! Calls go through `cadence`; the sink here keeps them in memory, since the platform reads metrics
-//! instead of receiving them.
+//! Calls go through `cadence`; the sink here keeps the values in memory, since the platform pulls
+//! metrics.
 
 mod sink;
 mod workspaces;
@@ -14,13 +14,13 @@
 use self::{sink::MemorySink, workspaces::Workspaces};
 use crate::host::Shared;
 
-/// Stands before every name.
+/// Prefix of all names.
 const PREFIX: &str = "dunlinrock.edge";
 
 /// Path on which metrics are served.
 pub const PATH: &str = "/metrics";
 
-/// Counters and histograms of one host; shared by its duties.
+/// Metrics of one host, shared by its threads.
 #[derive(Debug)]
 pub struct Meters {
     client: StatsdClient,
@@ -29,7 +29,7 @@
 }
 
 impl Meters {
-    /// Opens meters that have counted nothing.
+    /// Creates metrics with no values.
     pub fn open() -> Meters {
         let sink = MemorySink::default();
         let client = StatsdClient::from_sink(PREFIX, sink.clone());
@@ -40,14 +40,14 @@
         }
     }
 
-    /// Counts one.
+    /// Increments a counter.
     pub fn count(&self, name: &str) {
         if let Err(e) = self.client.incr(name) {
             log::debug!(target: "metrics", error:% = e; "a count is lost");
         }
     }
 
-    /// Counts several.
+    /// Adds to a counter.
     pub fn add(&self, name: &str, count: usize) {
         if let Err(e) = self.client.count(name, count as u64) {
             log::debug!(target: "metrics", error:% = e; "a count is lost");
@@ -59,21 +59,21 @@
         self.workspaces.count(name, is_limited);
     }
 
-    /// Notes a time.
+    /// Records a duration in a histogram.
     pub fn time(&self, name: &str, time: Duration) {
         if let Err(e) = self.client.time(name, time) {
             log::debug!(target: "metrics", error:% = e; "a time is lost");
         }
     }
 
-    /// Notes how much there is of something now.
+    /// Sets a gauge.
     pub fn gauge(&self, name: &str, value: u64) {
         if let Err(e) = self.client.gauge(name, value) {
             log::debug!(target: "metrics", error:% = e; "a gauge is lost");
         }
     }
 
-    /// All of them as text, a line each.
+    /// Returns all metrics as text, one a line.
     pub fn text(&self) -> String {
         let mut text = self.sink.text();
         self.workspaces.write(PREFIX, &mut text);
--- a/crates/edge/src/meters/sink.rs
+++ b/crates/edge/src/meters/sink.rs
@@ -1,4 +1,4 @@
-//! Counts, gauges and histograms in memory.
+//! Counters, gauges and histograms in memory.
 
 use std::{
     collections::BTreeMap,
@@ -10,16 +10,16 @@
 use cadence::MetricSink;
 use hdrhistogram::Histogram;
 
-/// Longest time that is told apart, in milliseconds: longer than any deadline.
+/// Upper end of the histograms, in milliseconds: longer than any deadline.
 const MAX_TIME_MS: u64 = 60_000;
 
-/// Digits that are told apart: a hundredth is finer than any use of these figures.
+/// Significant digits of the histograms: a hundredth is finer than any use of the values needs.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// Quantiles that are served.
 const QUANTILES: [(&str, f64); 3] = [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)];
 
-/// What was counted; clones share it.
+/// All metric values; clones share them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemorySink {
     inner: Arc<Mutex<Inner>>,
@@ -33,7 +33,7 @@
 }
 
 impl MetricSink for MemorySink {
-    /// Takes a metric in, as `name:value|type`.
+    /// Records a metric in the form `name:value|type`.
     fn emit(&self, metric: &str) -> io::Result<usize> {
         let unread = || io::Error::new(io::ErrorKind::InvalidInput, metric.to_owned());
         let (name, rest) = metric.split_once(':').ok_or_else(unread)?;
--- a/crates/edge/src/meters/workspaces.rs
+++ b/crates/edge/src/meters/workspaces.rs
@@ -1,5 +1,5 @@
-//! Requests by workspace: the busiest have lines of their own, the others one together, so that the text
-//! does not grow with their number.
+//! Requests by workspace. The busiest workspaces have lines of their own, the others share one, so
+//! that the text does not grow with their number.
 
 use std::{
     collections::BTreeMap,
@@ -7,23 +7,23 @@
     sync::{Arc, Mutex, PoisonError},
 };
 
-/// Workspaces with lines of their own.
+/// Number of workspaces with lines of their own.
 const MAX_SHOWN: usize = 16;
 
-/// Workspaces that are counted apart. One that comes after is counted with the others.
+/// Number of workspaces that are counted separately; later ones are counted together.
 const MAX_WORKSPACES: usize = 32_768;
 
 /// Name under which the others are counted; no workspace has an empty name.
 const OTHERS: &str = "";
 
-/// Requests of one workspace.
+/// Request counts of one workspace.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     requests: u64,
     limited: u64,
 }
 
-/// Requests by workspace.
+/// Request counts by workspace.
 #[derive(Debug, Default)]
 pub(super) struct Workspaces {
     counts: Mutex<BTreeMap<Arc<str>, Counts>>,
@@ -44,7 +44,7 @@
         counts.limited += u64::from(is_limited);
     }
 
-    /// Writes the lines, busiest first.
+    /// Writes the lines, busiest workspace first.
     pub(super) fn write(&self, prefix: &str, text: &mut String) {
         let counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         let mut rows: Vec<_> = counts.iter().filter(|(name, _)| !name.is_empty()).collect();
--- a/crates/edge/src/model/config.rs
+++ b/crates/edge/src/model/config.rs
@@ -10,31 +10,31 @@
 
 use super::Workspace;
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Config {
-    /// Grows with each change.
+    /// Version; grows with each change.
     pub version: u64,
     /// Routes of all host names.
     pub routes: Vec<Arc<Route>>,
     /// Services by name.
     pub services: BTreeMap<Arc<str>, Service>,
-    /// What callers may send.
+    /// Limits on callers' requests.
     pub limits: Limits,
-    /// Workspaces, in the order of their names. With none, callers need no key.
+    /// Workspaces, in the order of their names. Without any, callers need no key.
     pub workspaces: Vec<Arc<Workspace>>,
 }
 
 impl Config {
-    /// The workspace of a name.
+    /// Returns the workspace with a name.
     pub fn workspace(&self, name: &str) -> Option<&Arc<Workspace>> {
         let at = self.workspaces.binary_search_by(|w| (*w.name).cmp(name));
         at.ok().map(|at| &self.workspaces[at])
     }
 }
 
-/// How requests under a host name and a prefix are served.
+/// How requests under a host name and a path prefix are served.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Route {
@@ -42,19 +42,19 @@
     pub name: Arc<str>,
     /// Host name of the request, without a port.
     pub host: Arc<str>,
-    /// Begins the path; begins and ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// Whether a request may run more than once.
+    /// Whether requests are idempotent and may run more than once.
     pub repeatable: bool,
-    /// Whether a target that has lately handled a request's object answers sooner.
+    /// Whether a target that recently handled a request's affinity key answers faster.
     pub sticky: bool,
     /// Longest time that a caller is kept waiting.
     pub timeout: Duration,
-    /// Time within which an answer is in good time.
+    /// Response time that counts as good.
     pub objective: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Targets that one request may be sent to.
+    /// Largest number of targets that one request may be sent to.
     pub attempts: u32,
     /// Services that share the requests; never empty.
     pub parts: Vec<WeightedService>,
@@ -64,13 +64,13 @@
     pub open: bool,
 }
 
-/// A service's part of a route.
+/// A service of a route, with its weight.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct WeightedService {
     /// The service.
     pub service: Arc<str>,
-    /// Its share among the weights of the route.
+    /// Its share relative to the other weights of the route.
     pub weight: f64,
 }
 
@@ -86,14 +86,14 @@
     pub rate: f64,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Largest request head, in bytes.
     pub head: usize,
-    /// Bytes of a request's body.
+    /// Largest request body, in bytes.
     pub body: usize,
-    /// Time a kept connection may be idle.
+    /// Idle timeout of a connection.
     pub idle: Duration,
 }
--- a/crates/edge/src/model/dialect.rs
+++ b/crates/edge/src/model/dialect.rs
@@ -1,4 +1,4 @@
-//! How callers and targets of a platform say what a host needs to know.
+//! Headers, paths and formats that a platform uses between callers, hosts and targets.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -7,7 +7,7 @@
 
 use super::KeyDigest;
 
-/// What a look-up asks.
+/// Query of a look-up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LookupQuery {
     /// Region of the caller.
@@ -16,57 +16,57 @@
     pub domain: Arc<str>,
 }
 
-/// Load as a target reports it with an answer.
+/// Load that a target reports with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
 }
 
-/// How a caller says who it is.
+/// Credentials that a caller sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Credentials {
-    /// It does not.
+    /// The caller sent none.
     Missing,
-    /// By a key.
+    /// A key.
     Key(KeyDigest),
-    /// In a way that names no key, or several.
+    /// Credentials that contain no key, or several.
     Malformed,
 }
 
-/// Names and formats of headers and paths. Functions decode; nothing here decides.
+/// Names and formats of headers and paths. The functions decode and encode; none of them decides.
 #[derive(Clone, Debug)]
 pub struct Dialect {
-    /// Header with a request's id; callers choose it, targets echo it.
+    /// Header with the request's id; callers choose it, targets echo it.
     pub request_id: HeaderName,
-    /// Header with the milliseconds that are left.
+    /// Header with the remaining milliseconds.
     pub time_left: HeaderName,
-    /// Header that names the one target that may run a request.
+    /// Header that names the only target that may run a request.
     pub expected_target: HeaderName,
-    /// Header of an answer that says that the request did not run.
+    /// Response header that says that the request did not run.
     pub not_run: HeaderName,
-    /// Header by which a target signs its answers.
+    /// Header by which a target signs its responses.
     pub signature: HeaderName,
-    /// Header by which callers say who they are; targets are not shown it.
+    /// Header with the caller's credentials; it is not sent to targets.
     pub credentials: HeaderName,
-    /// What a caller is told that sent no known key.
+    /// Authentication challenge for callers without a known key.
     pub challenge: &'static str,
-    /// How a caller says who it is.
+    /// Reads the credentials of a caller.
     pub parse_credentials: fn(&HeaderMap) -> Credentials,
-    /// Header that tells a target a request's workspace.
+    /// Header that tells a target the request's workspace.
     pub workspace: HeaderName,
-    /// Names the object of a request.
+    /// Reads the affinity key of a request.
     pub affinity_key: fn(&HeaderMap) -> Option<&str>,
-    /// Load that an answer reports.
+    /// Reads the load that a response reports.
     pub parse_load: fn(&HeaderMap) -> Option<ReportedLoad>,
-    /// Path on which readiness is asked.
+    /// Path of the readiness check.
     pub ready_path: &'static str,
     /// Path of look-ups.
     pub lookup_path: &'static str,
-    /// What a look-up asks, from its query.
+    /// Reads the query of a look-up.
     pub parse_lookup: fn(&Uri) -> Option<LookupQuery>,
-    /// Body of a look-up's answer, and its content type.
+    /// Returns the body and the content type of a look-up's response.
     pub encode_lookup: fn(&[SocketAddr], Duration) -> (Bytes, &'static str),
 }
--- a/crates/edge/src/model/item.rs
+++ b/crates/edge/src/model/item.rs
@@ -1,4 +1,4 @@
-//! What the store holds, item by item.
+//! Items of the store.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,15 +14,15 @@
     pub key: Arc<str>,
     /// Store's revision of the last change.
     pub rev: u64,
-    /// Store's revision at which the key was last created; 0 once it is removed. Later than a revision that
-    /// is known, it tells of a removal in between.
+    /// Store's revision at which the key was last created; 0 once it is removed. If it is later
+    /// than a known revision, the item was removed in between.
     pub created: u64,
-    /// Content; `None` once it is removed, or where it names nobody.
+    /// Content; `None` once the item is removed, or if its content cannot be used.
     pub entry: Option<Entry>,
 }
 
-/// A removal that is held back: the store no longer names the key, but what lay under it may only have
-/// lapsed while the store was away.
+/// A deferred removal: the store no longer has the key, but the entry may only have expired while
+/// the store was unavailable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct DeferredRemoval {
@@ -30,7 +30,7 @@
     pub key: Arc<str>,
     /// Store's revision of the removal.
     pub rev: u64,
-    /// How much longer the item is believed in, from when this was said.
+    /// How much longer the item is kept, counted from when this was sent.
     pub left: Duration,
 }
 
@@ -38,9 +38,9 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Entry {
-    /// The configuration in force.
+    /// The active configuration.
     Config(Arc<Config>),
-    /// Targets of this failure domain get nothing.
+    /// A failure domain whose targets receive no requests.
     Evacuated(Arc<str>),
     /// A target.
     Target(Arc<Target>),
@@ -56,18 +56,18 @@
     pub id: Arc<str>,
     /// Service that it runs.
     pub service: Arc<str>,
-    /// Where it is served.
+    /// Address of the target.
     pub address: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain of the target.
     pub domain: Arc<str>,
     /// Requests that it runs at once.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new requests.
     pub leaving: bool,
-    /// How much longer it stays cold, from when this was said.
+    /// How much longer it stays cold, counted from when this was sent.
     pub cold: Duration,
-    /// When its process started, in milliseconds since 1970; 0 where that is not told. A target may
-    /// start again under the id that it had, and then holds and knows nothing of before.
+    /// When its process started, in milliseconds since 1970; 0 if unknown. A target may restart
+    /// under the same id, and then has no requests and no state from before.
     pub born: u64,
 }
 
@@ -77,19 +77,20 @@
 pub struct HostEntry {
     /// Name, unique in the deployment.
     pub name: Arc<str>,
-    /// Failure domain it stands in.
+    /// Failure domain of the host.
     pub domain: Arc<str>,
-    /// Where callers are served.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where other hosts are served.
+    /// Address for other hosts.
     pub peers: SocketAddr,
-    /// How far the store is: time of a call in steps of [`HostEntry::STEP`].
+    /// Round-trip time to the store, in steps of [`HostEntry::DISTANCE_STEP`].
     pub distance: u32,
-    /// Hundredths of a core that it may use.
+    /// Processor limit, in hundredths of a core.
     pub power: u32,
 }
 
 impl HostEntry {
-    /// Step of `distance`: below the time between regions, above the swing of calls within one.
+    /// Step of `distance`: below the round-trip time between regions, above the variation of calls
+    /// within one.
     pub const DISTANCE_STEP: Duration = Duration::from_millis(10);
 }
--- a/crates/edge/src/model/keys.rs
+++ b/crates/edge/src/model/keys.rs
@@ -1,14 +1,14 @@
-//! Finds the workspace that holds a key, in a time that does not grow with the number of keys.
+//! Finds the workspace of a key in a time that does not grow with the number of keys.
 
 use std::sync::Arc;
 
 use super::{KeyDigest, Workspace};
 
-/// The keys of a configuration. Clones share them.
+/// Index of the keys of a configuration. Clones share it.
 ///
-/// Invariants: `rows` is sorted by digest and holds each digest once; the rows whose digest begins with
-/// the bits `n` lie from `starts[n]` to `starts[n + 1]`. There are about as many beginnings as rows, and
-/// digests are spread evenly, so that few rows share one.
+/// Invariants: `rows` is sorted by digest and contains each digest once; the rows whose digest
+/// begins with the bits `n` lie from `starts[n]` to `starts[n + 1]`. There are about as many bit
+/// prefixes as rows, and digests are distributed evenly, so few rows share one.
 #[derive(Clone, Debug, Default)]
 pub struct KeyIndex {
     rows: Arc<[(KeyDigest, Arc<Workspace>)]>,
@@ -17,8 +17,8 @@
 }
 
 impl KeyIndex {
-    /// Indexes the keys of all workspaces. A key that several hold counts for the first of them, by
-    /// name; see [`KeyIndex::shared`].
+    /// Indexes the keys of all workspaces. A key that several workspaces have belongs to the first
+    /// of them, by name; see [`KeyIndex::shared`].
     pub fn open(workspaces: &[Arc<Workspace>]) -> KeyIndex {
         let mut rows: Vec<_> = workspaces
             .iter()
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The workspace that holds a key.
+    /// Returns the workspace that has a key.
     pub fn find(&self, key: KeyDigest) -> Option<&Arc<Workspace>> {
         let top = key.top(self.bits);
         let (from, to) = (*self.starts.get(top)?, *self.starts.get(top + 1)?);
@@ -50,7 +50,7 @@
         row.map(|(_, workspace)| workspace)
     }
 
-    /// Names of workspaces that hold a key which counts for another.
+    /// Returns the names of workspaces that have a key which belongs to another.
     pub fn shared(&self, workspaces: &[Arc<Workspace>]) -> Vec<Arc<str>> {
         let is_other = |w: &Arc<Workspace>| {
             let mut keys = w.keys.iter();
--- a/crates/edge/src/model/mod.rs
+++ b/crates/edge/src/model/mod.rs
@@ -1,7 +1,7 @@
-//! What a host is told about the deployment, in the project's own words.
+//! A host's model of the deployment, independent of the platform.
 //!
-//! An adapter decodes a platform's names and formats into these types once; hosts pass the same
-//! types on to each other.
+//! An adapter decodes a platform's names and formats into these types; hosts send the same types to
+//! each other.
 
 mod config;
 mod dialect;
--- a/crates/edge/src/model/packed.rs
+++ b/crates/edge/src/model/packed.rs
@@ -1,4 +1,4 @@
-//! Values as they travel between hosts: encoded and compressed once, passed on as they are.
+//! Packed values for messages between hosts: encoded and compressed once, then passed on unchanged.
 
 use std::io::{Read, Write};
 
@@ -7,13 +7,13 @@
 use flate2::{Compression, read::DeflateDecoder, write::DeflateEncoder};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// Largest value that is unpacked, in bytes: a broken message must not take a host's memory.
+/// Largest size of an unpacked value, in bytes: a broken message must not exhaust a host's memory.
 const MAX_UNPACKED_BYTES: u64 = 16 << 20;
 
 /// A packed value. Clones share its bytes.
 ///
-/// Routes repeat the names of their fields, hosts and services; packed, a version reaches eight hosts over
-/// a narrow link in a fraction of a second.
+/// Routes repeat the names of their fields, hosts and services; packed, a version reaches eight
+/// hosts over a narrow link in a fraction of a second.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(transparent)]
@@ -32,11 +32,11 @@
         Ok(Packed(encoder.finish()?.into()))
     }
 
-    /// The value.
+    /// Unpacks the value.
     ///
     /// # Errors
     ///
-    /// When it is broken or larger than a host takes.
+    /// When it is broken or too large.
     pub fn unpack<T: DeserializeOwned>(&self) -> Result<T, PackError> {
         let mut plain = Vec::new();
         DeflateDecoder::new(&*self.0)
@@ -45,7 +45,7 @@
         unpack(&plain)
     }
 
-    /// Its size, in bytes.
+    /// Returns the packed size in bytes.
     pub fn size(&self) -> usize {
         self.0.len()
     }
--- a/crates/edge/src/model/patch.rs
+++ b/crates/edge/src/model/patch.rs
@@ -1,4 +1,4 @@
-//! What changed between two versions of the configuration.
+//! Patches between versions of the configuration.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -6,50 +6,50 @@
 
 use super::{Config, Limits, Route, Service, Workspace};
 
-/// What selects a route: host name and prefix.
+/// What identifies a route: host name and prefix.
 type Key = (Arc<str>, Arc<str>);
 
-/// The way from one version to a later one.
+/// The difference between one version and a later one.
 ///
-/// Hosts tell each other patches instead of whole versions. Whole, a version of some thousand routes is
-/// near a megabyte; a host that passes it on to eight others over a link of 10 Mbit/s needs seconds, in
-/// which the next version and the news of leaving targets wait behind it. A patch is as large as what
-/// the operators changed.
+/// Hosts send each other patches instead of full versions. A full version of some thousand routes
+/// is nearly a megabyte; a host that passes it on to eight others over a link of 10 Mbit/s needs
+/// seconds, during which the next version and the changes of draining targets wait. A patch is as
+/// large as what the operators changed.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Patch {
-    /// Version that it changes; it fits no other.
+    /// Version that the patch applies to.
     pub from: u64,
-    /// Version that it leads to.
+    /// Version that it produces.
     pub to: u64,
-    /// Routes that are new or differ.
+    /// Routes that are new or changed.
     routes: Vec<Arc<Route>>,
-    /// Routes that are gone.
+    /// Routes that were removed.
     gone: Vec<Key>,
-    /// All services, where one of them differs.
+    /// All services, if one of them changed.
     services: Option<BTreeMap<Arc<str>, Service>>,
     limits: Option<Limits>,
-    /// Workspaces that are new or differ.
+    /// Workspaces that are new or changed.
     workspaces: Vec<Arc<Workspace>>,
-    /// Names of workspaces that are gone.
+    /// Names of workspaces that were removed.
     closed: Vec<Arc<str>>,
 }
 
-/// A patch that does not begin at the version it was applied to.
+/// A patch is for another version than the one it was applied to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("a patch from version {from} does not fit version {held}")]
 pub struct VersionMismatch {
-    /// Where the patch begins.
+    /// Version that the patch applies to.
     pub from: u64,
-    /// The version that is held.
+    /// Version that it was applied to.
     pub held: u64,
 }
 
 impl Patch {
-    /// The way from one version to another; `None` where several routes of a version have the same host
-    /// name and prefix, or several workspaces the same name, of which a patch could not tell which one
-    /// changed.
+    /// Computes the patch from one version to another; `None` if several routes of a version have
+    /// the same host name and prefix, or several workspaces the same name, so that a patch could
+    /// not identify the one that changed.
     pub fn between(old: &Config, new: &Config) -> Option<Patch> {
         let (before, after) = (by_key(old)?, by_key(new)?);
         let (were, are) = (by_name(old)?, by_name(new)?);
@@ -70,11 +70,11 @@
         })
     }
 
-    /// The version that it leads to. Routes that did not change are shared with `old`.
+    /// Applies the patch. Routes that did not change are shared with `old`.
     ///
     /// # Errors
     ///
-    /// When it does not begin at `old`.
+    /// When the patch is for another version than `old`.
     pub fn apply(&self, old: &Config) -> Result<Config, VersionMismatch> {
         let mismatch = VersionMismatch {
             from: self.from,
@@ -105,13 +105,13 @@
     (Arc::clone(&route.host), Arc::clone(&route.prefix))
 }
 
-/// The routes by what selects them; `None` where that does not tell them apart.
+/// Returns the routes by host name and prefix; `None` if two share both.
 fn by_key(config: &Config) -> Option<BTreeMap<Key, &Arc<Route>>> {
     let routes: BTreeMap<_, _> = config.routes.iter().map(|r| (key(r), r)).collect();
     (routes.len() == config.routes.len()).then_some(routes)
 }
 
-/// The workspaces by name; `None` where that does not tell them apart.
+/// Returns the workspaces by name; `None` if two share a name.
 fn by_name(config: &Config) -> Option<BTreeMap<&Arc<str>, &Arc<Workspace>>> {
     let all: BTreeMap<_, _> = config.workspaces.iter().map(|w| (&w.name, w)).collect();
     (all.len() == config.workspaces.len()).then_some(all)
--- a/crates/edge/src/model/platform_store.rs
+++ b/crates/edge/src/model/platform_store.rs
@@ -1,4 +1,4 @@
-//! Access to the platform's store, as closures that an adapter gives.
+//! The platform's store, as closures that an adapter provides.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,20 +6,20 @@
 
 use super::{HostEntry, Item};
 
-/// Why a call to the store gave nothing.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum PlatformStoreError {
-    /// No answer, or one that says that the store does not serve this host now.
+    /// No response, or one that says that the store does not serve this host now.
     #[error("the store is away: {0}")]
     Unavailable(String),
-    /// The history after the asked revision is dropped; read anew.
+    /// The history after the requested revision was compacted; a full read is needed.
     #[error("the store's history is dropped")]
     Compacted,
-    /// The lease has ended; announce anew.
+    /// The lease has expired; the host must announce itself again.
     #[error("the lease has ended")]
     LeaseExpired,
-    /// The answer cannot be read.
+    /// The response cannot be read.
     #[error("unreadable answer: {0}")]
     Unreadable(String),
 }
@@ -42,7 +42,7 @@
     pub items: Vec<Item>,
 }
 
-/// A lease under which this host is announced.
+/// Id of the lease under which this host is announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseId(pub u64);
 
@@ -50,14 +50,15 @@
 pub type StoreCall<A, T> =
     Arc<dyn Fn(A) -> BoxFuture<'static, Result<T, PlatformStoreError>> + Send + Sync>;
 
-/// The platform's store, as far as a host needs it. Clones share what is underneath.
+/// Client of the platform's store, with the calls that a host needs. Clones share the connection.
 #[derive(Clone)]
 pub struct PlatformStore {
     /// Reads all items.
     pub list: StoreCall<(), Snapshot>,
-    /// Waits for changes after a revision, at most for a time; no items where there are none.
+    /// Waits for changes after a revision, at most for the given time; returns no items if there
+    /// are none.
     pub watch: StoreCall<(u64, Duration), Batch>,
-    /// Announces this host under a new lease that lasts for a time.
+    /// Announces this host under a new lease with the given duration.
     pub announce: StoreCall<(Arc<HostEntry>, Duration), LeaseId>,
     /// Renews the lease.
     pub renew: StoreCall<LeaseId, ()>,
--- a/crates/edge/src/replica/changes.rs
+++ b/crates/edge/src/replica/changes.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of the store's items.
+//! Changes of the store's items, as hosts send them to each other.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -7,35 +7,36 @@
 use super::Replica;
 use crate::model::{DeferredRemoval, Item};
 
-/// Changes, and the store's revision up to which nothing is missing with them.
+/// Changes, and the store's revision that they are complete up to.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize, Serialize)]
 pub struct Changes {
-    /// Items that say something new.
+    /// Items that changed.
     pub items: Vec<Item>,
-    /// Removals that are held back.
+    /// Deferred removals.
     pub endings: Vec<DeferredRemoval>,
-    /// What there is, where removals may be missing.
+    /// All existing keys, if removals may be missing.
     pub whole: Option<FullKeySet>,
-    /// The revision; 0 where these changes tell nothing of it.
+    /// The revision; 0 if the changes are complete up to no revision.
     pub reached: u64,
 }
 
-/// All keys that are there. Who reads the store anew does not hear of what came and went meanwhile, and
-/// who starts not of what went before; a host that had heard of it elsewhere would keep it for good.
+/// All keys that exist. A host that makes a full read of the store misses what was created and
+/// removed meanwhile, and a host that starts misses earlier removals; a follower that has such an
+/// item from another source would keep it indefinitely.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 pub struct FullKeySet {
     /// Store's revision after which every removal is known.
     pub since: u64,
-    /// The keys; not told to a host that knows nothing and has nothing to remove.
+    /// The keys; left out for a host that has no items and so nothing to remove.
     pub keys: Option<BTreeSet<Arc<str>>>,
-    /// How much longer items under other keys are believed in.
+    /// How long the removal of items under other keys is deferred.
     pub left: Duration,
 }
 
 impl Replica {
-    /// Takes changes in; tells whether they change what is believed.
+    /// Applies changes; returns whether the replica changed.
     pub fn apply_changes(&mut self, changes: Changes, now: Duration) -> bool {
         let mut changed = false;
         for item in changes.items {
@@ -51,12 +52,12 @@
         changed
     }
 
-    /// Takes a whole reading in: what it does not name is gone, unless it is newer than the reading.
+    /// Applies a full read: items that are not in it are removed, unless they are newer.
     pub fn replace(&mut self, revision: u64, items: Vec<Item>, now: Duration) -> bool {
         self.replace_deferring(revision, items, Duration::ZERO, now)
     }
 
-    /// The same, where what the reading does not name is believed in for a while longer.
+    /// Like [`Replica::replace`], but defers the removals by `left`.
     pub fn replace_deferring(
         &mut self,
         revision: u64,
@@ -79,7 +80,7 @@
         self.apply_changes(changes, now)
     }
 
-    /// Removes what is not among the keys that are there, unless it is newer.
+    /// Removes items whose keys are not in the set, unless they are newer.
     fn retain_keys(&mut self, whole: FullKeySet, now: Duration) -> bool {
         let FullKeySet { since, keys, left } = whole;
         if since > self.since {
@@ -105,10 +106,10 @@
         changed
     }
 
-    /// What a host that misses nothing up to a revision is to be told.
+    /// Returns the changes for a host that has all up to a revision.
     pub fn changes(&self, rev: u64, now: Duration) -> Changes {
         let endings = self.items.values().filter_map(|stored| {
-            // Told of an item, a host is told of its end as well.
+            // A host that receives an item must receive its removal as well.
             let deferred = stored
                 .pending
                 .filter(|e| e.publish_revision.max(stored.publish_revision) > rev)?;
--- a/crates/edge/src/replica/config_history.rs
+++ b/crates/edge/src/replica/config_history.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and the way to it from the versions before.
+//! The active configuration, and patches to it from earlier versions.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -7,76 +7,77 @@
 
 use crate::model::{Config, KeyIndex, Packed, Patch, RouteIndex, VersionMismatch};
 
-/// Patches that are kept. A host that asks every quarter of a second is rarely more than one behind; one
-/// that was cut off while a dozen versions came in quick succession still needs no whole one.
+/// Number of patches kept. A host that asks every quarter of a second is rarely more than one
+/// version behind; one that was cut off while a dozen versions came in quick succession still needs
+/// no full version.
 const MAX_PATCHES: usize = 16;
 
-/// What another host is told of the configuration.
+/// Configuration update for another host.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 pub enum ConfigUpdate {
-    /// Patches, each beginning where the one before ends.
+    /// Patches, each from the version that the previous one ends at.
     Steps(Vec<Packed>),
-    /// The version in force, whole.
+    /// The full active version.
     Whole(Packed),
 }
 
-/// Why news of another host are of no use.
+/// Why a configuration update of another host is unusable.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigUpdateError {
-    /// A patch does not begin at the version that is held.
+    /// A patch is for another version than the active one.
     #[error(transparent)]
     VersionMismatch(#[from] VersionMismatch),
-    /// They cannot be unpacked.
+    /// The update cannot be unpacked.
     #[error(transparent)]
     Pack(#[from] PackError),
 }
 
-/// A packed patch and where it begins.
+/// A packed patch, and the version that it is for.
 #[derive(Debug)]
 struct PackedPatch {
     from: u64,
     packed: Packed,
 }
 
-/// The version in force.
+/// The active configuration and the latest patches.
 ///
-/// Invariants: its number never falls; each step begins where the one before ends, and the last one ends
-/// at the version in force.
+/// Invariants: the version never decreases; each patch is for the version that the previous one
+/// ends at, and the last one ends at the active version.
 #[derive(Debug, Default)]
 pub struct ConfigHistory {
     current: Option<Arc<Config>>,
-    /// `now` packed whole, once somebody needed it.
+    /// The full active version, packed when it is first needed.
     packed_full: Option<Packed>,
     patches: VecDeque<PackedPatch>,
-    /// Keys of the version in force.
+    /// Keys of the active version.
     keys: KeyIndex,
-    /// Its routes.
+    /// Routes of the active version.
     routes: RouteIndex,
 }
 
 impl ConfigHistory {
-    /// The version in force.
+    /// Returns the active version.
     pub fn current(&self) -> Option<&Arc<Config>> {
         self.current.as_ref()
     }
 
-    /// Its workspaces by their keys.
+    /// Returns the workspaces of the active version by their keys.
     pub fn keys(&self) -> &KeyIndex {
         &self.keys
     }
 
-    /// Its routes by host name and prefix.
+    /// Returns the routes of the active version by host name and prefix.
     pub fn routes(&self) -> &RouteIndex {
         &self.routes
     }
 
-    /// Its number; 0 where none is known.
+    /// Returns the number of the active version; 0 if none is known.
     pub fn number(&self) -> u64 {
         self.current.as_ref().map_or(0, |config| config.version)
     }
 
-    /// Takes a whole version in; tells whether it is newer. An older one never replaces a newer one.
+    /// Replaces the active version if the given one is newer; returns whether it is.
     pub fn replace_if_newer(&mut self, config: &Arc<Config>) -> bool {
         if config.version <= self.number() {
             return false;
@@ -89,11 +90,12 @@
         true
     }
 
-    /// Takes in what another host tells.
+    /// Applies an update of another host.
     ///
     /// # Errors
     ///
-    /// When it cannot be read, or does not fit the version in force. What was taken in before that stays.
+    /// When the update cannot be read or does not fit the active version. Patches that were applied
+    /// before the failure stay.
     pub fn apply_update(&mut self, update: &ConfigUpdate) -> Result<(), ConfigUpdateError> {
         match update {
             ConfigUpdate::Whole(packed) => {
@@ -106,11 +108,11 @@
         }
     }
 
-    /// What a host that holds version `held` is to be told, if anything.
+    /// Returns the update for a host that has version `held`, if there is a newer one.
     ///
     /// # Errors
     ///
-    /// When the version in force cannot be packed.
+    /// When the active version cannot be packed.
     pub fn update_since(&mut self, held: u64) -> Result<Option<ConfigUpdate>, PackError> {
         let Some(current) = self
             .current
@@ -140,7 +142,7 @@
         )))
     }
 
-    /// Goes one step on, unless it was gone before.
+    /// Applies one patch, unless its version was reached before.
     fn apply_patch(&mut self, packed: &Packed) -> Result<(), ConfigUpdateError> {
         let patch: Patch = packed.unpack()?;
         if patch.to <= self.number() {
@@ -178,7 +180,7 @@
     }
 }
 
-/// The packed way between two versions. Where there is none, hosts are told the whole version.
+/// Packs the patch between two versions. If there is none, hosts receive the full version.
 fn patch_between(old: &Config, new: &Config) -> Option<PackedPatch> {
     let patch = Patch::between(old, new)?;
     match Packed::pack(&patch) {
--- a/crates/edge/src/replica/deferred.rs
+++ b/crates/edge/src/replica/deferred.rs
@@ -1,22 +1,22 @@
-//! Removals that are held back: entries that vanished while the store was away may only have lapsed.
+//! Deferred removals: entries that vanished while the store was unavailable may only have expired.
 
 use std::{sync::Arc, time::Duration};
 
 use super::{Replica, StoredItem, removal};
 use crate::model::DeferredRemoval;
 
-/// A removal that is held back.
+/// A deferred removal of an item.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRemoval {
     pub(super) rev: u64,
-    /// When it counts.
+    /// When it is applied.
     pub(super) due_at: Duration,
-    /// As in [`Held`].
+    /// As in [`StoredItem`].
     pub(super) publish_revision: u64,
 }
 
 impl Replica {
-    /// Takes in a removal that is held back; tells whether it is new.
+    /// Records a deferred removal; returns whether it is new.
     pub fn defer_removal(&mut self, deferred: DeferredRemoval, now: Duration) -> bool {
         let DeferredRemoval { key, rev, left } = deferred;
         let Some(known) = self.items.get(&key).filter(|h| h.item.entry.is_some()) else {
@@ -30,7 +30,7 @@
             return false;
         }
         let publish_revision = self.next_publish_revision(&key, rev);
-        // Held back twice, an item is not believed in for longer.
+        // A second deferral must not keep the item longer.
         let due_at = pending.map_or(now + left, |pending| pending.due_at.min(now + left));
         if let Some(stored) = self.items.get_mut(&key) {
             stored.pending = Some(PendingRemoval {
@@ -43,14 +43,14 @@
         true
     }
 
-    /// When the next removal that is held back counts.
+    /// Returns when the next deferred removal is due.
     pub fn next_deferred(&self) -> Option<Duration> {
         let endings = self.items.values().filter_map(|stored| stored.pending);
         endings.map(|pending| pending.due_at).min()
     }
 
-    /// Removes what was held back for long enough; tells whether there was something. Others were told
-    /// of it before, and remove it themselves.
+    /// Applies removals that are due; returns whether there were any. Followers received them as
+    /// deferred removals before, and apply them themselves.
     pub fn apply_deferred(&mut self, now: Duration) -> bool {
         let mut changed = false;
         for stored in self.items.values_mut() {
--- a/crates/edge/src/replica/mod.rs
+++ b/crates/edge/src/replica/mod.rs
@@ -1,13 +1,13 @@
-//! What a host believes: the newest revision it has seen of each item of the store.
+//! A host's replica of the store: the newest known revision of each item.
 //!
 //! Items come from the store or from other hosts, in any order and more than once. A later revision
-//! replaces an earlier one and never the other way, so that a host that changes its source does not
-//! go back: a target that left does not return, nor does an older configuration. Hosts are told of
-//! items by revision, and of the configuration by its version ([`Versions`]).
+//! replaces an earlier one and never the other way round, so a host that changes its source does
+//! not go back: neither a target that left nor an older configuration returns. Followers receive
+//! items by revision, and the configuration by its version ([`ConfigHistory`]).
 //!
-//! A removal that is held back is a change like any other: it is known, and told to others, under its
-//! revision, together with the time that is left. A host that kept it to itself and yet said that
-//! nothing is missing would leave hosts that got further elsewhere without it for good.
+//! A deferred removal is a change like any other: it is stored and sent to followers under its
+//! revision, with the remaining delay. If a host kept it to itself and yet claimed to be complete,
+//! followers that got further elsewhere would never receive it.
 
 mod changes;
 mod config_history;
@@ -30,64 +30,64 @@
 };
 use crate::model::{Config, Entry, Item, KeyIndex, RouteIndex, Target};
 
-/// How far two words on the end of a target's cold time may differ and still say the same.
+/// Tolerance between two reports of the end of a target's cold time that count as equal.
 const COLD_TOLERANCE: Duration = Duration::from_millis(700);
 
-/// An item and when it was heard.
+/// An item, and when it was received.
 #[derive(Clone, Debug)]
 struct StoredItem {
     item: Item,
     received_at: Duration,
-    /// Revision under which others are told of the last change that says something new.
+    /// Revision under which followers receive the last effective change of the item.
     publish_revision: u64,
-    /// A later removal that is held back.
+    /// A later removal that is deferred.
     pending: Option<PendingRemoval>,
 }
 
-/// The newest items.
+/// The newest known items.
 ///
-/// Invariants: the revision held of a key never falls; every change up to `reached` is contained, be it
-/// as a removal that is held back.
+/// Invariants: the revision of a key never decreases; every change up to `synced_revision` is
+/// contained, possibly as a deferred removal.
 #[derive(Debug, Default)]
 pub struct Replica {
     items: BTreeMap<Arc<str>, StoredItem>,
     /// Number of the last change; grows with each.
     change_count: u64,
-    /// Store's revision up to which nothing is missing.
+    /// Store's revision up to which no change is missing.
     synced_revision: u64,
     /// Store's revision after which every removal is known.
     since: u64,
-    /// Until when items that a reading did not name are believed in.
+    /// Until when items that a full read did not contain are kept.
     defer_until: Duration,
-    /// Highest revision under which something was said.
+    /// Highest revision under which a change was published.
     publish_revision: u64,
-    /// Keys of changes that came late, until `reached` grows.
+    /// Keys of changes that came late, until `synced_revision` grows.
     late_keys: BTreeSet<Arc<str>>,
     config: ConfigHistory,
 }
 
 impl Replica {
-    /// Opens a world that knows nothing.
+    /// Creates an empty replica.
     pub fn open() -> Replica {
         Replica::default()
     }
 
-    /// Number of the last change.
+    /// Returns the number of the last change.
     pub fn change_count(&self) -> u64 {
         self.change_count
     }
 
-    /// Store's revision up to which nothing is missing.
+    /// Returns the store's revision up to which no change is missing.
     pub fn synced_revision(&self) -> u64 {
         self.synced_revision
     }
 
-    /// Highest revision under which [`World::after`] tells something.
+    /// Returns the highest revision that [`Replica::changed_since`] reports a change for.
     pub fn publish_revision(&self) -> u64 {
         self.publish_revision
     }
 
-    /// Nothing up to a revision is missing any more.
+    /// Records that no change up to a revision is missing.
     pub fn set_synced(&mut self, rev: u64) {
         if rev <= self.synced_revision {
             return;
@@ -105,40 +105,40 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the active configuration.
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.config.current()
     }
 
-    /// Workspaces of the configuration in force, by their keys.
+    /// Returns the workspaces of the active configuration by their keys.
     pub fn keys(&self) -> &KeyIndex {
         self.config.keys()
     }
 
-    /// Its routes by host name and prefix.
+    /// Returns its routes by host name and prefix.
     pub fn routes(&self) -> &RouteIndex {
         self.config.routes()
     }
 
-    /// Number of the configuration in force; 0 where none is known.
+    /// Returns the version of the active configuration; 0 if none is known.
     pub fn version(&self) -> u64 {
         self.config.number()
     }
 
-    /// What a host that holds a version of the configuration is to be told of later ones.
+    /// Returns the configuration update for a host with an older version.
     ///
     /// # Errors
     ///
-    /// When the version in force cannot be packed.
+    /// When the active version cannot be packed.
     pub fn update_since(&mut self, stored: u64) -> Result<Option<ConfigUpdate>, PackError> {
         self.config.update_since(stored)
     }
 
-    /// Takes in what another host tells of the configuration.
+    /// Applies a configuration update of another host.
     ///
     /// # Errors
     ///
-    /// When it cannot be read, or does not fit the version that is held.
+    /// When the update cannot be read or does not fit the active version.
     pub fn apply_update(&mut self, update: &ConfigUpdate) -> Result<(), ConfigUpdateError> {
         let before = self.version();
         let applied = self.config.apply_update(update);
@@ -146,7 +146,7 @@
         applied
     }
 
-    /// Takes an item in; tells whether it changes what is believed.
+    /// Applies an item; returns whether the replica changed.
     pub fn apply_item(&mut self, item: Item, now: Duration) -> bool {
         if let Some(Entry::Config(config)) = &item.entry {
             let newer = self.config.replace_if_newer(config);
@@ -176,9 +176,9 @@
         !same
     }
 
-    /// Revision under which others are told of a change. They have been told that nothing up to `reached`
-    /// is missing, so that one which comes late is told as if it were newer; to those that have got
-    /// further elsewhere, once this host has too.
+    /// Returns the revision under which followers receive a change. They were told that nothing up
+    /// to `synced_revision` is missing, so a late change is published under a newer revision;
+    /// followers that have got further elsewhere receive it once this host has too.
     fn next_publish_revision(&mut self, key: &Arc<str>, rev: u64) -> u64 {
         let is_late = rev <= self.synced_revision;
         if is_late {
@@ -193,13 +193,13 @@
         publish_revision
     }
 
-    /// Items that are there.
+    /// Returns the items that exist.
     pub fn present_items(&self) -> impl Iterator<Item = &Item> {
         let items = self.items.values().map(|stored| &stored.item);
         items.filter(|item| item.entry.is_some())
     }
 
-    /// Items that said something new after a revision, those that are gone too.
+    /// Returns the items that changed after a revision, including removed ones.
     pub fn changed_since(&self, rev: u64, now: Duration) -> Vec<Item> {
         let newer = self
             .items
@@ -210,7 +210,8 @@
             .collect()
     }
 
-    /// A follower counts a target's cold time from when it hears of it.
+    /// Returns the item with the remaining cold time: a follower counts it from when it receives
+    /// the target.
     fn with_remaining_cold(&self, stored: &StoredItem, now: Duration) -> Item {
         let mut item = stored.item.clone();
         if let Some(Entry::Target(target)) = &mut item.entry {
@@ -237,9 +238,10 @@
 }
 
 impl StoredItem {
-    /// Whether an item says nothing new: targets repeat themselves with every heartbeat. One that was
-    /// created since is new, whatever it says: others may have heard of the removal in between; and of a
-    /// second removal, of what was there in between.
+    /// Whether an item is no effective change: targets repeat their entries with every heartbeat.
+    /// An item that was created again since is a change, whatever it contains, since followers may
+    /// have received the removal in between; so is a second removal, since they may have received
+    /// what existed in between.
     fn repeats(&self, item: &Item, now: Duration) -> bool {
         let is_removal = item.created == 0 && item.entry.is_none();
         if item.created > self.item.rev || is_removal {
--- a/crates/edge/src/replica/view.rs
+++ b/crates/edge/src/replica/view.rs
@@ -1,4 +1,4 @@
-//! What requests are served by: one immutable picture, replaced whole.
+//! Immutable snapshot of the replica that requests are served from.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,46 +15,47 @@
     model::{Config, Entry, HostEntry, KeyIndex, RouteIndex, Target},
 };
 
-/// A target that may get work.
+/// A target that may receive requests.
 #[derive(Clone, Debug)]
 pub struct KnownTarget {
-    /// What it announced.
+    /// Its announcement.
     pub target: Arc<Target>,
-    /// Region it stands in.
+    /// Region of its failure domain.
     pub region: Arc<str>,
     /// Until when it is cold.
     pub cold_until: Duration,
 }
 
-/// What a host believes, as of one change.
+/// Snapshot of the replica as of one change.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// Number of the last change in it.
     pub change: u64,
-    /// The configuration in force.
+    /// The active configuration.
     pub config: Option<Arc<Config>>,
     /// Its workspaces by their keys.
     pub keys: KeyIndex,
     /// Its routes by host name and prefix.
     pub routes: RouteIndex,
-    /// Targets that may get work, by service; in the order of their ids.
+    /// Targets that may receive requests, by service, in the order of their ids.
     pub services: BTreeMap<Arc<str>, Vec<KnownTarget>>,
-    /// Failure domains whose targets get nothing.
+    /// Failure domains whose targets receive no requests.
     pub evacuated: BTreeSet<Arc<str>>,
     /// Hashes of the listed entry hosts' names.
     pub host_hashes: Vec<u64>,
-    /// Hashes of the names of all hosts that share bounds: the listed ones, and those that may go on
-    /// serving though their entries vanished.
+    /// Hashes of the names of all hosts that share limits: the listed ones, and those that may
+    /// still be serving although their entries vanished.
     pub sharer_hashes: Vec<u64>,
-    /// Who counts the slices of limits.
+    /// Owners of the limit shares.
     pub limit_owners: LimitOwners,
     /// Entry hosts by name.
     pub hosts: BTreeMap<Arc<str>, Arc<HostEntry>>,
 }
 
 impl View {
-    /// Makes the view of a world. `domains` gives the region of each failure domain; `warmed` until
-    /// when the targets of a domain that was evacuated are taken for cold; `before` is the view in force.
+    /// Creates the view of a replica. `domains` maps failure domains to regions. `cold_until` maps
+    /// formerly evacuated domains to the time until which their targets count as cold. `before` is
+    /// the current view.
     pub fn open(
         replica: &Replica,
         domains: &BTreeMap<Arc<str>, Arc<str>>,
@@ -103,7 +104,8 @@
         view
     }
 
-    /// Number of entry hosts that share bounds; this host counts also while it is not listed.
+    /// Returns the number of entry hosts that share limits; this host counts even while it is not
+    /// listed.
     pub fn sharer_count(&self) -> usize {
         self.sharer_hashes.len().max(1)
     }
--- a/crates/edge/src/settings/mod.rs
+++ b/crates/edge/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of an edge host: checked, all mistakes reported together.
+//! Settings of an edge host, checked; all mistakes are reported together.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,31 +8,31 @@
 };
 use dunlinrock_schema::edge::{EdgeBounds, EdgeSettings};
 
-/// Open files of a process where the settings do not say: what systems usually allow.
+/// Limit on open files if the settings do not give one: the usual default of systems.
 const DEFAULT_DESCRIPTORS: i64 = 4096;
 
-/// Least limit on open files with which a host can serve: its listeners, timers and the store take
-/// about 30.
+/// Smallest limit on open files with which a host can serve: its listeners, timers and the store
+/// take about 30.
 const MIN_DESCRIPTORS: i64 = 64;
 
-/// Memory of a process where the settings do not say, in millions of bytes.
+/// Memory limit of the process if the settings do not give one, in millions of bytes.
 const DEFAULT_MEMORY_MB: f64 = 256.0;
 
-/// Least memory with which a host can serve: one at rest takes about 12 million bytes.
+/// Smallest memory limit with which a host can serve: an idle one takes about 12 million bytes.
 const MIN_MEMORY_MB: f64 = 16.0;
 
-/// Least time after which a key that was taken away serves no more. What a host in touch with the store
-/// believes is a second old; with less than this it would refuse callers all the time.
+/// Smallest time in which a revoked key must stop working. The replica of a host in touch with the
+/// store is up to a second old; with less than this the host would refuse callers all the time.
 const MIN_REVOKE: Duration = Duration::from_secs(2);
 
-/// Addresses on which a host is served.
+/// Listen addresses of a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listen {
     /// Callers' requests.
     pub callers: SocketAddr,
     /// Look-ups.
     pub lookup: SocketAddr,
-    /// Readiness.
+    /// Readiness check.
     pub ready: Option<SocketAddr>,
     /// Other hosts, and dumps.
     pub peers: SocketAddr,
@@ -40,28 +40,29 @@
     pub metrics: Option<SocketAddr>,
 }
 
-/// Settings that a running host takes up when its file changes.
+/// Settings that a running host reloads when its file changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReloadableSettings {
     /// Region of each failure domain.
     pub domains: BTreeMap<Arc<str>, Arc<str>>,
-    /// Hosts that are asked for changes while the store is away.
+    /// Hosts that are asked for changes while the store is unavailable.
     pub seeds: Vec<SocketAddr>,
-    /// Time between the request to stop and the end of the process.
+    /// Grace period: the time between the request to stop and the end of the process.
     pub grace: Duration,
-    /// Longest time for which a look-up may be kept.
+    /// Longest time for which callers may cache a look-up.
     pub ttl: Duration,
-    /// Bound on second runs, over all hosts.
+    /// Retry budget, over all hosts.
     pub budget: RetryLimits,
-    /// Bound on requests to cold targets, over all hosts; the rate comes with the configuration.
+    /// Limits on requests to cold targets, over all hosts; the rate comes from the configuration.
     pub cold: ColdStartLimits,
-    /// Time after which a key that was taken away serves nowhere, where that is asked for.
+    /// Time after which a revoked key works on no host, if that is required.
     pub revoke: Option<Duration>,
-    /// Bound on the requests of a workspace, over all hosts; its rate comes with the configuration.
+    /// Tolerances of workspaces' rate limits, over all hosts; the rates come from the
+    /// configuration.
     pub limit: RateLimitConfig,
 }
 
-/// Checked settings.
+/// Checked settings of a host.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of this host.
@@ -70,27 +71,27 @@
     pub region: Arc<str>,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Its addresses.
+    /// Its listen addresses.
     pub listen: Listen,
     /// The store's address.
     pub store: SocketAddr,
     /// Whether no host of the deployment ran before.
     pub first_start: bool,
-    /// Connections that the process may hold, from its limit on open files.
+    /// Limits on connections, from the limit on open files.
     pub connections: ConnectionLimits,
-    /// Part of a core that the process may use.
+    /// Processor limit of the process, in cores.
     pub processor: f64,
-    /// Memory that the process may use, in bytes.
+    /// Memory limit of the process, in bytes.
     pub memory: u64,
-    /// What may change while the host runs.
+    /// Settings that can be reloaded while the host runs.
     pub reloadable: ReloadableSettings,
 }
 
-/// Checks the text of a settings file.
+/// Parses and checks the text of a settings file.
 ///
 /// # Errors
 ///
-/// Every mistake of the file, with its key and the mend.
+/// All mistakes of the file, each with its key and how to correct it.
 pub fn parse(text: &str) -> anyhow::Result<Settings> {
     let raw: EdgeSettings = toml::from_str(text)?;
     let mut check = Check::default();
@@ -156,8 +157,8 @@
 }
 
 impl Settings {
-    /// Keys that differ in another reading of the file and that a running host cannot take up: its
-    /// identity, and the addresses that it has bound.
+    /// Returns the keys whose values differ in `other` and take effect only after a restart: the
+    /// host's identity, and the addresses that it has bound.
     pub fn restart_changes(&self, other: &Settings) -> Vec<&'static str> {
         let changed = [
             ("name", self.name != other.name),
@@ -206,7 +207,7 @@
     rules
 }
 
-/// Findings of one file.
+/// Mistakes found in one file.
 #[derive(Debug, Default)]
 struct Check {
     mistakes: Vec<String>,
@@ -256,7 +257,7 @@
     }
 }
 
-/// Parses a time: a number, then `ms` or `s`.
+/// Parses a duration: a number followed by `ms` or `s`.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 0.001),
--- a/crates/edge/src/trace/line_budget.rs
+++ b/crates/edge/src/trace/line_budget.rs
@@ -1,22 +1,22 @@
-//! How many lines a second are written.
+//! Limits the number of log lines a second.
 
 use std::{cell::Cell, time::Duration};
 
-/// Length of the span that a budget covers.
+/// Period that a budget covers.
 const WINDOW: Duration = Duration::from_secs(1);
 
 /// Whether a line is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineDecision {
-    /// It is.
+    /// The line is written.
     Yes,
-    /// It is, and this many before it were left out.
+    /// The line is written, and this many before it were dropped.
     After(u32),
-    /// It is left out.
+    /// The line is dropped.
     No,
 }
 
-/// Budget of lines of one kind.
+/// Budget for lines of one kind.
 #[derive(Debug)]
 pub struct LineBudget {
     max_lines: u32,
@@ -26,7 +26,7 @@
 }
 
 impl LineBudget {
-    /// Opens a budget of `most` lines a second.
+    /// Creates a budget of `max_lines` lines a second.
     pub fn open(max_lines: u32) -> LineBudget {
         LineBudget {
             max_lines,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Asks for one line.
+    /// Requests one line.
     pub fn request(&self, now: Duration) -> LineDecision {
         if now >= self.window_start.get() + WINDOW {
             self.window_start.set(now);
--- a/crates/edge/src/trace/mod.rs
+++ b/crates/edge/src/trace/mod.rs
@@ -1,9 +1,9 @@
-//! Structured log lines, bounded in number.
+//! Structured log lines, limited in number.
 //!
-//! Each line has `event` and the inputs that decided. Lines about requests have a budget a second
-//! for each kind; what goes beyond it is counted and told, so that a reader knows that lines are
-//! missing. Lines about failures have a budget of their own, which neither successes nor refusals before
-//! a target was asked can use up.
+//! Each line has an `event` and the inputs of the decision. Lines about requests have a budget a
+//! second for each kind; dropped lines are counted and reported, so that a reader knows that lines
+//! are missing. Lines about failures have a budget of their own, which neither successes nor
+//! refusals before a target was asked can use up.
 
 mod line_budget;
 mod outcome;
@@ -19,10 +19,10 @@
     replica::View,
 };
 
-/// Names in one line; a failure domain holds a few dozen targets.
+/// Largest number of names in one line; a failure domain has a few dozen targets.
 const MAX_NAMES: usize = 40;
 
-/// Tells how a new view differs from the one before.
+/// Logs how a new view differs from the previous one.
 pub fn log_view_change(before: &View, after: &View) {
     let version = |view: &View| view.config.as_ref().map(|c| c.version);
     if version(before) != version(after) {
@@ -45,7 +45,7 @@
     view.hosts.keys().cloned().collect()
 }
 
-/// Targets that may get work.
+/// Returns the ids of targets that may receive requests.
 fn targets(view: &View) -> BTreeSet<Arc<str>> {
     let all = view.services.values().flatten();
     all.map(|known| Arc::clone(&known.target.id)).collect()
@@ -71,7 +71,7 @@
     );
 }
 
-/// Tells what is wrong with the workspaces of a configuration that is taken in.
+/// Logs problems with the workspaces of a new configuration.
 pub fn log_config_warnings(config: &Config, keys: &KeyIndex) {
     let shared = keys.shared(&config.workspaces);
     if !shared.is_empty() {
--- a/crates/edge/src/trace/outcome.rs
+++ b/crates/edge/src/trace/outcome.rs
@@ -1,32 +1,32 @@
-//! How a request ends.
+//! Outcomes of requests.
 
-/// How a request ended, as log lines and metrics name it.
+/// Outcome of a request, as log lines and metrics name it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A target's whole answer.
+    /// A target returned a complete response.
     Answered,
-    /// A target's whole answer that says that it failed.
+    /// A target returned a complete response that reports a failure.
     FailedAtTarget,
-    /// Not run, and never will be.
+    /// Refused: the request has not run and never will.
     Refused,
-    /// Not run and never will be: its workspace is at its limit.
+    /// Not run and never will be: its workspace is at its rate limit.
     Limited,
-    /// Sent, and no whole answer came back.
+    /// Sent, and no complete response came back; it is unknown whether it ran.
     Lost,
-    /// Sent, and no answer came back in time.
+    /// Sent, and timed out.
     Late,
-    /// No route of the configuration in force.
+    /// No route of the active configuration matches.
     NoRoute,
-    /// No known key.
+    /// The caller sent no known key.
     Unauthorized,
-    /// A body above the limit.
+    /// The body is above the limit.
     BodyTooLarge,
-    /// A body that broke off or cannot be read.
+    /// The body is truncated or cannot be read.
     BodyUnreadable,
 }
 
 impl Outcome {
-    /// All of them.
+    /// All outcomes.
     pub const ALL: [Outcome; 10] = [
         Outcome::Answered,
         Outcome::FailedAtTarget,
@@ -40,7 +40,7 @@
         Outcome::BodyUnreadable,
     ];
 
-    /// Its name.
+    /// Returns the name in log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Answered => "answered",
