--- a/crates/edge/src/front/caller_stream.rs
+++ b/crates/edge/src/front/caller_stream.rs
@@ -100,11 +100,11 @@
         ReadPause(self.clone())
     }
 
-    /// Passes the bytes that were read ahead and not parsed yet to `parse_ahead`, which returns how
+    /// Passes the bytes that were read ahead and not parsed yet to `parse`, which returns how
     /// many of them it used.
-    pub(super) fn parse_ahead(&self, parse_ahead: impl FnOnce(&[u8]) -> usize) -> bool {
+    pub(super) fn parse_ahead(&self, parse: impl FnOnce(&[u8]) -> usize) -> bool {
         let inner = &mut *self.0.borrow_mut();
-        let used = parse_ahead(&inner.buffer[inner.parsed..]);
+        let used = parse(&inner.buffer[inner.parsed..]);
         inner.parsed += used;
         used > 0
     }
--- a/crates/edge/src/front/pipeline.rs
+++ b/crates/edge/src/front/pipeline.rs
@@ -115,13 +115,13 @@
             tokio::task::spawn_local(
                 async move { running.answer(head, None, Duration::ZERO).await },
             );
-        let (front, started) = (Rc::clone(front), Arc::clone(&id));
+        let (front, request_id) = (Rc::clone(front), Arc::clone(&id));
         let started = PipelinedRequest {
             method,
             target,
             task: Some(task),
             front,
-            id: started,
+            id: request_id,
         };
         self.started.borrow_mut().insert(id, started);
         length
--- a/crates/edge/src/front/request.rs
+++ b/crates/edge/src/front/request.rs
@@ -364,13 +364,13 @@
             return Some(state.give_up("the retry budget is spent", MIN_BACKOFF));
         }
         state.set_spent(true);
-        let tried = self.attempt(access, &selected, outbound).await;
+        let result = self.attempt(access, &selected, outbound).await;
         let may_have_run = !matches!(
-            tried,
+            result,
             AttemptResult::Rerouted | AttemptResult::NotSent(_) | AttemptResult::NotRun(_)
         );
         state.set_spent(may_have_run || state.may_have_run);
-        self.after_attempt(route, &selected, outbound, state, tried)
+        self.after_attempt(route, &selected, outbound, state, result)
     }
 
     /// Updates the state after an attempt, and returns the result if the request is complete.
@@ -380,14 +380,14 @@
         selected: &SelectedTarget,
         outbound: &OutboundRequest,
         state: &mut RetryState,
-        tried: AttemptResult,
+        result: AttemptResult,
     ) -> Option<RequestEnd> {
         let target = &selected.handle.target;
-        if !matches!(tried, AttemptResult::Answered(_) | AttemptResult::Rerouted) {
+        if !matches!(result, AttemptResult::Answered(_) | AttemptResult::Rerouted) {
             state.tried.insert(Arc::clone(&target.id));
         }
-        let is_shed = matches!(tried, AttemptResult::NotRun(_));
-        let cause = match tried {
+        let is_shed = matches!(result, AttemptResult::NotRun(_));
+        let cause = match result {
             AttemptResult::Answered(response) => return Some(answered(response)),
             AttemptResult::TimedOut => return Some(late()),
             AttemptResult::Rerouted => return None,
--- a/crates/edge/src/front/request_log.rs
+++ b/crates/edge/src/front/request_log.rs
@@ -120,7 +120,7 @@
             rank = self.rank, busy = self.busy, slots = self.slots,
             load_age_ms = millis(self.load_age), left_ms = millis(self.time_left),
             change = self.change, belief_age_ms = millis(self.belief_age),
-            status = end.response.status().as_u16(), time_ms = millis(time); "answered at the first attempt"
+            status = end.response.status().as_u16(), time_ms = millis(time); "answered"
         );
     }
 }
@@ -134,8 +134,7 @@
     ///
     /// The line about a request that is not idempotent is written at once: if this host is killed,
     /// operators will want to know whether the request was sent. Other lines wait for the end of
-    /// the request; if its first attempt succeeds, as nearly all do, attempt and end share one
-    /// line.
+    /// the request; an attempt that succeeds, as nearly all do, shares one line with the end.
     pub(super) fn log_sent(
         &self,
         access: &Access,
--- a/crates/edge/src/front/select.rs
+++ b/crates/edge/src/front/select.rs
@@ -57,10 +57,10 @@
 /// stay, and a change of weights moves only the difference.
 pub(super) fn pick_service(route: &Route, affinity_hash: u64) -> Option<&Arc<str>> {
     let total: f64 = route.parts.iter().map(|p| p.weight).sum();
-    let mut hash = to_unit_f64(mix64(affinity_hash)) * total;
+    let mut offset = to_unit_f64(mix64(affinity_hash)) * total;
     for part in &route.parts {
-        hash -= part.weight;
-        if hash < 0.0 {
+        offset -= part.weight;
+        if offset < 0.0 {
             return Some(&part.service);
         }
     }
--- a/crates/edge/src/front/tokens.rs
+++ b/crates/edge/src/front/tokens.rs
@@ -69,7 +69,7 @@
     pending: TokenRequest,
     waiters: Vec<oneshot::Sender<()>>,
     /// The last grants by workspace, kept until the waiting requests have read them.
-    grant: Rc<BTreeMap<Arc<str>, TokenGrant>>,
+    grants: Rc<BTreeMap<Arc<str>, TokenGrant>>,
 }
 
 /// Tokens of one workspace.
@@ -116,8 +116,8 @@
     fn drop(&mut self) {
         if !self.spent.get() {
             let mut tokens = self.front.tokens.borrow_mut();
-            if let Some(held) = tokens.workspaces.get_mut(&self.workspace) {
-                held.cache.return_token(self.expires_at);
+            if let Some(cached) = tokens.workspaces.get_mut(&self.workspace) {
+                cached.cache.return_token(self.expires_at);
             }
         }
     }
@@ -132,7 +132,7 @@
     ) -> Result<Token, NoToken> {
         let rules = self.shared.reloadable.load().limit;
         let name = &workspace.name;
-        self.with_workspace(name, |held| held.cache.record_demand(since_boot()));
+        self.with_workspace(name, |cached| cached.cache.record_demand(since_boot()));
         if let Some(token) = self.cached_token(name) {
             return Ok(token);
         }
@@ -173,7 +173,7 @@
         let now = since_boot();
         let host = view.limit_owners.owner(share, name, now)?;
         let exhausted_until =
-            self.with_workspace(name, |held| held.exhausted.get(&host.peers).copied());
+            self.with_workspace(name, |cached| cached.exhausted.get(&host.peers).copied());
         if let Some(exhausted_until) =
             exhausted_until.filter(|exhausted_until| now < *exhausted_until)
         {
@@ -182,20 +182,20 @@
                 retry_after: exhausted_until - now,
             });
         }
-        let want = self.with_workspace(name, |held| {
-            held.cache.refill_size(rules, held.is_scarce(now), now)
+        let want = self.with_workspace(name, |cached| {
+            cached.cache.refill_size(rules, cached.is_scarce(now), now)
         });
-        self.grant(host, name, want).await
+        self.request_grant(host, name, want).await
     }
 
     /// Returns a host's grant for a workspace; `None` if it does not answer or is not the owner.
-    async fn grant(
+    async fn request_grant(
         self: &Rc<Front>,
         host: &Arc<HostEntry>,
         name: &Arc<str>,
         want: u32,
     ) -> Option<TokenGrant> {
-        let (tell, told) = oneshot::channel();
+        let (notify, notified) = oneshot::channel();
         let is_idle = {
             let mut tokens = self.tokens.borrow_mut();
             let owner = tokens.owners.entry(host.peers).or_default();
@@ -204,16 +204,16 @@
             }
             let pending = owner.pending.wants.entry(Arc::clone(name)).or_default();
             *pending = (*pending + 1).max(want);
-            owner.waiters.push(tell);
+            owner.waiters.push(notify);
             !std::mem::replace(&mut owner.in_flight, true)
         };
         if is_idle {
             let (front, host) = (Rc::clone(self), Arc::clone(host));
             tokio::task::spawn_local(async move { front.run_requests(&host).await });
         }
-        told.await.ok()?;
+        notified.await.ok()?;
         let tokens = self.tokens.borrow();
-        tokens.owners.get(&host.peers)?.grant.get(name).copied()
+        tokens.owners.get(&host.peers)?.grants.get(name).copied()
     }
 
     /// Sends requests to a host until no more tokens are wanted from it.
@@ -232,11 +232,11 @@
                 )
             };
             let sent = since_boot();
-            let grant = self.call_owner(host, &request).await;
-            self.record_grants(host, grant, sent);
-            for tell in waiters {
+            let grants = self.call_owner(host, &request).await;
+            self.record_grants(host, grants, sent);
+            for waiter in waiters {
                 // A request whose caller disconnected no longer waits.
-                let _ = tell.send(());
+                let _ = waiter.send(());
             }
         }
     }
@@ -278,32 +278,34 @@
     fn record_grants(
         &self,
         host: &HostEntry,
-        grant: Result<BTreeMap<Arc<str>, TokenGrant>, Duration>,
+        grants: Result<BTreeMap<Arc<str>, TokenGrant>, Duration>,
         sent: Duration,
     ) {
         let rules = self.shared.reloadable.load().limit;
         let mut tokens = self.tokens.borrow_mut();
         let Tokens { workspaces, owners } = &mut *tokens;
         let owner = owners.entry(host.peers).or_default();
-        let grant = grant.unwrap_or_else(|time| {
+        let grants = grants.unwrap_or_else(|time| {
             owner.backoff_until = since_boot() + time;
             BTreeMap::new()
         });
-        for (name, grant) in &grant {
-            let held = workspaces.entry(Arc::clone(name)).or_default();
-            held.cache.add(grant.count, sent, &rules);
+        for (name, grant) in &grants {
+            let cached = workspaces.entry(Arc::clone(name)).or_default();
+            cached.cache.add(grant.count, sent, &rules);
             if grant.count == 0 {
-                let pause = grant
+                let exhausted_time = grant
                     .retry_after
                     .clamp(MIN_EXHAUSTED_TIME, MAX_EXHAUSTED_TIME);
-                held.exhausted.insert(host.peers, since_boot() + pause);
+                cached
+                    .exhausted
+                    .insert(host.peers, since_boot() + exhausted_time);
             }
         }
-        owner.grant = Rc::new(grant);
+        owner.grants = Rc::new(grants);
     }
 
     fn cached_token(self: &Rc<Front>, name: &Arc<str>) -> Option<Token> {
-        let expires_at = self.with_workspace(name, |held| held.cache.take(since_boot()))?;
+        let expires_at = self.with_workspace(name, |cached| cached.cache.take(since_boot()))?;
         Some(Token {
             front: Rc::clone(self),
             workspace: Arc::clone(name),
--- a/crates/edge/src/limits/owners.rs
+++ b/crates/edge/src/limits/owners.rs
@@ -123,9 +123,7 @@
     /// Whether a host owns a limit share and may grant tokens of it.
     pub fn may_grant(&self, me: &str, workspace: &str, now: Duration) -> bool {
         let owned = self.owned(me, workspace, now);
-        owned.is_some_and(|(owner_of, members)| {
-            !owner_of.is_joining(now) || is_mass_join(members, now)
-        })
+        owned.is_some_and(|(owner, members)| !owner.is_joining(now) || is_mass_join(members, now))
     }
 
     /// Returns since when the owners are the same: the last change of the list plus
@@ -137,8 +135,8 @@
     fn owned(&self, me: &str, workspace: &str, now: Duration) -> Option<(&Member, &[Member])> {
         let mut all = self.shares.values();
         let members = all.find(|members| members.iter().any(|m| &*m.entry.name == me))?;
-        let owner_of = owner_of(members, workspace, now)?;
-        (&*owner_of.entry.name == me).then_some((owner_of, members))
+        let owner = owner_of(members, workspace, now)?;
+        (&*owner.entry.name == me).then_some((owner, members))
     }
 
     /// Returns the hosts by name, independent of their limit shares.
@@ -176,6 +174,6 @@
 }
 
 fn is_mass_join(members: &[Member], now: Duration) -> bool {
-    let joined_at = members.iter().filter(|m| m.is_joining(now)).count();
-    joined_at as f64 >= members.len() as f64 * MASS_JOIN_FRACTION
+    let joining = members.iter().filter(|m| m.is_joining(now)).count();
+    joining as f64 >= members.len() as f64 * MASS_JOIN_FRACTION
 }
--- a/crates/edge/src/replica/config_history.rs
+++ b/crates/edge/src/replica/config_history.rs
@@ -82,11 +82,11 @@
         if config.version <= self.number() {
             return false;
         }
-        let patch_between = self
+        let packed_patch = self
             .current
             .as_ref()
             .and_then(|current| patch_between(current, config));
-        self.advance(Arc::clone(config), patch_between);
+        self.advance(Arc::clone(config), packed_patch);
         true
     }
 
@@ -124,12 +124,12 @@
         if let Some(first) = self
             .patches
             .iter()
-            .position(|patch_between| patch_between.from == held)
+            .position(|packed_patch| packed_patch.from == held)
         {
             let patches = self.patches.iter().skip(first);
             return Ok(Some(ConfigUpdate::Steps(
                 patches
-                    .map(|patch_between| patch_between.packed.clone())
+                    .map(|packed_patch| packed_patch.packed.clone())
                     .collect(),
             )));
         }
@@ -153,17 +153,17 @@
             held: self.number(),
         };
         let config = patch.apply(self.current.as_ref().ok_or(mismatch)?)?;
-        let patch_between = PackedPatch {
+        let packed_patch = PackedPatch {
             from: patch.from,
             packed: packed.clone(),
         };
-        self.advance(Arc::new(config), Some(patch_between));
+        self.advance(Arc::new(config), Some(packed_patch));
         Ok(())
     }
 
-    fn advance(&mut self, config: Arc<Config>, patch_between: Option<PackedPatch>) {
-        match patch_between {
-            Some(patch_between) => self.patches.push_back(patch_between),
+    fn advance(&mut self, config: Arc<Config>, packed_patch: Option<PackedPatch>) {
+        match packed_patch {
+            Some(packed_patch) => self.patches.push_back(packed_patch),
             None => self.patches.clear(),
         }
         if self.patches.len() > MAX_PATCHES {
--- a/crates/edge/src/replica/deferred.rs
+++ b/crates/edge/src/replica/deferred.rs
@@ -45,8 +45,8 @@
 
     /// Returns when the next deferred removal is due.
     pub fn next_deferred(&self) -> Option<Duration> {
-        let endings = self.items.values().filter_map(|stored| stored.pending);
-        endings.map(|pending| pending.due_at).min()
+        let pending = self.items.values().filter_map(|stored| stored.pending);
+        pending.map(|pending| pending.due_at).min()
     }
 
     /// Applies removals that are due; returns whether there were any. Followers received them as
