--- a/crates/edge/src/control/mod.rs
+++ b/crates/edge/src/control/mod.rs
@@ -1,11 +1,11 @@
-//! The control duty: follows the store, announces this host, serves other hosts and look-ups.
+//! Control thread: follows the store, announces this host, and serves other hosts and look-ups.
 
 mod announce;
 mod changes;
+mod deferred;
 mod follow;
-mod settle;
-mod spread;
 mod tokens;
+mod tree;
 
 use std::{net::TcpListener, sync::Arc, thread::JoinHandle, time::Duration};
 
@@ -13,32 +13,32 @@
 use tokio::{runtime::Builder, sync::watch};
 use viz::{Router, Tree};
 
-pub(crate) use self::tokens::{TOKEN_BYTES, ask_tokens};
+pub(crate) use self::tokens::{MAX_TOKEN_BYTES, ask_tokens};
 pub use self::{
     changes::{LONG_POLL_TIME, STALE_AGE, long_poll_time},
     follow::{READER_POLL_INTERVAL, may_have_expired},
-    spread::{FAN_OUT, STORE_READERS, TreePosition, tree_position},
+    tree::{FAN_OUT, STORE_READERS, TreePosition, tree_position},
 };
 use crate::{
     host::{Phase, Shared},
     lookup, meters,
 };
 
-/// Parts of the connections that the duty may serve. Callers ask a look-up every few seconds and keep
-/// no connection for it; other hosts keep theirs, and a few ask each host; whoever asks for readiness
-/// or metrics does so every second at most.
-const LOOKUP_PART: f64 = 0.6;
-const PEERS_PART: f64 = 0.2;
-const READY_PART: f64 = 0.1;
-const METRICS_PART: f64 = 0.1;
+/// Fractions of the control connections for each listener. Callers look up hosts every few seconds
+/// and keep no connection for it; other hosts keep theirs, and a few ask each host; readiness and
+/// metrics are requested at most every second.
+const LOOKUP_FRACTION: f64 = 0.6;
+const PEERS_FRACTION: f64 = 0.2;
+const READY_FRACTION: f64 = 0.1;
+const METRICS_FRACTION: f64 = 0.1;
 
-/// Largest head, in bytes.
-const HEADER_BYTES: usize = 16 << 10;
+/// Largest request head, in bytes.
+const MAX_HEADER_BYTES: usize = 16 << 10;
 
-/// Time a head may take.
-const HEADER_TIME: Duration = Duration::from_secs(10);
+/// Timeout for reading a request head.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Bound listeners of the duty.
+/// Bound listeners of the control thread.
 #[derive(Debug)]
 pub struct Listeners {
     /// Look-ups.
@@ -51,7 +51,7 @@
     pub metrics: Option<TcpListener>,
 }
 
-/// Spawns the duty; it ends in the phase [`Phase::Stopped`].
+/// Spawns the control thread; it ends in the phase [`Phase::Stopped`].
 pub fn spawn(shared: Arc<Shared>, listeners: Listeners) -> anyhow::Result<JoinHandle<()>> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let thread = std::thread::Builder::new().name("control".to_owned());
@@ -60,24 +60,24 @@
 
 async fn run(shared: Arc<Shared>, listeners: Listeners) {
     let (stop, stopped) = watch::channel(false);
-    let most = shared.settings.connections.control;
-    let open = |listener: TcpListener, router: Router, part: f64| {
-        let connections = (f64::from(most) * part).ceil() as usize;
+    let max = shared.settings.connections.control;
+    let open = |listener: TcpListener, router: Router, fraction: f64| {
+        let connections = (f64::from(max) * fraction).ceil() as usize;
         tokio::spawn(listen(listener, router, connections, stopped.clone()));
     };
-    open(listeners.lookup, lookup::router(&shared), LOOKUP_PART);
-    open(listeners.peers, changes::router(&shared), PEERS_PART);
+    open(listeners.lookup, lookup::router(&shared), LOOKUP_FRACTION);
+    open(listeners.peers, changes::router(&shared), PEERS_FRACTION);
     if let Some(listener) = listeners.ready {
-        open(listener, lookup::readiness(&shared), READY_PART);
+        open(listener, lookup::readiness(&shared), READY_FRACTION);
     }
     if let Some(listener) = listeners.metrics {
-        open(listener, meters::router(&shared), METRICS_PART);
+        open(listener, meters::router(&shared), METRICS_FRACTION);
     }
     tokio::spawn(follow::follow(Arc::clone(&shared)));
-    tokio::spawn(settle::settle(Arc::clone(&shared)));
+    tokio::spawn(deferred::apply_when_due(Arc::clone(&shared)));
     let announcer = tokio::spawn(announce::announce(Arc::clone(&shared)));
     let mut phase = shared.phase.subscribe();
-    // The sender is in `shared`, which this duty holds.
+    // The sender is in `shared`, which this thread holds.
     let _ = phase.wait_for(|phase| *phase == Phase::Stopped).await;
     announcer.abort();
     stop.send_replace(true);
@@ -92,14 +92,14 @@
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(e) => {
-            log::error!(target: "host", error:% = e; "a listener cannot be used");
+            log::error!(target: "host", error:% = e; "cannot use a listener");
             return;
         }
     };
     let limits = ConnectionLimits {
         connections,
-        header_bytes: HEADER_BYTES,
-        header_time: HEADER_TIME,
+        header_bytes: MAX_HEADER_BYTES,
+        header_time: HEADER_TIMEOUT,
     };
     let Ok(()) = serve(listener, Arc::new(Tree::from(router)), limits, stop).await;
 }
--- /dev/null
+++ b/crates/edge/src/front/access.rs
@@ -0,0 +1,138 @@
+//! Access of a request under the active configuration: its route, its workspace, and the regions in
+//! which it may run.
+
+use std::{sync::Arc, time::Duration};
+
+use http::{HeaderMap, Uri};
+
+use super::{Front, select};
+use crate::{
+    model::{Credentials, Route, Workspace},
+    replica::View,
+};
+
+/// Greatest age of the replica at which an unknown key is rejected as unknown. A key that was just
+/// added is known at most this late.
+const MAX_UNKNOWN_KEY_AGE: Duration = Duration::from_millis(1600);
+
+/// The route and workspace that a request is authorized for.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct Access {
+    pub(super) route: Arc<Route>,
+    /// Workspace of the caller, if it is authenticated.
+    pub(super) workspace: Option<Arc<Workspace>>,
+    /// Whether the configuration has workspaces, so that callers' credentials are checked here and
+    /// not shown to targets.
+    pub(super) requires_key: bool,
+}
+
+impl Access {
+    /// Whether the request may run in a region: the allowed regions of its route and of its
+    /// workspace both apply.
+    pub(super) fn allows(&self, region: &Arc<str>) -> bool {
+        let workspace = self.workspace.iter().map(|w| &w.homes);
+        let mut homes = workspace.chain([&self.route.homes]);
+        homes.all(|homes| homes.is_empty() || homes.contains(region))
+    }
+
+    /// Priority of the request; 0 is the highest. A workspace's priority takes precedence over its
+    /// route's.
+    pub(super) fn priority(&self) -> u8 {
+        let workspace = self.workspace.as_ref().and_then(|w| w.rank);
+        workspace.unwrap_or(self.route.priority)
+    }
+
+    /// Whether no region is allowed by both the route and the workspace.
+    pub(super) fn has_no_region(&self) -> bool {
+        let mut homes = self.route.homes.iter();
+        !self.route.homes.is_empty() && !homes.any(|region| self.allows(region))
+    }
+}
+
+/// Freshness of the replica. Must be read before the view that it is used with: a view that is read
+/// first may be replaced, and its successor confirmed, in between.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct KeyFreshness {
+    /// Time since the store last confirmed the replica.
+    age: Duration,
+    /// Whether the known keys are fresh enough to serve callers by.
+    is_fresh: bool,
+}
+
+/// Why a request is denied access.
+#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(thiserror::Error)]
+pub(super) enum AccessError {
+    /// No configuration is known.
+    #[error("no configuration is known yet")]
+    NoConfig,
+    /// No route matches.
+    #[error("no route")]
+    NoRoute,
+    /// Keys may have been revoked or added since the replica was confirmed.
+    #[error("what is known of keys is {} ms old", age.as_millis())]
+    StaleKeys {
+        /// Age of the replica.
+        age: Duration,
+    },
+    /// The caller sent no key.
+    #[error("no key")]
+    MissingKey,
+    /// The caller sent something other than a key.
+    #[error("unreadable credentials")]
+    MalformedKey,
+    /// No workspace has this key.
+    #[error("unknown key, by version {version}")]
+    UnknownKey {
+        /// Version of the configuration.
+        version: u64,
+    },
+}
+
+impl Front {
+    /// Returns the current freshness of the replica.
+    pub(super) fn key_freshness(&self) -> KeyFreshness {
+        KeyFreshness {
+            is_fresh: self.shared.keys_are_fresh(),
+            age: self.shared.age(),
+        }
+    }
+
+    /// Determines the access of a request under a view.
+    pub(super) fn authorize(
+        &self,
+        view: &View,
+        freshness: KeyFreshness,
+        headers: &HeaderMap,
+        uri: &Uri,
+        credentials: Credentials,
+    ) -> Result<Access, AccessError> {
+        let config = view.config.as_ref().ok_or(AccessError::NoConfig)?;
+        let route = select::route(view, headers, uri).ok_or(AccessError::NoRoute)?;
+        let requires_key = !config.workspaces.is_empty();
+        let workspace = match credentials {
+            _ if !requires_key => None,
+            Credentials::Missing if route.open => None,
+            _ if !freshness.is_fresh => return Err(AccessError::StaleKeys { age: freshness.age }),
+            Credentials::Missing => return Err(AccessError::MissingKey),
+            Credentials::Malformed => return Err(AccessError::MalformedKey),
+            Credentials::Key(key) => {
+                let workspace = view.keys.find(key).map(Arc::clone);
+                Some(workspace.ok_or_else(|| unknown_key(config.version, freshness))?)
+            }
+        };
+        Ok(Access {
+            route: Arc::clone(route),
+            workspace,
+            requires_key,
+        })
+    }
+}
+
+/// Returns the error for an unknown key: it may have been added since the replica was confirmed.
+fn unknown_key(version: u64, freshness: KeyFreshness) -> AccessError {
+    if freshness.age > MAX_UNKNOWN_KEY_AGE {
+        return AccessError::StaleKeys { age: freshness.age };
+    }
+    AccessError::UnknownKey { version }
+}
--- /dev/null
+++ b/crates/edge/src/front/caller_stream.rs
@@ -0,0 +1,248 @@
+//! A caller's connection that reads ahead, to detect at once that the caller disconnected and to
+//! see pipelined requests early.
+//!
+//! A caller that sends further requests before the first is answered leaves bytes unread, and
+//! behind unread bytes the HTTP library does not see the end of the connection: targets would keep
+//! working for a caller that is gone. So the bytes are read ahead into a bounded buffer, and the
+//! end behind them is seen.
+
+use std::{
+    cell::RefCell,
+    io,
+    mem::MaybeUninit,
+    pin::Pin,
+    rc::Rc,
+    task::{Context, Poll, Waker, ready},
+    time::Duration,
+};
+
+use bytes::{Buf, BytesMut};
+use socket2::SockRef;
+use tokio::{
+    io::{AsyncRead, AsyncWrite, ReadBuf},
+    net::TcpStream,
+};
+
+/// Size of the read-ahead buffer. While a caller has filled it, its disconnect is not seen; heads
+/// of pipelined requests are a few hundred bytes each.
+const MAX_READ_AHEAD: usize = 32 << 10;
+
+/// End of a request head.
+const HEAD_END: &[u8; 4] = b"\r\n\r\n";
+
+/// Size of one read.
+const READ_CHUNK: usize = 4 << 10;
+
+/// A caller's connection, shared by the HTTP library and by tasks that wait for its end.
+#[derive(Clone, Debug)]
+pub struct CallerStream(Rc<RefCell<Inner>>);
+
+#[derive(Debug)]
+struct Inner {
+    stream: TcpStream,
+    /// Bytes that were read and not yet given to the HTTP library.
+    buffer: BytesMut,
+    /// Length of the part of `buffer` that was already parsed as pipelined requests.
+    parsed: usize,
+    /// The last bytes given to the library: the end of a head may be split between two reads.
+    last_bytes: [u8; 3],
+    /// Whether reads of the library are paused; `waker` resumes them.
+    is_paused: bool,
+    waker: Option<Waker>,
+    /// Whether the caller has closed its direction, or the connection is broken.
+    is_over: bool,
+}
+
+impl CallerStream {
+    /// Wraps an accepted connection.
+    pub fn open(stream: TcpStream) -> CallerStream {
+        CallerStream(Rc::new(RefCell::new(Inner {
+            stream,
+            buffer: BytesMut::new(),
+            parsed: 0,
+            last_bytes: [0; 3],
+            is_paused: false,
+            waker: None,
+            is_over: false,
+        })))
+    }
+
+    /// Waits until more bytes were read ahead; returns false once the caller has closed the
+    /// connection. Must be polled by the task that serves the connection.
+    pub(super) async fn wait_for_more(&self) -> bool {
+        let before = self.0.borrow().buffer.len();
+        std::future::poll_fn(|cx| self.0.borrow_mut().poll_more(cx, before)).await
+    }
+
+    /// Whether the caller has already closed the connection and nothing more can be read.
+    ///
+    /// This asks the kernel. The runtime reports the end of a connection only in its next turn: if
+    /// a turn is long, a request and the disconnect arrive in the same one, and the disconnect
+    /// would be seen only after the request was sent on.
+    pub fn is_closed(&self) -> bool {
+        let mut inner = self.0.borrow_mut();
+        if !inner.is_over {
+            let mut byte = [MaybeUninit::uninit()];
+            let peeked = SockRef::from(&inner.stream).peek(&mut byte);
+            // Any error but "nothing to read yet" breaks the next read as well.
+            inner.is_over = match peeked {
+                Ok(n) => n == 0,
+                Err(e) => e.kind() != io::ErrorKind::WouldBlock,
+            };
+        }
+        inner.is_over
+    }
+
+    /// Pauses reads of the HTTP library until the guard is dropped. Bytes read ahead meanwhile
+    /// begin with the next request.
+    pub(super) fn pause_reads(&self) -> ReadPause {
+        self.0.borrow_mut().is_paused = true;
+        ReadPause(self.clone())
+    }
+
+    /// Passes the bytes that were read ahead and not parsed yet to `parse`, which returns how
+    /// many of them it used.
+    pub(super) fn parse_ahead(&self, parse: impl FnOnce(&[u8]) -> usize) -> bool {
+        let inner = &mut *self.0.borrow_mut();
+        let used = parse(&inner.buffer[inner.parsed..]);
+        inner.parsed += used;
+        used > 0
+    }
+}
+
+/// Pauses the HTTP library's reads until it is dropped.
+#[derive(Debug)]
+pub(super) struct ReadPause(CallerStream);
+
+impl Drop for ReadPause {
+    fn drop(&mut self) {
+        let mut inner = self.0.0.borrow_mut();
+        inner.is_paused = false;
+        if let Some(waker) = inner.waker.take() {
+            waker.wake();
+        }
+    }
+}
+
+impl CallerStream {
+    /// Lingering close: shuts down the sending direction, then reads and drops what still arrives
+    /// until the caller closes its direction or `time` is over. Call it once the last response is
+    /// written.
+    ///
+    /// A connection that is closed with unread bytes is reset, and the reset overtakes the
+    /// response: a caller that had already sent its next request would lose the response to the one
+    /// that ran.
+    pub(super) async fn linger(&self, time: Duration) {
+        let drained = std::future::poll_fn(|cx| {
+            // A connection that cannot be shut down is broken, which the next read reports.
+            let _ = Pin::new(&mut self.0.borrow_mut().stream).poll_shutdown(cx);
+            let mut inner = self.0.borrow_mut();
+            while !inner.is_over {
+                inner.buffer.clear();
+                inner.parsed = 0;
+                ready!(inner.poll_fill(cx));
+            }
+            Poll::Ready(())
+        });
+        // A caller that does not close in time has received its response long ago.
+        let _ = tokio::time::timeout(time, drained).await;
+    }
+}
+
+impl Inner {
+    fn poll_more(&mut self, cx: &mut Context<'_>, before: usize) -> Poll<bool> {
+        while !self.is_over {
+            if self.buffer.len() > before {
+                return Poll::Ready(true);
+            }
+            if self.buffer.len() >= MAX_READ_AHEAD {
+                return Poll::Pending;
+            }
+            ready!(self.poll_fill(cx));
+        }
+        Poll::Ready(false)
+    }
+
+    /// Returns how many bytes the library gets next: up to the end of a head, if one ends here. It
+    /// never gets a head together with the beginning of the next request, so what stays in the
+    /// buffer begins with that request.
+    fn next_len(&self) -> usize {
+        let mut window = self.last_bytes;
+        for (n, byte) in self.buffer.iter().enumerate() {
+            if [window[0], window[1], window[2], *byte] == *HEAD_END {
+                return n + 1;
+            }
+            window = [window[1], window[2], *byte];
+        }
+        self.buffer.len()
+    }
+
+    fn consume(&mut self, n: usize) {
+        for byte in &self.buffer[n.saturating_sub(self.last_bytes.len())..n] {
+            self.last_bytes = [self.last_bytes[1], self.last_bytes[2], *byte];
+        }
+        self.buffer.advance(n);
+        self.parsed = self.parsed.saturating_sub(n);
+    }
+
+    /// Reads once into the buffer; an error counts as the end.
+    fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        let mut chunk = [0; READ_CHUNK];
+        let mut buf = ReadBuf::new(&mut chunk);
+        let result = ready!(Pin::new(&mut self.stream).poll_read(cx, &mut buf));
+        self.is_over = result.is_err() || buf.filled().is_empty();
+        self.buffer.extend_from_slice(buf.filled());
+        Poll::Ready(())
+    }
+}
+
+impl AsyncRead for CallerStream {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let inner = &mut *self.0.borrow_mut();
+        if inner.is_paused {
+            inner.waker = Some(cx.waker().clone());
+            return Poll::Pending;
+        }
+        if inner.buffer.is_empty() && !inner.is_over {
+            ready!(inner.poll_fill(cx));
+        }
+        let n = buf.remaining().min(inner.next_len());
+        buf.put_slice(&inner.buffer[..n]);
+        inner.consume(n);
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl AsyncWrite for CallerStream {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.0.borrow_mut().stream).poll_write(cx, buf)
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bufs: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.0.borrow_mut().stream).poll_write_vectored(cx, bufs)
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        true
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0.borrow_mut().stream).poll_flush(cx)
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0.borrow_mut().stream).poll_shutdown(cx)
+    }
+}
--- /dev/null
+++ b/crates/edge/src/front/select.rs
@@ -0,0 +1,192 @@
+//! Selects the target of one attempt, from the view and from this host's own observations.
+
+use std::{collections::BTreeSet, rc::Rc, sync::Arc, time::Duration};
+
+use dunlinrock_decide::{
+    admit::direct::ColdStartLimits,
+    steer::{
+        affinity::{self, Candidate, Choice},
+        hash::{hash_str, mix64, to_unit_f64},
+    },
+};
+
+use http::{HeaderMap, Uri, header};
+
+use super::{Front, access::Access, targets::TargetHandle};
+use crate::{
+    model::Route,
+    replica::{KnownTarget, View},
+};
+
+/// Time after the start of the process in which a host sends single requests to cold targets. Hosts
+/// that start together know only of themselves at first, and each would take the whole rate for
+/// itself; within this time their entries are in the store and have been read back.
+const START_CAUTION_TIME: Duration = Duration::from_secs(3);
+
+/// Why no target can take a request now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum NoTarget {
+    /// No target is known in the regions that may run the request.
+    Absent,
+    /// All remaining targets are cold and have used up this host's part of their rate.
+    Cold,
+}
+
+/// A selected target, and the inputs of the decision.
+#[derive(Debug)]
+pub(super) struct SelectedTarget {
+    pub(super) handle: Rc<TargetHandle>,
+    /// Region of the target.
+    pub(super) region: Arc<str>,
+    pub(super) rank: usize,
+    pub(super) busy: u32,
+    /// Last change of the view that it was selected by.
+    pub(super) change: u64,
+}
+
+/// Hashes an affinity key together with its route, since a run on one route does not warm a target
+/// for another.
+pub(super) fn affinity_hash(route: &Route, name: Option<&str>) -> u64 {
+    match name {
+        Some(name) => mix64(hash_str(name) ^ mix64(hash_str(&route.prefix))),
+        None => rand::random(),
+    }
+}
+
+/// Picks the service of a route for an affinity hash. Keys keep their service while the weights
+/// stay, and a change of weights moves only the difference.
+pub(super) fn pick_service(route: &Route, affinity_hash: u64) -> Option<&Arc<str>> {
+    let total: f64 = route.parts.iter().map(|p| p.weight).sum();
+    let mut offset = to_unit_f64(mix64(affinity_hash)) * total;
+    for part in &route.parts {
+        offset -= part.weight;
+        if offset < 0.0 {
+            return Some(&part.service);
+        }
+    }
+    route.parts.last().map(|p| &p.service)
+}
+
+impl Front {
+    /// Selects a target of a service for an affinity hash; targets in `excluded` are left out.
+    pub(super) fn select_target(
+        &self,
+        view: &View,
+        access: &Access,
+        service: &Arc<str>,
+        affinity_hash: u64,
+        excluded: &BTreeSet<Arc<str>>,
+    ) -> Result<SelectedTarget, NoTarget> {
+        let route = &*access.route;
+        let now = self.shared.now();
+        let all = view.services.get(service).map_or(&[][..], Vec::as_slice);
+        let known: Vec<_> = all.iter().filter(|k| allows(access, k, excluded)).collect();
+        let handles: Vec<_> = known.iter().map(|k| self.targets.get(&k.target)).collect();
+        let mut candidates: Vec<_> = known
+            .iter()
+            .zip(&handles)
+            .map(|(known, handle)| self.candidate(route, known, handle, now))
+            .collect();
+        let mut rate_limited: Vec<usize> = Vec::new();
+        let hash = if route.sticky {
+            affinity_hash
+        } else {
+            rand::random()
+        };
+        while let Some(Choice { index, rank }) = pick(route, hash, &candidates, &rate_limited) {
+            let cold = known[index].cold_until > now;
+            if cold && !self.admits_cold(view, service, &handles[index], now) {
+                rate_limited.push(index);
+                candidates[index].healthy = false;
+                continue;
+            }
+            let busy = candidates[index].busy;
+            handles[index].ejection.borrow_mut().on_start(now);
+            let handle = Rc::clone(&handles[index]);
+            return Ok(SelectedTarget {
+                handle,
+                region: Arc::clone(&known[index].region),
+                rank,
+                busy,
+                change: view.change,
+            });
+        }
+        Err(if rate_limited.is_empty() {
+            NoTarget::Absent
+        } else {
+            NoTarget::Cold
+        })
+    }
+
+    fn candidate(
+        &self,
+        route: &Route,
+        known: &KnownTarget,
+        handle: &TargetHandle,
+        now: Duration,
+    ) -> Candidate {
+        let rtt = self.region_rtts.borrow().get(&known.region).copied();
+        let rtt = rtt.unwrap_or_default().as_secs_f64();
+        Candidate {
+            rtt_ratio: rtt / route.objective.as_secs_f64().max(f64::MIN_POSITIVE),
+            name_hash: handle.id_hash,
+            slots: known.target.slots,
+            is_local: known.region == self.shared.settings.region,
+            busy: handle.busy(now),
+            healthy: handle.ejection.borrow().is_usable(now),
+        }
+    }
+
+    fn admits_cold(
+        &self,
+        view: &View,
+        service: &Arc<str>,
+        handle: &TargetHandle,
+        now: Duration,
+    ) -> bool {
+        let rate = view
+            .config
+            .as_ref()
+            .and_then(|c| c.services.get(service))
+            .map(|s| s.rate);
+        let rules = ColdStartLimits {
+            rate: rate.unwrap_or_default(),
+            ..self.shared.reloadable.load().cold
+        };
+        let host_rate = rules.host_rate(self.name_hash, &view.sharer_hashes, handle.id_hash);
+        let host_rate = if now < START_CAUTION_TIME {
+            host_rate.min(1)
+        } else {
+            host_rate
+        };
+        handle.cold_limiter.borrow_mut().try_admit(host_rate, now)
+    }
+}
+
+/// Chooses among the candidates that are not rate limited.
+fn pick(
+    route: &Route,
+    hash: u64,
+    candidates: &[Candidate],
+    rate_limited: &[usize],
+) -> Option<Choice> {
+    let rules = affinity::AffinityConfig::default();
+    let choice = match route.sticky {
+        true => affinity::choose_affine(hash, candidates, &rules)?,
+        false => affinity::choose_least_loaded(hash, candidates, &rules)?,
+    };
+    // If no healthy candidate is left, the choice may fall on a rate-limited one.
+    (!rate_limited.contains(&choice.index)).then_some(choice)
+}
+
+fn allows(access: &Access, known: &KnownTarget, excluded: &BTreeSet<Arc<str>>) -> bool {
+    access.allows(&known.region) && !excluded.contains(&known.target.id)
+}
+
+/// Returns the route of a request.
+pub(super) fn route<'a>(view: &'a View, headers: &HeaderMap, uri: &Uri) -> Option<&'a Arc<Route>> {
+    let host = headers.get(header::HOST).and_then(|v| v.to_str().ok());
+    let host = host.or_else(|| uri.host()).unwrap_or_default();
+    let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
+    view.routes.find(name, uri.path())
+}
--- /dev/null
+++ b/crates/edge/src/front/targets.rs
@@ -0,0 +1,170 @@
+//! What this host knows about each target from its own exchanges.
+
+use std::{
+    cell::{Cell, RefCell},
+    collections::{BTreeMap, BTreeSet},
+    rc::Rc,
+    sync::Arc,
+    time::Duration,
+};
+
+use dunlinrock_decide::{
+    admit::direct::{ColdStartLimiter, Ejection},
+    steer::hash,
+};
+
+use tokio::sync::Notify;
+
+use super::{connection::TargetConnection, idle::IdleConnection};
+use crate::{
+    model::{ReportedLoad, Target},
+    replica::View,
+};
+
+/// Idle connections kept to one target: as many as it has slots are used at a time, and each saves
+/// the target an accept.
+const MAX_IDLE_PER_TARGET: usize = 12;
+
+/// Time over which a reported load decays to nothing. Runs take some hundred milliseconds, after
+/// which others have begun.
+const LOAD_DECAY_TIME: Duration = Duration::from_secs(1);
+
+/// State of one target as this host sees it.
+#[derive(Debug)]
+pub(super) struct TargetHandle {
+    pub(super) target: Arc<Target>,
+    pub(super) id_hash: u64,
+    pub(super) ejection: RefCell<Ejection>,
+    pub(super) cold_limiter: RefCell<ColdStartLimiter>,
+    /// Notifies requests in flight at the target that it is down.
+    pub(super) down_notify: Notify,
+    /// Requests of this host in flight at the target.
+    in_flight: Cell<u32>,
+    /// Requests of other hosts in flight at the target, and when that was reported.
+    reported_load: Cell<(u32, Duration)>,
+    idle: RefCell<Vec<IdleConnection>>,
+}
+
+impl TargetHandle {
+    fn open(target: Arc<Target>) -> TargetHandle {
+        TargetHandle {
+            id_hash: hash::hash_str(&target.id),
+            target,
+            ejection: RefCell::new(Ejection::open()),
+            cold_limiter: RefCell::new(ColdStartLimiter::open()),
+            down_notify: Notify::new(),
+            in_flight: Cell::new(0),
+            reported_load: Cell::new((0, Duration::ZERO)),
+            idle: RefCell::default(),
+        }
+    }
+
+    /// Whether this is the handle of the given process of the target.
+    fn matches(&self, target: &Target) -> bool {
+        (self.target.born, self.target.address) == (target.born, target.address)
+    }
+
+    /// Returns the estimated number of requests that the target runs or queues.
+    pub(super) fn busy(&self, now: Duration) -> u32 {
+        let (reported_load, at) = self.reported_load.get();
+        let age = now.saturating_sub(at).as_secs_f64() / LOAD_DECAY_TIME.as_secs_f64();
+        let remaining = f64::from(reported_load) * (1.0 - age).max(0.0);
+        self.in_flight.get() + remaining.round() as u32
+    }
+
+    /// Returns the age of the load that the target reported last.
+    pub(super) fn load_age(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.reported_load.get().1)
+    }
+
+    /// Records the load that a response reports; the answered request still counts among this
+    /// host's own.
+    pub(super) fn record_load(&self, load: ReportedLoad, now: Duration) {
+        let in_flight = self.in_flight.get().saturating_sub(1);
+        let reported_load = (load.running + load.waiting).saturating_sub(in_flight);
+        self.reported_load.set((reported_load, now));
+    }
+
+    /// Counts a request as in flight until the guard is dropped.
+    pub(super) fn track_request(self: &Rc<TargetHandle>) -> InFlightGuard {
+        self.in_flight.set(self.in_flight.get() + 1);
+        InFlightGuard(Rc::clone(self))
+    }
+
+    /// Takes an idle connection that can be reused.
+    pub(super) fn take_idle(&self) -> Option<TargetConnection> {
+        let mut idle = self.idle.borrow_mut();
+        while let Some(idle_connection) = idle.pop() {
+            let connection = idle_connection.take();
+            if connection.is_reusable() {
+                return Some(connection);
+            }
+        }
+        None
+    }
+
+    /// Keeps a connection for the next request.
+    pub(super) fn keep_idle(&self, connection: TargetConnection) {
+        let mut idle = self.idle.borrow_mut();
+        if idle.len() < MAX_IDLE_PER_TARGET {
+            idle.extend(IdleConnection::keep(connection));
+        }
+    }
+
+    /// Closes all idle connections: a request on one to a target that is down would be lost.
+    pub(super) fn close_idle(&self) {
+        self.idle.borrow_mut().clear();
+    }
+}
+
+/// Counts a request in flight until it is dropped.
+#[derive(Debug)]
+pub(super) struct InFlightGuard(Rc<TargetHandle>);
+
+impl Drop for InFlightGuard {
+    fn drop(&mut self) {
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
+    }
+}
+
+/// Handles of all targets.
+#[derive(Debug, Default)]
+pub(super) struct TargetTable {
+    handles: RefCell<BTreeMap<Arc<str>, Rc<TargetHandle>>>,
+    /// Last change of the view that the handles were pruned for.
+    change: Cell<u64>,
+}
+
+impl TargetTable {
+    /// Returns the handle of a target's current process.
+    ///
+    /// A target that restarted under its id has lost its requests, is healthy and has no warm keys.
+    /// So nothing of its old handle applies, and idempotent requests in flight at the old process
+    /// are retried elsewhere at once.
+    pub(super) fn get(&self, target: &Arc<Target>) -> Rc<TargetHandle> {
+        let mut handles = self.handles.borrow_mut();
+        let handle = handles
+            .entry(Arc::clone(&target.id))
+            .or_insert_with(|| Rc::new(TargetHandle::open(Arc::clone(target))));
+        if !handle.matches(target) {
+            let old = std::mem::replace(handle, Rc::new(TargetHandle::open(Arc::clone(target))));
+            old.close_idle();
+            old.down_notify.notify_waiters();
+        }
+        Rc::clone(handle)
+    }
+
+    /// Removes targets that get no more requests, and closes their idle connections.
+    pub(super) fn prune(&self, view: &View) {
+        if self.change.replace(view.change) == view.change {
+            return;
+        }
+        let present: BTreeSet<_> = {
+            let present = view.services.values().flatten();
+            present.map(|k| &k.target.id).collect()
+        };
+        self.handles
+            .borrow_mut()
+            .retain(|id, _| present.contains(id));
+    }
+}
--- a/crates/edge/src/replica/mod.rs
+++ b/crates/edge/src/replica/mod.rs
@@ -1,17 +1,17 @@
-//! What a host believes: the newest revision it has seen of each item of the store.
+//! A host's replica of the store: the newest known revision of each item.
 //!
 //! Items come from the store or from other hosts, in any order and more than once. A later revision
-//! replaces an earlier one and never the other way, so that a host that changes its source does not
-//! go back: a target that left does not return, nor does an older configuration. Hosts are told of
-//! items by revision, and of the configuration by its version ([`Versions`]).
+//! replaces an earlier one and never the other way round, so a host that changes its source does
+//! not go back: neither a target that left nor an older configuration returns. Followers receive
+//! items by revision, and the configuration by its version ([`ConfigHistory`]).
 //!
-//! A removal that is held back is a change like any other: it is known, and told to others, under its
-//! revision, together with the time that is left. A host that kept it to itself and yet said that
-//! nothing is missing would leave hosts that got further elsewhere without it for good.
+//! A deferred removal is a change like any other: it is stored and sent to followers under its
+//! revision, with the remaining delay. If a host kept it to itself and yet claimed to be complete,
+//! followers that got further elsewhere would never receive it.
 
 mod changes;
-mod ending;
-mod versions;
+mod config_history;
+mod deferred;
 mod view;
 
 use std::{
@@ -22,187 +22,200 @@
 
 use dunlinrock_node::wire::CodecError;
 
-use self::ending::Pending;
+use self::deferred::PendingRemoval;
 pub use self::{
     changes::{Changes, FullKeySet},
-    versions::{ConfigHistory, ConfigUpdate, ConfigUpdateError},
+    config_history::{ConfigHistory, ConfigUpdate, ConfigUpdateError},
     view::{KnownTarget, View},
 };
 use crate::model::{Config, Entry, Item, KeyIndex, RouteIndex, Target};
 
-/// How far two words on the end of a target's cold time may differ and still say the same.
-const COLD_SWING: Duration = Duration::from_millis(700);
+/// Tolerance between two reports of the end of a target's cold time that count as equal.
+const COLD_TOLERANCE: Duration = Duration::from_millis(700);
 
-/// An item and when it was heard.
+/// An item, and when it was received.
 #[derive(Clone, Debug)]
-struct Held {
+struct StoredItem {
     item: Item,
-    heard: Duration,
-    /// Revision under which others are told of the last change that says something new.
-    said: u64,
-    /// A later removal that is held back.
-    ending: Option<Pending>,
+    received_at: Duration,
+    /// Revision under which followers receive the last effective change of the item.
+    publish_revision: u64,
+    /// A later removal that is deferred.
+    pending: Option<PendingRemoval>,
 }
 
-/// The newest items.
+/// The newest known items.
 ///
-/// Invariants: the revision held of a key never falls; every change up to `reached` is contained, be it
-/// as a removal that is held back.
+/// Invariants: the revision of a key never decreases; every change up to `synced_revision` is
+/// contained, possibly as a deferred removal.
 #[derive(Debug, Default)]
 pub struct Replica {
-    held: BTreeMap<Arc<str>, Held>,
+    items: BTreeMap<Arc<str>, StoredItem>,
     /// Number of the last change; grows with each.
-    last: u64,
-    /// Store's revision up to which nothing is missing.
-    reached: u64,
+    change_count: u64,
+    /// Store's revision up to which no change is missing.
+    synced_revision: u64,
     /// Store's revision after which every removal is known.
     since: u64,
-    /// Until when items that a reading did not name are believed in.
-    doubt: Duration,
-    /// Highest revision under which something was said.
-    said: u64,
-    /// Keys of changes that came late, until `reached` grows.
-    late: BTreeSet<Arc<str>>,
-    versions: ConfigHistory,
+    /// Until when items that a full read did not contain are kept.
+    defer_until: Duration,
+    /// Highest revision under which a change was published.
+    publish_revision: u64,
+    /// Keys of changes that came late, until `synced_revision` grows.
+    late_keys: BTreeSet<Arc<str>>,
+    config: ConfigHistory,
 }
 
 impl Replica {
-    /// Opens a world that knows nothing.
+    /// Creates an empty replica.
     pub fn open() -> Replica {
         Replica::default()
     }
 
-    /// Number of the last change.
+    /// Returns the number of the last change.
     pub fn change_count(&self) -> u64 {
-        self.last
+        self.change_count
     }
 
-    /// Store's revision up to which nothing is missing.
+    /// Returns the store's revision up to which no change is missing.
     pub fn synced_revision(&self) -> u64 {
-        self.reached
+        self.synced_revision
     }
 
-    /// Highest revision under which [`World::after`] tells something.
+    /// Returns the highest revision that [`Replica::changed_since`] reports a change for.
     pub fn publish_revision(&self) -> u64 {
-        self.said
+        self.publish_revision
     }
 
-    /// Nothing up to a revision is missing any more.
+    /// Records that no change up to a revision is missing.
     pub fn set_synced(&mut self, rev: u64) {
-        if rev <= self.reached {
+        if rev <= self.synced_revision {
             return;
         }
-        self.reached = rev;
-        for key in std::mem::take(&mut self.late) {
-            if let Some(held) = self.held.get_mut(&key) {
-                held.said = rev;
-                held.ending.iter_mut().for_each(|ending| ending.said = rev);
-                self.said = self.said.max(rev);
+        self.synced_revision = rev;
+        for key in std::mem::take(&mut self.late_keys) {
+            if let Some(stored) = self.items.get_mut(&key) {
+                stored.publish_revision = rev;
+                stored
+                    .pending
+                    .iter_mut()
+                    .for_each(|pending| pending.publish_revision = rev);
+                self.publish_revision = self.publish_revision.max(rev);
             }
         }
     }
 
-    /// The configuration in force.
+    /// Returns the active configuration.
     pub fn config(&self) -> Option<&Arc<Config>> {
-        self.versions.current()
+        self.config.current()
     }
 
-    /// Workspaces of the configuration in force, by their keys.
+    /// Returns the workspaces of the active configuration by their keys.
     pub fn keys(&self) -> &KeyIndex {
-        self.versions.keys()
+        self.config.keys()
     }
 
-    /// Its routes by host name and prefix.
+    /// Returns its routes by host name and prefix.
     pub fn routes(&self) -> &RouteIndex {
-        self.versions.routes()
+        self.config.routes()
     }
 
-    /// Number of the configuration in force; 0 where none is known.
+    /// Returns the version of the active configuration; 0 if none is known.
     pub fn version(&self) -> u64 {
-        self.versions.number()
+        self.config.number()
     }
 
-    /// What a host that holds a version of the configuration is to be told of later ones.
+    /// Returns the configuration update for a host with an older version.
     ///
     /// # Errors
     ///
-    /// When the version in force cannot be packed.
-    pub fn update_since(&mut self, held: u64) -> Result<Option<ConfigUpdate>, CodecError> {
-        self.versions.update_since(held)
+    /// When the active version cannot be packed.
+    pub fn update_since(&mut self, stored: u64) -> Result<Option<ConfigUpdate>, CodecError> {
+        self.config.update_since(stored)
     }
 
-    /// Takes in what another host tells of the configuration.
+    /// Applies a configuration update of another host.
     ///
     /// # Errors
     ///
-    /// When it cannot be read, or does not fit the version that is held.
-    pub fn apply_update(&mut self, news: &ConfigUpdate) -> Result<(), ConfigUpdateError> {
+    /// When the update cannot be read or does not fit the active version.
+    pub fn apply_update(&mut self, update: &ConfigUpdate) -> Result<(), ConfigUpdateError> {
         let before = self.version();
-        let learned = self.versions.apply_update(news);
-        self.last += u64::from(self.version() > before);
-        learned
+        let applied = self.config.apply_update(update);
+        self.change_count += u64::from(self.version() > before);
+        applied
     }
 
-    /// Takes an item in; tells whether it changes what is believed.
+    /// Applies an item; returns whether the replica changed.
     pub fn apply_item(&mut self, item: Item, now: Duration) -> bool {
         if let Some(Entry::Config(config)) = &item.entry {
-            let newer = self.versions.replace_if_newer(config);
-            self.last += u64::from(newer);
+            let newer = self.config.replace_if_newer(config);
+            self.change_count += u64::from(newer);
             return newer;
         }
-        let known = self.held.get(&item.key);
+        let known = self.items.get(&item.key);
         if known.is_some_and(|known| known.item.rev >= item.rev) {
             return false;
         }
-        let same = known.is_some_and(|known| known.says(&item, now));
-        let before = known.map_or(0, |known| known.said);
-        let ending = known.and_then(|known| known.ending);
-        let said = if same {
+        let same = known.is_some_and(|known| known.repeats(&item, now));
+        let before = known.map_or(0, |known| known.publish_revision);
+        let pending = known.and_then(|known| known.pending);
+        let publish_revision = if same {
             before
         } else {
-            self.number(&item.key, item.rev)
+            self.next_publish_revision(&item.key, item.rev)
         };
-        let held = Held {
-            heard: now,
-            said,
-            ending: ending.filter(|ending| ending.rev > item.rev),
+        let stored = StoredItem {
+            received_at: now,
+            publish_revision,
+            pending: pending.filter(|pending| pending.rev > item.rev),
             item,
         };
-        self.held.insert(Arc::clone(&held.item.key), held);
-        self.last += u64::from(!same);
+        self.items.insert(Arc::clone(&stored.item.key), stored);
+        self.change_count += u64::from(!same);
         !same
     }
 
-    /// Revision under which others are told of a change. They have been told that nothing up to `reached`
-    /// is missing, so that one which comes late is told as if it were newer; to those that have got
-    /// further elsewhere, once this host has too.
-    fn number(&mut self, key: &Arc<str>, rev: u64) -> u64 {
-        let is_late = rev <= self.reached;
+    /// Returns the revision under which followers receive a change. They were told that nothing up
+    /// to `synced_revision` is missing, so a late change is published under a newer revision;
+    /// followers that have got further elsewhere receive it once this host has too.
+    fn next_publish_revision(&mut self, key: &Arc<str>, rev: u64) -> u64 {
+        let is_late = rev <= self.synced_revision;
         if is_late {
-            self.late.insert(Arc::clone(key));
+            self.late_keys.insert(Arc::clone(key));
         }
-        let said = if is_late { self.reached + 1 } else { rev };
-        self.said = self.said.max(said);
-        said
+        let publish_revision = if is_late {
+            self.synced_revision + 1
+        } else {
+            rev
+        };
+        self.publish_revision = self.publish_revision.max(publish_revision);
+        publish_revision
     }
 
-    /// Items that are there.
+    /// Returns the items that exist.
     pub fn present_items(&self) -> impl Iterator<Item = &Item> {
-        let items = self.held.values().map(|held| &held.item);
+        let items = self.items.values().map(|stored| &stored.item);
         items.filter(|item| item.entry.is_some())
     }
 
-    /// Items that said something new after a revision, those that are gone too.
+    /// Returns the items that changed after a revision, including removed ones.
     pub fn changed_since(&self, rev: u64, now: Duration) -> Vec<Item> {
-        let newer = self.held.values().filter(|held| held.said > rev);
-        newer.map(|held| self.aged(held, now)).collect()
+        let newer = self
+            .items
+            .values()
+            .filter(|stored| stored.publish_revision > rev);
+        newer
+            .map(|stored| self.with_remaining_cold(stored, now))
+            .collect()
     }
 
-    /// A follower counts a target's cold time from when it hears of it.
-    fn aged(&self, held: &Held, now: Duration) -> Item {
-        let mut item = held.item.clone();
+    /// Returns the item with the remaining cold time: a follower counts it from when it receives
+    /// the target.
+    fn with_remaining_cold(&self, stored: &StoredItem, now: Duration) -> Item {
+        let mut item = stored.item.clone();
         if let Some(Entry::Target(target)) = &mut item.entry {
-            let passed = now.saturating_sub(held.heard);
+            let passed = now.saturating_sub(stored.received_at);
             let cold = target.cold.saturating_sub(passed);
             if cold != target.cold {
                 *target = Arc::new(Target {
@@ -224,20 +237,21 @@
     }
 }
 
-impl Held {
-    /// Whether an item says nothing new: targets repeat themselves with every heartbeat. One that was
-    /// created since is new, whatever it says: others may have heard of the removal in between; and of a
-    /// second removal, of what was there in between.
-    fn says(&self, item: &Item, now: Duration) -> bool {
+impl StoredItem {
+    /// Whether an item is no effective change: targets repeat their entries with every heartbeat.
+    /// An item that was created again since is a change, whatever it contains, since followers may
+    /// have received the removal in between; so is a second removal, since they may have received
+    /// what existed in between.
+    fn repeats(&self, item: &Item, now: Duration) -> bool {
         let is_removal = item.created == 0 && item.entry.is_none();
         if item.created > self.item.rev || is_removal {
             return false;
         }
         match (&self.item.entry, &item.entry) {
             (Some(Entry::Target(old)), Some(Entry::Target(new))) => {
-                let (was, is) = (self.heard + old.cold, now + new.cold);
+                let (was, is) = (self.received_at + old.cold, now + new.cold);
                 let still = new.cold.is_zero() && was <= now;
-                let near = still || was.abs_diff(is) < COLD_SWING;
+                let near = still || was.abs_diff(is) < COLD_TOLERANCE;
                 near && Target {
                     cold: old.cold,
                     ..Target::clone(new)
