--- a/crates/edge/tests/freshness.rs
+++ b/crates/edge/tests/freshness.rs
@@ -1,30 +1,31 @@
-//! How old what a host believes may be: random ways from the store through hosts to a host that serves keys.
+//! Age limit of a host's data: random paths from the store through hosts to a host that
+//! authenticates keys.
 
 use std::time::Duration;
 
 use dunlinrock_edge::host::{confirmed_at, max_key_age};
 use proptest::{prelude::*, test_runner::RngSeed};
 
-/// Time after which a key that was taken away serves no more.
+/// Time after which a revoked key is no longer accepted.
 const REVOKE: Duration = Duration::from_secs(5);
 
-/// A store that is about to drop its history tells waiting hosts nothing for this long.
+/// A store that is about to compact its history answers no watch for this long.
 const COMPACTION_SILENCE: Duration = Duration::from_secs(1);
 
-/// One call of a host to the one before it.
+/// A call from a host to its source.
 #[derive(Clone, Copy, Debug)]
 struct Hop {
-    /// From the last answer to this call.
+    /// Time between the last response and this call.
     pause: Duration,
-    /// On the way there, at the other host, and on the way back.
+    /// Time of the request, of the long poll at the other host, and of the response.
     outbound: Duration,
     held: Duration,
     inbound: Duration,
-    /// What the asking host does between the answer and the next step.
+    /// Time for which the calling host is suspended after the response.
     frozen: Duration,
 }
 
-/// Mostly short, as they are while nothing is wrong.
+/// Mostly short times, as in normal operation.
 fn time(max_ms: u64) -> impl Strategy<Value = Duration> {
     prop_oneof![4 => 0..max_ms.min(120), 1 => 0..max_ms].prop_map(Duration::from_millis)
 }
@@ -40,7 +41,7 @@
     })
 }
 
-/// The same cases every time.
+/// Fixed seed: the same cases in every run.
 fn settings() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(37),
@@ -53,15 +54,18 @@
 proptest! {
     #![proptest_config(settings())]
 
-    /// Answers are lost for seconds, hosts hold them back, freeze and sleep. A host that counted the age of its
-    /// word from an answer's arrival would serve a key for as long as the answer was on its way.
+    /// Guards against keys that are accepted after their revocation deadline. Responses are delayed
+    /// for seconds, and hosts hold long polls, freeze and sleep. A host that computed the age of
+    /// its data from the arrival of a response would accept a key longer by the time that the
+    /// response was under way.
     #[test]
     fn no_key_is_accepted_after_its_revocation_deadline(
         first in hop(),
         hops in proptest::collection::vec(hop(), 0..5),
         silence in time(1000),
     ) {
-        // The store answers the first host with what it held then, or up to a second before.
+        // The store answers the first host with its content at that time, or up to a second
+        // earlier.
         let start = Duration::from_secs(100);
         let sent = start + first.pause;
         let answered = sent + first.outbound;
@@ -72,18 +76,19 @@
             let sent = now + hop.pause;
             let responded = sent + hop.outbound + hop.held;
             let arrived = responded + hop.inbound;
-            // The other host goes on as it was: its age grows until it gives the answer.
+            // The other host's data ages until it sends the response.
             let age = responded - confirmed;
             confirmed = confirmed_at(sent, arrived - sent, hop.held, age);
             now = arrived + hop.frozen;
         }
-        // It serves until then, and a key may have been taken away just after what is known.
+        // The host accepts keys until then, and a key may have been revoked just after the
+        // replicated state.
         let last = confirmed + max_key_age(REVOKE);
         prop_assert!(now > last || last <= replicated + REVOKE, "{now:?} {replicated:?} {confirmed:?}");
     }
 }
 
-/// A host in touch with the store serves keys: with a hop every quarter of a second its word is young enough.
+/// A host with a source in reach accepts keys: with one hop every 250 ms its data is fresh enough.
 #[test]
 fn data_received_at_normal_intervals_is_fresh_enough() {
     let (one_way, hold) = (Duration::from_millis(40), Duration::from_millis(250));
@@ -102,7 +107,7 @@
     );
 }
 
-/// Another host that says that it held an answer for longer than the whole call took is not believed.
+/// A reported hold time that is longer than the whole call is limited to the duration of the call.
 #[test]
 fn a_hold_time_longer_than_the_call_counts_as_the_call() {
     let sent = Duration::from_secs(9);
--- a/crates/edge/tests/keys.rs
+++ b/crates/edge/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Keys and workspaces without a network: the index of keys, and the way between two versions.
+//! Keys and workspaces without a network: the key index, and patches between two versions.
 
 mod support;
 
@@ -35,7 +35,7 @@
     proptest::collection::vec(keys, 0..30)
 }
 
-/// The same cases every time.
+/// Fixed seed: the same cases in every run.
 fn settings() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(29),
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Hosts are told patches: a workspace or a key that a patch loses is one that goes on serving.
+    /// Hosts send each other patches. A workspace or key whose removal a patch omitted would stay
+    /// valid.
     #[test]
     fn a_patch_produces_the_same_workspaces(old in random_keys(), new in random_keys()) {
         let (old, new) = (version(1, &old), version(2, &new));
@@ -89,7 +90,7 @@
     assert_eq!(Patch::between(&version(1, &[]), &twice), None);
 }
 
-/// A digest is what is written where something prints a configuration.
+/// A digest may be printed along with a configuration, so its text must not contain its bytes.
 #[test]
 fn a_digest_is_printed_without_its_content() {
     let index = KeyIndex::open(&[workspace("w", &[7])]);
--- a/crates/edge/tests/routes.rs
+++ b/crates/edge/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request belongs to, among many.
+//! Selection of the route of a request among many routes.
 
 mod support;
 
@@ -18,7 +18,7 @@
     })
 }
 
-/// The route with the longest prefix, found by going through all.
+/// Finds the route with the longest prefix by a linear search.
 fn linear_search<'a>(routes: &'a [Arc<Route>], host: &str, path: &str) -> Option<&'a Arc<Route>> {
     let fit = routes
         .iter()
@@ -50,7 +50,7 @@
     assert_eq!(index.find("none", path), None);
 }
 
-/// A configuration that names a prefix twice: the last one counts, as it always did.
+/// If a configuration contains a prefix twice, the last route wins, as in earlier releases.
 #[test]
 fn the_last_of_equal_routes_wins() {
     let routes = [route("first", "h", "/a/"), route("last", "h", "/a/")];
@@ -58,7 +58,7 @@
     assert_eq!(index.find("h", "/a/b").map(|r| &*r.name), Some("last"));
 }
 
-/// The index finds what a search of all routes finds, for names that are alike.
+/// The index and a linear search find the same routes, for similar names.
 #[rstest]
 fn the_index_agrees_with_a_linear_search(#[values(1, 2, 3, 4)] seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
--- a/crates/edge/tests/support/routes.rs
+++ b/crates/edge/tests/support/routes.rs
@@ -1,12 +1,13 @@
-//! Configurations of many routes.
+//! Configurations with many routes.
 
 use std::{sync::Arc, time::Duration};
 
 use dunlinrock_edge::model::{Config, Route, WeightedService};
 use rand::{RngCore, SeedableRng, rngs::SmallRng};
 
-/// Routes whose names are as good as random, beside those of `small`: little of one can be told from
-/// another. More routes go on from fewer.
+/// Adds routes with random names to those of `small`, so that one route says little about another
+/// and the configuration hardly compresses. A call with a higher count returns the same routes and
+/// further ones.
 pub fn large(small: Config, routes: usize) -> Config {
     let mut random = SmallRng::seed_from_u64(7);
     let mut name = || format!("{:08x}", random.next_u32());
@@ -32,7 +33,7 @@
     }
 }
 
-/// The next version, with other weights on one route.
+/// Returns the next version, with other weights on one route.
 pub fn reweighted(mut config: Config) -> Config {
     let part = |service: &str, weight| WeightedService {
         service: service.into(),
