--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,11 +1,12 @@
-"""Measures what a host costs: processor time, memory, bytes for control, store calls.
+"""Measures the resource use of a host: processor time, memory, control traffic, store calls.
 
-usage: python3 scripts/capacity.py [--rate N] [HOSTS ...]     (12 24 48 where none is given)
+usage: python3 scripts/capacity.py [--rate N] [HOSTS ...]     (default: 12 24 48)
 
-At rest, or with N requests a second over all hosts, whose cost then counts as well.
+Measures idle hosts, or with --rate hosts that serve N requests per second in total; the use then
+includes these requests.
 
-Starts that many hosts on the loopback interface with the stand-ins, lets them settle, and takes
-two looks at each, SECONDS apart. Ends only processes that it started.
+Starts HOSTS hosts and the stand-ins on the loopback interface, waits until the hosts have settled,
+and samples each host twice, SECONDS apart. Stops only processes that it started.
 """
 
 import os
@@ -18,23 +19,23 @@
 TICKS = os.sysconf("SC_CLK_TCK")
 
 
-def cost(host):
-    """Processor time in seconds and resident memory in bytes of a host's process."""
+def process_usage(host):
+    """Returns a host process's processor time in seconds and resident memory in bytes."""
     with open(f"/proc/{host.process.pid}/stat", encoding="ascii") as file:
         fields = file.read().rsplit(")", 1)[1].split()
     page = os.sysconf("SC_PAGE_SIZE")
     return (int(fields[11]) + int(fields[12])) / TICKS, int(fields[21]) * page
 
 
-def look(host):
-    cpu, memory = cost(host)
+def sample(host):
+    cpu, memory = process_usage(host)
     return time.monotonic(), cpu, memory, host.dump()["counts"]
 
 
-def row(hosts):
-    before = [look(host) for host in hosts]
+def measure(hosts):
+    before = [sample(host) for host in hosts]
     time.sleep(SECONDS)
-    after = [look(host) for host in hosts]
+    after = [sample(host) for host in hosts]
     rates = []
     for (t0, c0, _, n0), (t1, c1, m1, n1) in zip(before, after):
         span = t1 - t0
@@ -46,15 +47,15 @@
             byte_rate("peer.steer_in_bytes", "peer.steer_out_bytes"),
             60 * (n1["store.calls"] - n0["store.calls"]) / span,
         ))
-    middle = [sorted(column)[len(column) // 2] for column in zip(*rates)]
-    most = [max(column) for column in zip(*rates)]
-    return middle, most
+    medians = [sorted(column)[len(column) // 2] for column in zip(*rates)]
+    maxima = [max(column) for column in zip(*rates)]
+    return medians, maxima
 
 
 def main():
-    words = sys.argv[1:]
-    rate = float(words[1]) if words[:1] == ["--rate"] else 0.0
-    sizes = [int(text) for text in (words[2:] if rate else words)] or [12, 24, 48]
+    args = sys.argv[1:]
+    rate = float(args[1]) if args[:1] == ["--rate"] else 0.0
+    sizes = [int(text) for text in (args[2:] if rate else args)] or [12, 24, 48]
     print("| hosts | core, % | memory, MB | control, B/s | steering, B/s | store calls/min |")
     print("|---:|---:|---:|---:|---:|---:|")
     for size in sizes:
@@ -65,11 +66,11 @@
             fleet.settle(1, 60.0)
             load = Load(fleet, 1, 2 * SECONDS + 5.0, rate=rate, mix=0.2) if rate else None
             time.sleep(SECONDS)
-            middle, most = row(hosts)
-            cells = [f"{m:.2f} ({x:.2f})" for m, x in zip(middle, most)]
+            medians, maxima = measure(hosts)
+            cells = [f"{m:.2f} ({x:.2f})" for m, x in zip(medians, maxima)]
             print(f"| {size} | {' | '.join(cells)} |", flush=True)
             if load:
-                load.end()
+                load.finish()
         finally:
             fleet.stop()
 
--- a/scripts/chaos.sh
+++ b/scripts/chaos.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Faults on real processes: 12 hosts in 3 regions on the loopback interface, under load.
-# Ends by itself, prints counts, and exits non-zero when a promise broke.
+# Injects faults into real processes: 12 hosts in 3 regions on the loopback interface, under load.
+# Prints counts, and exits non-zero if a guarantee was violated.
 #
-# usage: scripts/chaos.sh [STEP ...]     (all steps where none is named; see scripts/chaos.py)
+# usage: scripts/chaos.sh [STEP ...]     (default: all steps; see scripts/chaos.py)
 set -euo pipefail
 
 root=$(cd "$(dirname "$0")/.." && pwd)
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,4 +1,4 @@
-"""Processes of a deployment on the loopback interface, and callers that check what they get."""
+"""Runs a deployment on the loopback interface, with callers that check their responses."""
 
 import http.client
 import json
@@ -17,17 +17,17 @@
 ROOT = Path(__file__).resolve().parent.parent
 BINARY = os.environ.get("DUNLINROCK", str(ROOT / "target/release/dunlinrock"))
 DOMAINS = ["bucharest-a", "bucharest-b", "cluj-a", "cluj-b", "iasi-a", "iasi-b"]
-# Below the range from which the system draws ports of outgoing connections.
+# Below the ephemeral port range, from which the system picks ports of outgoing connections.
 PORTS = range(12_000, 32_000)
 START_TIME = 15.0
 
 
-class Broken(Exception):
-    """A step could not be played, or a promise broke."""
+class DrillError(Exception):
+    """A step could not be carried out, or a guarantee was violated."""
 
 
 def free_ports():
-    """Gives ports that nothing listens on, each once."""
+    """Yields unused ports, each once."""
     start = random.randrange(len(PORTS))
     for n in range(len(PORTS)):
         port = PORTS[(start + n) % len(PORTS)]
@@ -40,12 +40,12 @@
 
 
 def http_call(port, method, path, body=b"", headers=None, timeout=3.0):
-    """Gives status, content type and body of one request on a connection of its own."""
+    """Sends a request on a new connection; returns status, content type and body."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=timeout)
     try:
         connection.request(method, path, body=body or None, headers=headers or {})
-        answer = connection.getresponse()
-        return answer.status, answer.getheader("content-type", ""), answer.read()
+        response = connection.getresponse()
+        return response.status, response.getheader("content-type", ""), response.read()
     finally:
         connection.close()
 
@@ -57,21 +57,21 @@
     return json.loads(body)
 
 
-def wait_for(what, test, time_s):
-    """Waits until `test` holds; gives the seconds it took."""
+def wait_for(description, condition, timeout_s):
+    """Waits until `condition` holds; returns the elapsed time in seconds."""
     start = time.monotonic()
-    while time.monotonic() - start < time_s:
+    while time.monotonic() - start < timeout_s:
         try:
-            if test():
+            if condition():
                 return time.monotonic() - start
         except (OSError, http.client.HTTPException, ValueError):
             pass
         time.sleep(0.05)
-    raise Broken(f"{what}: not within {time_s:.0f} s")
+    raise DrillError(f"{description}: not within {timeout_s:.0f} s")
 
 
 class Host:
-    """One `serve` process."""
+    """A process of `dunlinrock serve`."""
 
     def __init__(self, fleet, name, domain):
         self.fleet, self.name, self.domain = fleet, name, domain
@@ -97,7 +97,7 @@
 
 
 class Fleet:
-    """Stand-ins and hosts. Ends only what it started, by process id."""
+    """Stand-ins and hosts. Stops only processes that it started, by process id."""
 
     def __init__(self):
         self.dir = Path(tempfile.mkdtemp(prefix="dunlinrock-chaos-"))
@@ -120,12 +120,12 @@
         shutil.copytree(ROOT / "examples/cursuri", config)
         text = (config / "targets.toml").read_text()
 
-        def move(match):
+        def assign_port(match):
             self.targets[match[1]] = port = next(self.ports)
             return f'{match[1]} = {match[2]}address = "127.0.0.1:{port}"'
 
         pattern = r'(?m)^([\w-]+) = ({.*?)address = "[\d.]+:\d+"'
-        (config / "targets.toml").write_text(re.sub(pattern, move, text))
+        (config / "targets.toml").write_text(re.sub(pattern, assign_port, text))
         return config
 
     def spawn(self, name, *args):
@@ -136,7 +136,7 @@
         return process
 
     def start(self, domain):
-        """Starts a host; it is not ready yet."""
+        """Starts a host, without waiting until it is ready."""
         self.count += 1
         host = Host(self, f"h{self.count:02}-{domain}", domain)
         self.hosts.append(host)
@@ -145,50 +145,52 @@
     def live(self):
         return [h for h in self.hosts if h.process.poll() is None]
 
-    def drop(self, host):
-        """Takes a host that has ended off the books."""
+    def remove_host(self, host):
+        """Moves a host whose process has ended to the retired hosts."""
         self.hosts.remove(host)
         self.retired.append(host)
 
     def apply(self, directory, ident, *args):
-        """Applies a directory; gives the exit code and what was said."""
+        """Applies a directory; returns the exit code and the output."""
         command = [BINARY, "apply", "--store", f"127.0.0.1:{self.store}", "--id", ident]
         command += ["--by", "chaos", *args, str(directory)]
-        done = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
-        return done.returncode, (done.stdout + done.stderr).strip()
+        completed = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
+        return completed.returncode, (completed.stdout + completed.stderr).strip()
 
     def history(self):
-        """Gives the ids of all applies, newest first, each with its revision."""
+        """Returns the id and revision of all applies, newest first."""
         command = [BINARY, "history", "--store", f"127.0.0.1:{self.store}", "-n", "1000"]
-        done = subprocess.run(command, capture_output=True, text=True, timeout=30, check=False)
-        if done.returncode != 0:
-            raise Broken(f"history: exit code {done.returncode}: {done.stderr.strip()}")
-        rows = [line.split() for line in done.stdout.splitlines()[1:]]
+        completed = subprocess.run(command, capture_output=True, text=True, timeout=30, check=False)
+        if completed.returncode != 0:
+            raise DrillError(
+                f"history: exit code {completed.returncode}: {completed.stderr.strip()}"
+            )
+        rows = [line.split() for line in completed.stdout.splitlines()[1:]]
         return [(row[-1], int(row[0])) for row in rows]
 
-    def settle(self, revision, time_s=20.0):
-        """Waits until every live host is ready, at a revision, and sees all others."""
+    def settle(self, revision, timeout_s=20.0):
+        """Waits until every live host is ready, has the revision and sees all others."""
         names = {h.name for h in self.live()}
-        why = []
+        mismatches = []
 
         def settled():
-            why.clear()
+            mismatches.clear()
             for host in self.live():
                 dump = host.dump()
                 seen = {m["name"] for m in dump["members"] if not m["suspect"]}
                 if seen != names:
-                    why.append(f"{host.name} sees {sorted(seen ^ names)} otherwise")
+                    mismatches.append(f"{host.name} sees {sorted(seen ^ names)} otherwise")
                 if not dump["ready"] or dump["revision"] < revision:
-                    why.append(f"{host.name}: ready {dump['ready']} at {dump['revision']}")
-            return not why
+                    mismatches.append(f"{host.name}: ready {dump['ready']} at {dump['revision']}")
+            return not mismatches
 
         try:
-            return wait_for(f"{len(names)} hosts agree at revision {revision}", settled, time_s)
-        except Broken as broken:
-            raise Broken(f"{broken}: {'; '.join(why[:4])}") from None
+            return wait_for(f"{len(names)} hosts agree at revision {revision}", settled, timeout_s)
+        except DrillError as error:
+            raise DrillError(f"{error}: {'; '.join(mismatches[:4])}") from None
 
-    def keep_dumps(self, label):
-        """Writes the state of every live host beside its log."""
+    def save_dumps(self, label):
+        """Writes the state dump of every live host to the directory of the logs."""
         for host in self.live():
             try:
                 text = json.dumps(host.dump(), indent=1)
@@ -197,7 +199,7 @@
             (self.dir / f"{label}-{host.name}.json").write_text(text)
 
     def runs(self):
-        """Gives how often the work of each key began, over all targets."""
+        """Returns how often the work of each key started, over all targets."""
         total = {}
         for port in self.targets.values():
             for key, n in get_json(port, "/fake/runs").items():
@@ -205,25 +207,25 @@
         return total
 
     def counts(self, name):
-        """Gives what a target has done; one that was killed answers when it is back."""
-        found = []
+        """Returns a target's counts; waits for a restart if the target was killed."""
+        responses = []
 
         def read():
-            found.append(get_json(self.targets[name], "/fake/counts"))
+            responses.append(get_json(self.targets[name], "/fake/counts"))
             return True
 
         wait_for(f"{name} answers", read, 6.0)
-        return found[0]
+        return responses[0]
 
-    def turn(self, port, knob):
-        status, _, body = http_call(port, "POST", f"/fake/{knob}")
+    def control(self, port, command):
+        status, _, body = http_call(port, "POST", f"/fake/{command}")
         if status >= 300:
-            raise Broken(f"knob {knob}: {status} {body}")
+            raise DrillError(f"fake command {command}: {status} {body}")
 
     def stop(self):
         for process in self.processes:
             if process.poll() is None:
-                # A paused process takes no other signal.
+                # A process stopped by SIGSTOP handles no other signal until it continues.
                 process.send_signal(signal.SIGCONT)
                 process.kill()
         for process in self.processes:
@@ -232,148 +234,149 @@
             log.close()
 
 
-class Watch(threading.Thread):
-    """Reads the revision of every host again and again, and the revision that look-ups name."""
+class RevisionWatch(threading.Thread):
+    """Polls the active revision of every host and records each decrease."""
 
     def __init__(self, fleet):
         super().__init__(daemon=True)
-        self.fleet, self.over, self.samples, self.falls = fleet, threading.Event(), 0, []
+        self.fleet, self.stop_event = fleet, threading.Event()
+        self.samples, self.regressions = 0, []
         self.last = {}
 
-    def note(self, host, incarnation, revision):
+    def record(self, host, incarnation, revision):
         key = (host.name, incarnation)
         before = self.last.get(key, 0)
         if revision < before:
-            self.falls.append(f"{host.name}: {before} then {revision}")
+            self.regressions.append(f"{host.name}: {before} then {revision}")
         self.last[key] = max(before, revision)
         self.samples += 1
 
     def run(self):
-        while not self.over.wait(0.2):
+        while not self.stop_event.wait(0.2):
             for host in list(self.fleet.hosts):
                 try:
                     dump = get_json(host.peers, "/peer/v1/dump", timeout=0.5)
-                    self.note(host, dump["host"]["incarnation"], dump["revision"])
+                    self.record(host, dump["host"]["incarnation"], dump["revision"])
                 except (OSError, http.client.HTTPException, ValueError):
                     continue
 
 
 class Callers:
-    """Keyed requests over the published protocol, written apart from the project's own caller.
+    """Sends keyed requests over the published protocol, independently of the project's own caller.
 
-    Keeps what each key's caller was told, to be compared with what the targets ran.
+    Stores the result that each key's caller received, for comparison with what the targets ran.
     """
 
-    def __init__(self, fleet, threads=6, pause=0.12):
-        self.fleet, self.pause = fleet, pause
-        self.over, self.lock = threading.Event(), threading.Lock()
-        self.told = {}  # key: what its last attempt was told
-        self.foreign = []  # answers that are not the caller's own
-        self.reasons = {}  # problems by what they say of the run and their kind
+    def __init__(self, fleet, threads=6, interval=0.12):
+        self.fleet, self.interval = fleet, interval
+        self.stop_event, self.lock = threading.Event(), threading.Lock()
+        self.results = {}  # result of the last attempt, by key
+        self.misdelivered = []  # responses that belong to another request
+        self.problems = {}  # number of problems, by run status and type
         self.threads = [
-            threading.Thread(target=self.work, args=(n,), daemon=True) for n in range(threads)
+            threading.Thread(target=self.run_caller, args=(n,), daemon=True) for n in range(threads)
         ]
         for thread in self.threads:
             thread.start()
 
-    def work(self, number):
+    def run_caller(self, number):
         rng, count = random.Random(number), 0
-        while not self.over.wait(self.pause):
+        while not self.stop_event.wait(self.interval):
             count += 1
             service = rng.choice(["catalogue", "records"])
             try:
-                found = self.look_up(rng, service)
+                response = self.look_up(rng, service)
             except (OSError, http.client.HTTPException, ValueError, IndexError):
                 continue
-            binding = found.get("binding")
+            binding = response.get("binding")
             if binding:
-                self.one(f"c{number}", service, binding, f"c{number}-{count}")
+                self.send_request(f"c{number}", service, binding, f"c{number}-{count}")
 
     def look_up(self, rng, service):
         host = rng.choice(self.fleet.live())
         return get_json(host.callers, f"/v1/hosts/{service}", timeout=0.5)
 
-    def one(self, caller, service, binding, nonce):
+    def send_request(self, caller, service, binding, nonce):
         key = f"{binding['prefix']}.{nonce}"
         path = f"/pay/{nonce}"
-        sides = [int(binding[side].rsplit(":", 1)[1]) for side in ("owner", "witness")]
-        tried, told = [0, 0], "nothing"
+        ports = [int(binding[side].rsplit(":", 1)[1]) for side in ("owner", "witness")]
+        attempts, result = [0, 0], "nothing"
         for attempt in range(6):
             side = attempt % 2
             headers = {
                 "idempotency-key": key,
                 "dunlinrock-caller": caller,
                 "dunlinrock-timeout-ms": "1500",
-                "dunlinrock-attempts": f"owner={tried[0]}, witness={tried[1]}",
+                "dunlinrock-attempts": f"owner={attempts[0]}, witness={attempts[1]}",
             }
             try:
                 call = f"/v1/call/{service}{path}"
                 status, kind, body = http_call(
-                    sides[side], "POST", call, b"42 lei", headers, timeout=2.0
+                    ports[side], "POST", call, b"42 lei", headers, timeout=2.0
                 )
             except ConnectionRefusedError:
                 continue
             except (OSError, http.client.HTTPException):
-                tried[side] += 1
-                told = "unknown"
+                attempts[side] += 1
+                result = "unknown"
                 continue
-            tried[side] += 1
-            told = self.read(key, path, status, kind, body)
-            if told != "unknown":
+            attempts[side] += 1
+            result = self.classify(key, path, status, kind, body)
+            if result != "unknown":
                 break
         with self.lock:
-            self.told[key] = told
+            self.results[key] = result
 
-    def read(self, key, path, status, kind, body):
+    def classify(self, key, path, status, kind, body):
         if kind == "application/problem+json":
             problem = json.loads(body)
             reason = f"{problem['run']} {problem['type'].rsplit('/', 1)[1]}"
             with self.lock:
-                self.reasons[reason] = self.reasons.get(reason, 0) + 1
+                self.problems[reason] = self.problems.get(reason, 0) + 1
             return problem["run"]
         if status != 200:
             return "error"
         echo = json.loads(body)
         if (echo["key"], echo["path"]) != (key, path):
             with self.lock:
-                self.foreign.append(f"{key} got the answer of {echo['key']} {echo['path']}")
+                self.misdelivered.append(f"{key} got the answer of {echo['key']} {echo['path']}")
         return "answer"
 
     def stop(self):
-        self.over.set()
+        self.stop_event.set()
         for thread in self.threads:
             thread.join()
 
-    def judge(self, runs):
-        """Compares what callers were told with what ran; gives counts and breaks."""
-        counts, breaks = {}, list(self.foreign)
-        for key, told in self.told.items():
-            counts[told] = counts.get(told, 0) + 1
-            ran = runs.get(key, 0)
-            if told == "no" and ran > 0:
-                breaks.append(f"wrong `run: no`: {key} ran {ran} times")
-            if told in ("answer", "yes") and ran == 0:
-                breaks.append(f"{key} was told {told}, and never ran")
-        return counts, breaks
+    def check_results(self, runs):
+        """Compares the callers' results with what ran; returns result counts and violations."""
+        counts, violations = {}, list(self.misdelivered)
+        for key, result in self.results.items():
+            counts[result] = counts.get(result, 0) + 1
+            run_count = runs.get(key, 0)
+            if result == "no" and run_count > 0:
+                violations.append(f"wrong `run: no`: {key} ran {run_count} times")
+            if result in ("answer", "yes") and run_count == 0:
+                violations.append(f"{key} was told {result}, and never ran")
+        return counts, violations
 
 
 class Load:
-    """`dunlinrock load` in the background."""
+    """A process of `dunlinrock load` in the background."""
 
-    def __init__(self, fleet, seed, seconds, rate=120.0, mix=0.4, at=None):
+    def __init__(self, fleet, seed, seconds, rate=120.0, mix=0.4, hosts=None):
         self.path = fleet.dir / f"load-{seed}.json"
         command = [BINARY, "load", "-s", "catalogue", "-s", "records", "--mix", str(mix)]
         command += ["--rate", str(rate), "--time", str(seconds), "--seed", str(seed)]
         command += ["--json", str(self.path)]
-        for host in at or fleet.live():
+        for host in hosts or fleet.live():
             command += ["--at", f"127.0.0.1:{host.callers}"]
         log = open(fleet.dir / f"load-{seed}.log", "ab")
         fleet.logs.append(log)
         self.process = subprocess.Popen(command, stdout=log, stderr=log)
         fleet.processes.append(self.process)
 
-    def end(self):
-        """Waits for the end; gives the counts of all services and whether it went well."""
+    def finish(self):
+        """Waits for the process; returns its exit code, total counts and failure reasons."""
         code = self.process.wait(timeout=60)
         report = json.loads(self.path.read_text())
         names = ["sent", "answered", "failed", "wrong", "refused", "unknown", "gone"]
