--- a/crates/schema/examples/generate.rs
+++ b/crates/schema/examples/generate.rs
@@ -2,7 +2,7 @@
 //!
 //! ```text
 //! cargo run -p dunlinrock-schema --example generate             # writes the files
-//! cargo run -p dunlinrock-schema --example generate -- --check  # fails where they differ
+//! cargo run -p dunlinrock-schema --example generate -- --check  # fails if they differ
 //! ```
 
 use std::{
@@ -41,7 +41,7 @@
     Ok(())
 }
 
-/// Makes the keys of all maps shared strings.
+/// Replaces the `String` keys of all maps by shared strings.
 fn shared_keys(code: &str) -> String {
     const MAP: &str = "BTreeMap<";
     const KEY: &str = "::std::string::String,";
@@ -102,8 +102,8 @@
     Ok(restyle(&prettyplease::unparse(&file)))
 }
 
-/// Brings the generator's output to the house style: shared names as map keys, derives of other
-/// crates on a line of their own, a space after the slashes of a doc comment.
+/// Adapts the generator's output to the style of this workspace: shared strings as map keys, serde's
+/// derives on a separate line, a space after the slashes of a doc comment.
 fn restyle(code: &str) -> String {
     let code = shared_keys(code)
         .replace(
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -1,7 +1,7 @@
 //! Messages and settings of dunlinrock, as Rust types.
 //!
 //! The types are generated from the JSON Schema files in `schema/` and committed, so that a build
-//! needs no generator. Each schema file gives one module.
+//! needs no generator. Each schema file corresponds to one module.
 //!
 //! ```
 //! use dunlinrock_schema::config::Cap;
