--- a/crates/edge/src/control/settle.rs
+++ b/crates/edge/src/control/deferred.rs
@@ -1,25 +1,25 @@
-//! Lets removals that are held back count when their time is over.
+//! Applies deferred removals when they are due.
 
 use std::{sync::Arc, time::Duration};
 
 use crate::host::Shared;
 
-/// Settles for as long as the host lives. A duty of its own: the follower may wait seconds for an answer,
-/// and a host that has ended would be named to callers for as long.
-pub(super) async fn settle(shared: Arc<Shared>) {
+/// Applies deferred removals for as long as the host runs. A task of its own: the follower may wait
+/// seconds for a response, and callers would be sent to a host that has ended for as long.
+pub(super) async fn apply_when_due(shared: Arc<Shared>) {
     let mut changed = shared.changed.subscribe();
     loop {
         changed.mark_unchanged();
         let due = shared.replica().next_deferred();
         tokio::select! {
-            () = over(&shared, due) => shared.apply_deferred(),
+            () = wait_until(&shared, due) => shared.apply_deferred(),
             // The sender is in `shared`.
             _ = changed.changed() => {}
         }
     }
 }
 
-async fn over(shared: &Shared, due: Option<Duration>) {
+async fn wait_until(shared: &Shared, due: Option<Duration>) {
     match due {
         Some(due) => tokio::time::sleep(due.saturating_sub(shared.now())).await,
         None => std::future::pending().await,
--- a/crates/edge/src/host/mod.rs
+++ b/crates/edge/src/host/mod.rs
@@ -1,7 +1,7 @@
-//! One edge host, running.
+//! A running edge host.
 
+mod freshness;
 mod shared;
-mod word;
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -13,8 +13,8 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 pub use self::{
+    freshness::{Freshness, confirmed_at, max_key_age},
     shared::{Phase, Shared, Watermark},
-    word::{Freshness, confirmed_at, max_key_age},
 };
 use crate::{
     control, front,
@@ -22,8 +22,8 @@
     settings::Settings,
 };
 
-/// Connections that may wait to be accepted: a burst of callers opens some hundred at once, and one
-/// that finds the queue full is only tried again after a second.
+/// Length of the listen queue: a burst of callers opens some hundred connections at once, and one
+/// that finds the queue full is retried only after a second.
 const BACKLOG: i32 = 1024;
 
 /// A running host.
@@ -35,7 +35,7 @@
 }
 
 impl Host {
-    /// Binds the host's addresses and spawns its duties.
+    /// Binds the host's addresses and spawns its threads.
     ///
     /// # Errors
     ///
@@ -73,45 +73,45 @@
         })
     }
 
-    /// What the duties share, for programs that embed the host.
+    /// Returns the state that the threads share, for programs that embed the host.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Begins a planned stop.
+    /// Starts a graceful shutdown.
     pub fn start_shutdown(&self) {
-        log::info!(target: "host", event = "stop", host = &*self.shared.settings.name; "planned stop begins");
+        log::info!(target: "host", event = "stop", host = &*self.shared.settings.name; "graceful shutdown started");
         self.shared.advance_phase(Phase::Draining);
     }
 
-    /// Waits for the end of a planned stop.
+    /// Waits for the end of a graceful shutdown.
     ///
     /// # Errors
     ///
-    /// When a duty has died.
+    /// When a thread has panicked.
     pub fn join(self) -> anyhow::Result<()> {
         self.front
             .join()
-            .map_err(|_| anyhow::anyhow!("the callers' duty died"))?;
+            .map_err(|_| anyhow::anyhow!("the callers thread panicked"))?;
         self.shared.advance_phase(Phase::Stopped);
         self.control
             .join()
-            .map_err(|_| anyhow::anyhow!("the control duty died"))?;
+            .map_err(|_| anyhow::anyhow!("the control thread panicked"))?;
         log::info!(target: "host", event = "stopped", host = &*self.shared.settings.name; "host stopped");
         Ok(())
     }
 }
 
-/// Binds an address; port 0 becomes the one that was taken.
-fn bind(duty: &str, held: &mut SocketAddr) -> anyhow::Result<TcpListener> {
-    let address = *held;
+/// Binds an address; port 0 is replaced by the assigned one.
+fn bind(name: &str, bound: &mut SocketAddr) -> anyhow::Result<TcpListener> {
+    let address = *bound;
     let open = || -> std::io::Result<TcpListener> {
         let socket = Socket::new(
             Domain::for_address(address),
             Type::STREAM,
             Some(Protocol::TCP),
         )?;
-        // A host that starts again must not wait for its old connections to be forgotten.
+        // A restarted host must not wait until its old connections have left TIME_WAIT.
         socket.set_reuse_address(true)?;
         socket.bind(&address.into())?;
         socket.listen(BACKLOG)?;
@@ -119,8 +119,10 @@
         Ok(socket.into())
     };
     let listener = open().with_context(|| {
-        format!("cannot listen for {duty} on {address}; is another process using the port?")
+        format!("cannot listen for {name} on {address}; is another process using the port?")
     })?;
-    *held = listener.local_addr().context("the listener")?;
+    *bound = listener
+        .local_addr()
+        .context("cannot read the listener's address")?;
     Ok(listener)
 }
--- a/crates/edge/src/model/mod.rs
+++ b/crates/edge/src/model/mod.rs
@@ -1,26 +1,26 @@
-//! What a host is told about the deployment, in the project's own words.
+//! A host's model of the deployment, independent of the platform.
 //!
-//! An adapter decodes a platform's names and formats into these types once; hosts pass the same
-//! types on to each other.
+//! An adapter decodes a platform's names and formats into these types; hosts send the same types to
+//! each other.
 
 mod config;
 mod dialect;
-mod entry;
-mod feed;
+mod item;
 mod keys;
 mod packed;
 mod patch;
+mod platform_store;
 mod routes;
 mod workspace;
 
 pub use self::{
     config::{Config, Limits, Route, Service, WeightedService},
     dialect::{Credentials, Dialect, LookupQuery, ReportedLoad},
-    entry::{DeferredRemoval, Entry, HostEntry, Item, Target},
-    feed::{Batch, LeaseId, PlatformStore, PlatformStoreError, Snapshot, StoreCall},
+    item::{DeferredRemoval, Entry, HostEntry, Item, Target},
     keys::KeyIndex,
     packed::Packed,
     patch::{Patch, VersionMismatch},
+    platform_store::{Batch, LeaseId, PlatformStore, PlatformStoreError, Snapshot, StoreCall},
     routes::RouteIndex,
     workspace::{KeyDigest, Workspace},
 };
--- a/crates/edge/src/replica/changes.rs
+++ b/crates/edge/src/replica/changes.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of the store's items.
+//! Changes of the store's items, as hosts send them to each other.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -7,124 +7,127 @@
 use super::Replica;
 use crate::model::{DeferredRemoval, Item};
 
-/// Changes, and the store's revision up to which nothing is missing with them.
+/// Changes, and the store's revision that they are complete up to.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize, Serialize)]
 pub struct Changes {
-    /// Items that say something new.
+    /// Items that changed.
     pub items: Vec<Item>,
-    /// Removals that are held back.
+    /// Deferred removals.
     pub endings: Vec<DeferredRemoval>,
-    /// What there is, where removals may be missing.
+    /// All existing keys, if removals may be missing.
     pub whole: Option<FullKeySet>,
-    /// The revision; 0 where these changes tell nothing of it.
+    /// The revision; 0 if the changes are complete up to no revision.
     pub reached: u64,
 }
 
-/// All keys that are there. Who reads the store anew does not hear of what came and went meanwhile, and
-/// who starts not of what went before; a host that had heard of it elsewhere would keep it for good.
+/// All keys that exist. A host that makes a full read of the store misses what was created and
+/// removed meanwhile, and a host that starts misses earlier removals; a follower that has such an
+/// item from another source would keep it indefinitely.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 pub struct FullKeySet {
     /// Store's revision after which every removal is known.
     pub since: u64,
-    /// The keys; not told to a host that knows nothing and has nothing to remove.
+    /// The keys; left out for a host that has no items and so nothing to remove.
     pub keys: Option<BTreeSet<Arc<str>>>,
-    /// How much longer items under other keys are believed in.
+    /// How long the removal of items under other keys is deferred.
     pub left: Duration,
 }
 
 impl Replica {
-    /// Takes changes in; tells whether they change what is believed.
+    /// Applies changes; returns whether the replica changed.
     pub fn apply_changes(&mut self, changes: Changes, now: Duration) -> bool {
         let mut changed = false;
         for item in changes.items {
             changed |= self.apply_item(item, now);
         }
-        for ending in changes.endings {
-            changed |= self.defer_removal(ending, now);
+        for deferred in changes.endings {
+            changed |= self.defer_removal(deferred, now);
         }
         if let Some(whole) = changes.whole {
-            changed |= self.restrict(whole, now);
+            changed |= self.retain_keys(whole, now);
         }
         self.set_synced(changes.reached);
         changed
     }
 
-    /// Takes a whole reading in: what it does not name is gone, unless it is newer than the reading.
-    pub fn replace(&mut self, at: u64, items: Vec<Item>, now: Duration) -> bool {
-        self.replace_deferring(at, items, Duration::ZERO, now)
+    /// Applies a full read: items that are not in it are removed, unless they are newer.
+    pub fn replace(&mut self, revision: u64, items: Vec<Item>, now: Duration) -> bool {
+        self.replace_deferring(revision, items, Duration::ZERO, now)
     }
 
-    /// The same, where what the reading does not name is believed in for a while longer.
+    /// Like [`Replica::replace`], but defers the removals by `left`.
     pub fn replace_deferring(
         &mut self,
-        at: u64,
+        revision: u64,
         items: Vec<Item>,
         left: Duration,
         now: Duration,
     ) -> bool {
         let keys = items.iter().map(|item| Arc::clone(&item.key)).collect();
         let whole = FullKeySet {
-            since: at,
+            since: revision,
             keys: Some(keys),
             left,
         };
         let changes = Changes {
             items,
             whole: Some(whole),
-            reached: at,
+            reached: revision,
             ..Changes::default()
         };
         self.apply_changes(changes, now)
     }
 
-    /// Removes what is not among the keys that are there, unless it is newer.
-    fn restrict(&mut self, whole: FullKeySet, now: Duration) -> bool {
+    /// Removes items whose keys are not in the set, unless they are newer.
+    fn retain_keys(&mut self, whole: FullKeySet, now: Duration) -> bool {
         let FullKeySet { since, keys, left } = whole;
         if since > self.since {
-            (self.since, self.doubt) = (since, now + left);
+            (self.since, self.defer_until) = (since, now + left);
         }
         let Some(keys) = keys else {
             return false;
         };
-        let gone: Vec<_> = self
+        let absent: Vec<_> = self
             .present_items()
             .map(|item| Arc::clone(&item.key))
             .filter(|key| !keys.contains(key))
             .collect();
         let mut changed = false;
-        for key in gone {
-            let ending = DeferredRemoval {
+        for key in absent {
+            let deferred = DeferredRemoval {
                 key,
                 rev: since,
                 left,
             };
-            changed |= self.defer_removal(ending, now);
+            changed |= self.defer_removal(deferred, now);
         }
         changed
     }
 
-    /// What a host that misses nothing up to a revision is to be told.
+    /// Returns the changes for a host that has all up to a revision.
     pub fn changes(&self, rev: u64, now: Duration) -> Changes {
-        let endings = self.held.values().filter_map(|held| {
-            // Told of an item, a host is told of its end as well.
-            let ending = held.ending.filter(|e| e.said.max(held.said) > rev)?;
+        let endings = self.items.values().filter_map(|stored| {
+            // A host that receives an item must receive its removal as well.
+            let deferred = stored
+                .pending
+                .filter(|e| e.publish_revision.max(stored.publish_revision) > rev)?;
             Some(DeferredRemoval {
-                key: Arc::clone(&held.item.key),
-                rev: ending.rev,
-                left: ending.due.saturating_sub(now),
+                key: Arc::clone(&stored.item.key),
+                rev: deferred.rev,
+                left: deferred.due_at.saturating_sub(now),
             })
         });
         Changes {
             items: self.changed_since(rev, now),
             endings: endings.collect(),
-            whole: (rev < self.since).then(|| self.whole(rev, now)),
-            reached: self.reached,
+            whole: (rev < self.since).then(|| self.full_key_set(rev, now)),
+            reached: self.synced_revision,
         }
     }
 
-    fn whole(&self, rev: u64, now: Duration) -> FullKeySet {
+    fn full_key_set(&self, rev: u64, now: Duration) -> FullKeySet {
         let keys = || {
             self.present_items()
                 .map(|item| Arc::clone(&item.key))
@@ -133,7 +136,7 @@
         FullKeySet {
             since: self.since,
             keys: (rev > 0).then(keys),
-            left: self.doubt.saturating_sub(now),
+            left: self.defer_until.saturating_sub(now),
         }
     }
 }
--- a/crates/edge/src/trace/mod.rs
+++ b/crates/edge/src/trace/mod.rs
@@ -1,17 +1,17 @@
-//! Structured log lines, bounded in number.
+//! Structured log lines, limited in number.
 //!
-//! Each line has `event` and the inputs that decided. Lines about requests have a budget a second
-//! for each kind; what goes beyond it is counted and told, so that a reader knows that lines are
-//! missing. Lines about failures have a budget of their own, which neither successes nor refusals before
-//! a target was asked can use up.
+//! Each line has an `event` and the inputs of the decision. Lines about requests have a budget a
+//! second for each kind; dropped lines are counted and reported, so that a reader knows that lines
+//! are missing. Lines about failures have a budget of their own, which neither successes nor
+//! refusals before a target was asked can use up.
 
-mod budget;
+mod line_budget;
 mod outcome;
 
 use std::{collections::BTreeSet, sync::Arc};
 
 pub use self::{
-    budget::{Lines, Told},
+    line_budget::{LineBudget, LineDecision},
     outcome::Outcome,
 };
 use crate::{
@@ -19,41 +19,46 @@
     replica::View,
 };
 
-/// Names in one line; a failure domain holds a few dozen targets.
-const NAMES: usize = 40;
+/// Largest number of names in one line; a failure domain has a few dozen targets.
+const MAX_NAMES: usize = 40;
 
-/// Tells how a new view differs from the one before.
-pub fn believed(before: &View, after: &View) {
+/// Logs how a new view differs from the previous one.
+pub fn log_view_change(before: &View, after: &View) {
     let version = |view: &View| view.config.as_ref().map(|c| c.version);
     if version(before) != version(after) {
         log::info!(
             target: "belief", event = "config", from:? = version(before), to:? = version(after),
-            change = after.change; "another configuration is in force"
+            change = after.change; "the active configuration changed"
         );
     }
-    tell(
+    log_set_change(
         "evacuated",
         &before.evacuated,
         &after.evacuated,
         after.change,
     );
-    tell("hosts", &names(before), &names(after), after.change);
-    tell("targets", &targets(before), &targets(after), after.change);
+    log_set_change("hosts", &names(before), &names(after), after.change);
+    log_set_change("targets", &targets(before), &targets(after), after.change);
 }
 
 fn names(view: &View) -> BTreeSet<Arc<str>> {
     view.hosts.keys().cloned().collect()
 }
 
-/// Targets that may get work.
+/// Returns the ids of targets that may receive requests.
 fn targets(view: &View) -> BTreeSet<Arc<str>> {
     let all = view.services.values().flatten();
     all.map(|known| Arc::clone(&known.target.id)).collect()
 }
 
-fn tell(event: &str, before: &BTreeSet<Arc<str>>, after: &BTreeSet<Arc<str>>, change: u64) {
+fn log_set_change(
+    event: &str,
+    before: &BTreeSet<Arc<str>>,
+    after: &BTreeSet<Arc<str>>,
+    change: u64,
+) {
     let list = |a: &BTreeSet<Arc<str>>, b: &BTreeSet<Arc<str>>| {
-        let names: Vec<_> = a.difference(b).take(NAMES).map(|n| &**n).collect();
+        let names: Vec<_> = a.difference(b).take(MAX_NAMES).map(|n| &**n).collect();
         names.join(",")
     };
     let (added, removed) = (list(after, before), list(before, after));
@@ -66,25 +71,25 @@
     );
 }
 
-/// Tells what is wrong with the workspaces of a configuration that is taken in.
-pub fn workspaces(config: &Config, keys: &KeyIndex) {
+/// Logs problems with the workspaces of a new configuration.
+pub fn log_config_warnings(config: &Config, keys: &KeyIndex) {
     let shared = keys.shared(&config.workspaces);
     if !shared.is_empty() {
-        let names: Vec<_> = shared.iter().take(NAMES).map(|n| &**n).collect();
+        let names: Vec<_> = shared.iter().take(MAX_NAMES).map(|n| &**n).collect();
         log::warn!(
             target: "belief", event = "shared_keys", version = config.version, workspaces = &*names.join(",");
-            "keys of these workspaces are held by others as well, and count for those"
+            "other workspaces have the same keys, which belong to them"
         );
     }
     for workspace in &config.workspaces {
         let is_apart =
             |homes: &BTreeSet<Arc<str>>| !homes.is_empty() && homes.is_disjoint(&workspace.homes);
         let routes = config.routes.iter().filter(|r| is_apart(&r.homes));
-        let routes: Vec<_> = routes.take(NAMES).map(|r| &*r.name).collect();
+        let routes: Vec<_> = routes.take(MAX_NAMES).map(|r| &*r.name).collect();
         if !workspace.homes.is_empty() && !routes.is_empty() {
             log::warn!(
                 target: "belief", event = "no_home", version = config.version, workspace = &*workspace.name,
-                routes = &*routes.join(","); "no region is a home of both; such requests are refused"
+                routes = &*routes.join(","); "no region is allowed by both; such requests are refused"
             );
         }
     }
