--- a/crates/edge/src/replica/config_history.rs
+++ b/crates/edge/src/replica/config_history.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, sync::Arc};
 
-use dunlinrock_node::wire::PackError;
+use dunlinrock_node::wire::CodecError;
 use serde::{Deserialize, Serialize};
 
 use crate::model::{Config, KeyIndex, Packed, Patch, RouteIndex, VersionMismatch};
@@ -30,7 +30,7 @@
     VersionMismatch(#[from] VersionMismatch),
     /// The update cannot be unpacked.
     #[error(transparent)]
-    Pack(#[from] PackError),
+    Pack(#[from] CodecError),
 }
 
 /// A packed patch, and the version that it is for.
@@ -113,7 +113,7 @@
     /// # Errors
     ///
     /// When the active version cannot be packed.
-    pub fn update_since(&mut self, held: u64) -> Result<Option<ConfigUpdate>, PackError> {
+    pub fn update_since(&mut self, held: u64) -> Result<Option<ConfigUpdate>, CodecError> {
         let Some(current) = self
             .current
             .as_ref()
