--- a/crates/cli/src/args/mod.rs
+++ b/crates/cli/src/args/mod.rs
@@ -4,7 +4,7 @@
 mod explain;
 mod fake;
 mod load;
-mod operate;
+mod operator;
 mod serve;
 mod soak;
 
@@ -14,7 +14,7 @@
 pub use explain::Explain;
 pub use fake::{Fake, FakeServe, FakeTargets};
 pub use load::{Demo, Load, Plot};
-pub use operate::{Apply, Check, Dump, History, Hosts, HostsFrom, Plan, Show, Store};
+pub use operator::{Apply, Check, Dump, History, Hosts, HostsFrom, Plan, Show, Store};
 pub use serve::Serve;
 pub use soak::Soak;
 
@@ -55,25 +55,25 @@
     Edge(#[bpaf(external(edge::edge))] Edge),
     /// Check a directory of configuration files
     #[bpaf(command)]
-    Check(#[bpaf(external(operate::check))] Check),
+    Check(#[bpaf(external(operator::check))] Check),
     /// Show what an apply would change, which shifts it starts and how long they take
     #[bpaf(command)]
-    Plan(#[bpaf(external(operate::plan))] Plan),
+    Plan(#[bpaf(external(operator::plan))] Plan),
     /// Put a configuration in force, as a whole or not at all
     #[bpaf(command)]
-    Apply(#[bpaf(external(operate::apply))] Apply),
+    Apply(#[bpaf(external(operator::apply))] Apply),
     /// Show the configuration in force
     #[bpaf(command)]
-    Show(#[bpaf(external(operate::show))] Show),
+    Show(#[bpaf(external(operator::show))] Show),
     /// List the last applies
     #[bpaf(command)]
-    History(#[bpaf(external(operate::history))] History),
+    History(#[bpaf(external(operator::history))] History),
     /// List the hosts, or those that a caller should use
     #[bpaf(command)]
-    Hosts(#[bpaf(external(operate::hosts))] Hosts),
+    Hosts(#[bpaf(external(operator::hosts))] Hosts),
     /// Show the whole state of a host as JSON
     #[bpaf(command)]
-    Dump(#[bpaf(external(operate::dump))] Dump),
+    Dump(#[bpaf(external(operator::dump))] Dump),
     /// Show one request's way through the logs of hosts
     ///
     /// Reads the structured lines of any number of hosts, prints those about the request in order
--- a/crates/cli/src/caller/keyed.rs
+++ b/crates/cli/src/caller/at_most_once.rs
@@ -8,8 +8,8 @@
 
 use super::{
     Answered, Ask, Caller, Done, Outcome,
-    link::{Attempt, Tried},
-    plain::outcome,
+    connections::{Attempt, Tried},
+    idempotent::outcome,
 };
 
 /// A key with the record of its attempts.
--- a/crates/cli/src/caller/plain.rs
+++ b/crates/cli/src/caller/idempotent.rs
@@ -7,7 +7,7 @@
 
 use super::{
     Answered, Ask, Caller, Done, Outcome,
-    link::{Attempt, Tried},
+    connections::{Attempt, Tried},
 };
 
 /// Tries one host after another until one answers.
--- a/crates/cli/src/caller/mod.rs
+++ b/crates/cli/src/caller/mod.rs
@@ -6,11 +6,11 @@
 //! says for certain what became of it. Only a `run: no` to the latest attempt ends a key; what is
 //! tried after that is a new key.
 
+mod at_most_once;
 mod cache;
-mod keyed;
-mod link;
+mod connections;
+mod idempotent;
 mod outcome;
-mod plain;
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -27,7 +27,7 @@
 pub use outcome::{Answered, Done, Outcome};
 
 use cache::Cache;
-use link::Link;
+use connections::Link;
 
 /// Time that one look-up may take before another host is asked.
 const LOOKUP_TIME: Duration = Duration::from_millis(1000);
@@ -98,8 +98,8 @@
     pub async fn call(&self, ask: &Ask) -> Done {
         let deadline = Instant::now() + ask.time;
         match ask.keyed {
-            true => keyed::run(self, ask, deadline).await,
-            false => plain::run(self, ask, deadline).await,
+            true => at_most_once::run(self, ask, deadline).await,
+            false => idempotent::run(self, ask, deadline).await,
         }
     }
 
--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -13,8 +13,8 @@
 use crate::{
     args::Apply,
     exit::{Exit, Failure},
-    out,
-    rt::block_on,
+    output,
+    runtime::block_on,
 };
 
 /// Time between two looks at the hosts that have yet to follow.
@@ -45,7 +45,7 @@
         let revision = revision(&verdict)?;
         // A revision that was there already has another apply's id.
         let id = matches!(verdict, ApplyOutcome::Applied { .. }).then_some(id);
-        out::line(format_args!("{verdict}"))?;
+        output::line(format_args!("{verdict}"))?;
         match args.list {
             Some(list) if args.wait => follow(list, revision, id.as_deref(), time).await,
             _ => Ok(()),
@@ -89,7 +89,7 @@
     loop {
         let behind = hosts::behind(list, revision, id).await?;
         if behind.is_empty() {
-            out::line(format_args!(
+            output::line(format_args!(
                 "every listed host follows it after {:.1} s",
                 start.elapsed().as_secs_f64()
             ))?;
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -3,12 +3,12 @@
 use dunlinrock_config::config::{self, CheckedConfig};
 use dunlinrock_schema::config::Config;
 
-use crate::{args::Check, exit::Failure, out};
+use crate::{args::Check, exit::Failure, output};
 
 /// Checks a directory and prints what it holds.
 pub(crate) fn check(args: &Check) -> Result<(), Failure> {
     let config = read(&args.dir)?;
-    out::line(format_args!(
+    output::line(format_args!(
         "{}: sound, {}",
         args.dir.display(),
         sizes(&config)
--- a/crates/cli/src/commands/dump.rs
+++ b/crates/cli/src/commands/dump.rs
@@ -11,8 +11,8 @@
 use crate::{
     args::Dump,
     exit::{Exit, Failure},
-    out,
-    rt::block_on,
+    output,
+    runtime::block_on,
 };
 
 /// Largest answer taken, in bytes.
@@ -32,7 +32,7 @@
         );
         return Err(Failure::open(Exit::Failed, message));
     };
-    out::line(format_args!("{value:#}"))?;
+    output::line(format_args!("{value:#}"))?;
     Ok(())
 }
 
--- a/crates/cli/src/commands/edge.rs
+++ b/crates/cli/src/commands/edge.rs
@@ -17,7 +17,7 @@
     args::Edge,
     exit::{Exit, Failure},
     logs,
-    rt::{Signals, block_on},
+    runtime::{Signals, block_on},
 };
 
 /// Pause between two looks whether the settings file has changed: they may take a few seconds to be
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -12,7 +12,7 @@
 use crate::{
     args::Explain,
     exit::{Exit, Failure},
-    out,
+    output,
 };
 
 /// Fields that every line has, or that are shown apart.
@@ -43,14 +43,14 @@
     found.lines.sort_by(|a, b| a.time.total_cmp(&b.time));
     let start = found.lines[0].time;
     for line in &found.lines {
-        out::line(show(line, start))?;
+        output::line(show(line, start))?;
     }
     if found.cut > 0 {
-        out::line(format!("{} lines could not be read", found.cut))?;
+        output::line(format!("{} lines could not be read", found.cut))?;
     }
     if found.dropped > 0 {
         let text = "lines were left out by the hosts; some may be this request's";
-        out::line(format!("{} {text}", found.dropped))?;
+        output::line(format!("{} {text}", found.dropped))?;
     }
     Ok(())
 }
--- a/crates/cli/src/commands/history.rs
+++ b/crates/cli/src/commands/history.rs
@@ -8,8 +8,8 @@
 use crate::{
     args::History,
     exit::{Exit, Failure},
-    out,
-    rt::block_on,
+    output,
+    runtime::block_on,
 };
 
 /// Prints the last applies, newest first.
@@ -21,12 +21,12 @@
             .await
             .map_err(|e| Failure::of(Exit::Away, &e))
     })??;
-    out::line(format_args!(
+    output::line(format_args!(
         "{:>8}  {:<24}  {:<16}  {:<16}",
         "revision", "at", "by", "apply"
     ))?;
     for entry in entries {
-        out::line(format_args!(
+        output::line(format_args!(
             "{:>8}  {:<24}  {:<16}  {:<16}",
             entry.revision,
             date(entry.at_ms),
--- a/crates/cli/src/commands/hosts.rs
+++ b/crates/cli/src/commands/hosts.rs
@@ -15,8 +15,8 @@
 use crate::{
     args::{Hosts, HostsFrom},
     exit::{Exit, Failure},
-    out,
-    rt::block_on,
+    output,
+    runtime::block_on,
 };
 
 /// Time that a call may take.
@@ -78,13 +78,13 @@
 }
 
 fn print_listing(listing: &Listing) -> Result<(), Failure> {
-    out::line(format_args!(
+    output::line(format_args!(
         "{:<16}{:<16}{:<16}{:<22}{:<22}state",
         "host", "region", "domain", "callers", "peers"
     ))?;
     for host in &listing.hosts {
         let state = if host.leaving { "leaving" } else { "live" };
-        out::line(format_args!(
+        output::line(format_args!(
             "{:<16}{:<16}{:<16}{:<22}{:<22}{state}",
             host.name, host.region, host.domain, host.callers, host.peers
         ))?;
@@ -93,18 +93,18 @@
 }
 
 fn print_found(found: &Found) -> Result<(), Failure> {
-    out::line(format_args!(
+    output::line(format_args!(
         "{} at revision {}, for callers near {}; good for {} ms",
         found.service, found.revision, found.region, found.ttl_ms
     ))?;
     for host in &found.hosts {
-        out::line(format_args!(
+        output::line(format_args!(
             "{:<16}{:<22}{:<16}{:>8}",
             host.name, host.address, host.domain, host.weight
         ))?;
     }
     if let Some(binding) = &found.binding {
-        out::line(format_args!(
+        output::line(format_args!(
             "requests that may not be repeated: owner {}, witness {}, key {}.NONCE",
             binding.owner, binding.witness, binding.prefix
         ))?;
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -14,8 +14,8 @@
     caller::{Caller, Rules},
     exit::{Exit, Failure},
     load::{self, Mix, Pace, Report, Tally},
-    out,
-    rt::block_on,
+    output,
+    runtime::block_on,
 };
 
 /// Attempts that a caller makes of one request; its deadline ends most before.
@@ -82,15 +82,15 @@
 
 fn print(report: &Report, json: Option<&Path>) -> Result<(), Failure> {
     let Some(path) = json else {
-        out::print(format_args!("{report}"))?;
+        output::print(format_args!("{report}"))?;
         return Ok(());
     };
     let text = serde_json::to_string_pretty(report).context("writing the report")?;
     if path == Path::new("-") {
-        out::line(format_args!("{text}"))?;
+        output::line(format_args!("{text}"))?;
         return Ok(());
     }
-    out::print(format_args!("{report}"))?;
+    output::print(format_args!("{report}"))?;
     fs::write(path, text + "\n")
         .map_err(|e| Failure::open(Exit::Usage, format!("cannot write {}: {e}", path.display())))
 }
--- a/crates/cli/src/commands/plan.rs
+++ b/crates/cli/src/commands/plan.rs
@@ -3,7 +3,7 @@
 use dunlinrock_config::plan as compare;
 
 use super::{check, store};
-use crate::{args::Plan, exit::Failure, out, rt::block_on};
+use crate::{args::Plan, exit::Failure, output, runtime::block_on};
 
 /// Prints the difference between a directory and what is in force.
 pub(crate) fn plan(args: &Plan) -> Result<(), Failure> {
@@ -14,9 +14,9 @@
         Some(found) => (found.root.now.revision, found.config),
         None => (0, dunlinrock_schema::config::Config::default()),
     };
-    out::line(format_args!("against revision {revision}:"))?;
-    out::print(format_args!("{}", compare::plan(&old, &new)))?;
-    out::line(format_args!(
+    output::line(format_args!("against revision {revision}:"))?;
+    output::print(format_args!("{}", compare::plan(&old, &new)))?;
+    output::line(format_args!(
         "apply with --base {revision} to be told if another apply comes first"
     ))?;
     Ok(())
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -10,7 +10,7 @@
     args::Serve,
     exit::{Exit, Failure},
     logs,
-    rt::{Signals, block_on},
+    runtime::{Signals, block_on},
 };
 
 /// Runs a host until a signal, then until its planned stop is over.
--- a/crates/cli/src/commands/show.rs
+++ b/crates/cli/src/commands/show.rs
@@ -3,17 +3,17 @@
 use anyhow::Context;
 
 use super::store;
-use crate::{args::Show, exit::Failure, out, rt::block_on};
+use crate::{args::Show, exit::Failure, output, runtime::block_on};
 
 /// Prints the configuration in force as TOML that `apply` takes.
 pub(crate) fn show(args: &Show) -> Result<(), Failure> {
     let found = block_on(store::read_some(&args.store))??;
     let now = &found.root.now;
-    out::line(format_args!(
+    output::line(format_args!(
         "# Revision {} by {}, apply {}",
         now.revision, now.by, now.id
     ))?;
     let text = toml::to_string(&found.config).context("writing the configuration")?;
-    out::print(format_args!("{text}"))?;
+    output::print(format_args!("{text}"))?;
     Ok(())
 }
--- a/crates/cli/src/demo/callers.rs
+++ b/crates/cli/src/demo/callers.rs
@@ -7,7 +7,7 @@
 
 use dunlinrock_schema::config::Config;
 
-use super::stage::Stage;
+use super::deployment::Stage;
 use crate::caller::{Caller, Rules};
 
 /// Callers near each region.
--- a/crates/cli/src/demo/stage.rs
+++ b/crates/cli/src/demo/deployment.rs
@@ -18,8 +18,8 @@
 
 use crate::{
     exit::{Exit, Failure},
-    rt::block_on,
-    stand,
+    fake_targets,
+    runtime::block_on,
 };
 
 /// Hosts in each failure domain.
@@ -63,7 +63,7 @@
 impl Stage {
     /// Brings everything up, and waits until every host is ready.
     pub(super) fn open(mut config: Config) -> Result<Self, Failure> {
-        let targets = stand::bind(&mut config, true, 0)?;
+        let targets = fake_targets::bind(&mut config, true, 0)?;
         let rules = ListOptions {
             visibility_delay: LIST_LAG,
             ..ListOptions::default()
--- a/crates/cli/src/demo/audit.rs
+++ b/crates/cli/src/demo/invariants.rs
@@ -4,8 +4,8 @@
 
 use super::{
     Stopped,
-    probe::Samples,
-    stage::{Drained, Stage},
+    deployment::{Drained, Stage},
+    sampler::Samples,
 };
 use crate::{
     exit::{Exit, Failure},
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -1,9 +1,9 @@
 //! `demo`: a deployment with load, a drained failure domain and a planned stop, in one process.
 
-mod audit;
 mod callers;
-mod probe;
-mod stage;
+mod deployment;
+mod invariants;
+mod sampler;
 mod table;
 
 use std::{
@@ -20,13 +20,13 @@
     commands,
     exit::{Exit, Failure},
     load::{self, Mix, Pace, Tally},
-    out,
-    rt::block_on,
+    output,
+    runtime::block_on,
 };
 
-use audit::Audit;
-use probe::Probe;
-use stage::Stage;
+use deployment::Stage;
+use invariants::Audit;
+use sampler::Probe;
 
 /// Time that the load goes on for.
 const LOAD: Duration = Duration::from_secs(15);
@@ -52,13 +52,13 @@
         return Err(Failure::open(Exit::Usage, "--rate takes a number above 0"));
     }
     let config = commands::read(&args.dir)?;
-    out::line(format_args!(
+    output::line(format_args!(
         "{}: {}",
         args.dir.display(),
         commands::sizes(&config)
     ))?;
     let mut stage = Stage::open(config)?;
-    out::line(format_args!(
+    output::line(format_args!(
         "{} hosts are ready at revision {}",
         stage.hosts.len(),
         stage.revision()
@@ -77,7 +77,7 @@
     progress(start, DRAIN_AT, &tally)?;
     let drain = stage.drain(&earlier)?;
     probe.drain(&drain.domain);
-    out::line(format_args!(
+    output::line(format_args!(
         "drain of domain {} is in force, {:.3} s after its apply began",
         drain.domain,
         drain.at.elapsed().as_secs_f64()
@@ -90,7 +90,7 @@
     let samples = probe.stop()?;
     let tally = lock(&tally).clone();
     let audit = Audit::of(&stage, &tally, &samples, &drain, stop);
-    out::print(format_args!(
+    output::print(format_args!(
         "{}",
         table::table(&stage, &pace, &tally, &samples, &audit)
     ))?;
@@ -124,7 +124,7 @@
     let Some(host) = stage.take_host(drained) else {
         return Ok(None);
     };
-    out::line(format_args!("planned stop of host {} begins", host.name()))?;
+    output::line(format_args!("planned stop of host {} begins", host.name()))?;
     spawn("stop", move || stop_host(host)).map(Some)
 }
 
@@ -159,13 +159,13 @@
             other += totals.ended() - totals.answered;
         }
         let end = if live { '\r' } else { '\n' };
-        out::print(format_args!(
+        output::print(format_args!(
             "{:>4.0} s: {sent:>6} sent, {answered:>6} answered, {other:>4} not{end}",
             start.elapsed().as_secs_f64()
         ))?;
     }
     if live {
-        out::line("")?;
+        output::line("")?;
     }
     Ok(())
 }
--- a/crates/cli/src/demo/probe.rs
+++ b/crates/cli/src/demo/sampler.rs
@@ -12,7 +12,7 @@
 
 use dunlinrock_fakes::Target;
 
-use super::{join, spawn, stage::Stage};
+use super::{deployment::Stage, join, spawn};
 use crate::exit::Failure;
 
 /// Time between two looks.
--- a/crates/cli/src/demo/table.rs
+++ b/crates/cli/src/demo/table.rs
@@ -6,7 +6,7 @@
     sync::Arc,
 };
 
-use super::{audit::Audit, probe::Samples, stage::Stage};
+use super::{deployment::Stage, invariants::Audit, sampler::Samples};
 use crate::load::{Pace, Report, Tally};
 
 /// Writes the table.
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -21,12 +21,12 @@
 mod commands;
 mod demo;
 pub mod exit;
+mod fake_targets;
 pub mod load;
 mod logs;
-mod out;
-mod rt;
+mod output;
+mod runtime;
 mod soak;
-mod stand;
 
 use std::process::ExitCode;
 
--- a/crates/cli/src/load/mod.rs
+++ b/crates/cli/src/load/mod.rs
@@ -4,9 +4,9 @@
 //! times count from that moment. A load that waited for answers would slow down with the system and
 //! hide how long callers wait.
 
-mod check;
 mod report;
-mod tally;
+mod response_check;
+mod stats;
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -19,7 +19,7 @@
 use tokio::{task::JoinSet, time::Instant};
 
 pub use report::{Report, Share};
-pub use tally::{Tally, Totals};
+pub use stats::{Tally, Totals};
 
 use crate::caller::{Ask, Caller, Outcome};
 
@@ -100,8 +100,8 @@
     let done = caller.call(ask).await;
     let time = due.elapsed();
     let whole = match &done.outcome {
-        Outcome::Answered(answered) => check::check(ask, answered),
-        _ => check::Verdict::Right,
+        Outcome::Answered(answered) => response_check::check(ask, answered),
+        _ => response_check::Verdict::Right,
     };
     let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
     tally.ended(&ask.service, &done, whole, time);
--- a/crates/cli/src/load/tally.rs
+++ b/crates/cli/src/load/stats.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use serde::Deserialize;
 
-use super::check::Verdict;
+use super::response_check::Verdict;
 use crate::caller::{Answered, Done, Outcome};
 
 /// Longest time that is told apart, in microseconds.
--- a/crates/cli/src/soak/callers.rs
+++ b/crates/cli/src/soak/callers.rs
@@ -23,7 +23,7 @@
 use tokio::net::TcpStream;
 
 use super::{
-    fleet::NAME,
+    deployment::NAME,
     keys::{Key, SharedKeys},
 };
 
--- a/crates/cli/src/soak/faults.rs
+++ b/crates/cli/src/soak/faults.rs
@@ -7,7 +7,7 @@
 
 use super::{
     callers::Calm,
-    fleet::{DOMAINS, Fleet, sound},
+    deployment::{DOMAINS, Fleet, sound},
     plan::Fault,
     proxy::Mode,
 };
--- a/crates/cli/src/soak/mod.rs
+++ b/crates/cli/src/soak/mod.rs
@@ -7,23 +7,23 @@
 //! targets see, and never how long something took: a busy machine changes no verdict.
 
 mod callers;
+mod deployment;
 mod faults;
-mod fleet;
-mod judge;
 mod keys;
 mod plan;
 mod proxy;
+mod runner;
 
 use std::path::{Path, PathBuf};
 
 use anyhow::Context;
 
-use self::{fleet::Fleet, judge::Verdict, plan::Plan};
+use self::{deployment::Fleet, plan::Plan, runner::Verdict};
 use crate::{
     args::Soak,
     exit::{Exit, Failure},
-    out,
-    rt::block_on,
+    output,
+    runtime::block_on,
 };
 
 /// Hosts of a plan at most: each has an address of its own, of which the last number counts.
@@ -39,14 +39,14 @@
     for seed in args.seed..args.seed + args.plans {
         let plan = Plan::open(seed, args.hosts, args.faults);
         let verdict = play(&plan, args.keep.as_deref())?;
-        out::line(format!("seed {seed}: {verdict}"))?;
+        output::line(format!("seed {seed}: {verdict}"))?;
         if verdict.breaks.is_empty() {
             continue;
         }
         broken += 1;
         if args.shrink {
             let least = shrink(plan, args.keep.as_deref())?;
-            out::line(format!(
+            output::line(format!(
                 "fewest faults that still break a promise:\n{least}"
             ))?;
         }
@@ -65,7 +65,7 @@
     let dir = folder(plan.seed, keep)?;
     let verdict = block_on(async {
         let fleet = Fleet::spawn(&dir, plan.hosts).await?;
-        judge::watch(fleet, plan).await
+        runner::watch(fleet, plan).await
     })??;
     if verdict.breaks.is_empty() {
         std::fs::remove_dir_all(&dir).with_context(|| format!("removing {}", dir.display()))?;
--- a/crates/cli/src/soak/judge.rs
+++ b/crates/cli/src/soak/runner.rs
@@ -12,8 +12,8 @@
 
 use super::{
     callers::{Callers, lock},
+    deployment::Fleet,
     faults,
-    fleet::Fleet,
     plan::{Fault, Plan},
 };
 
