--- a/crates/cli/src/caller/at_most_once.rs
+++ b/crates/cli/src/caller/at_most_once.rs
@@ -7,8 +7,8 @@
 use tokio::time::Instant;
 
 use super::{
-    Answered, Ask, Caller, Done, Outcome,
-    connections::{Attempt, Tried},
+    CallRequest, CallResult, Caller, Outcome, TargetResponse,
+    connections::{AttemptHeaders, AttemptResult},
     idempotent::outcome,
 };
 
@@ -21,7 +21,7 @@
     /// relies on knowing whether another host may have seen the key.
     sent: PriorAttempts,
     /// Whether the next attempt goes to the witness.
-    turn: bool,
+    at_witness: bool,
 }
 
 impl Key {
@@ -31,17 +31,21 @@
             owner: binding.owner.parse().ok()?,
             witness: binding.witness.parse().ok()?,
             sent: PriorAttempts::NONE,
-            turn: false,
+            at_witness: false,
         })
     }
 
     fn at(&self) -> SocketAddr {
-        if self.turn { self.witness } else { self.owner }
+        if self.at_witness {
+            self.witness
+        } else {
+            self.owner
+        }
     }
 
     /// Notes an attempt that a host may have seen.
-    fn note(&mut self) {
-        match self.turn {
+    fn count_attempt(&mut self) {
+        match self.at_witness {
             true => self.sent.witness += 1,
             false => self.sent.owner += 1,
         }
@@ -52,8 +56,8 @@
     }
 
     /// Turns to the other host; a key of one host alone stays with it.
-    fn turn(&mut self) {
-        self.turn = !self.turn && self.owner != self.witness;
+    fn switch_host(&mut self) {
+        self.at_witness = !self.at_witness && self.owner != self.witness;
     }
 }
 
@@ -62,75 +66,75 @@
     /// The request has ended.
     End,
     /// The same key goes to its other host, after a time.
-    Other(Option<Duration>),
+    SameKey(Option<Duration>),
     /// This key is closed for good; a new one may be tried, after a time.
-    Anew(Option<Duration>),
+    NewKey(Option<Duration>),
 }
 
 /// Runs a request under one key after another; a new key only where the last one will never run.
-pub(super) async fn run(caller: &Caller, ask: &Ask, deadline: Instant) -> Done {
-    let mut done = Done {
+pub(super) async fn run(caller: &Caller, request: &CallRequest, deadline: Instant) -> CallResult {
+    let mut result = CallResult {
         outcome: Outcome::NotRun("no host answered a look-up".into()),
         attempts: 0,
-        refused: Vec::new(),
+        not_run_keys: Vec::new(),
         key: None,
     };
-    let mut left = caller.rules.attempts;
-    while left > 0 {
-        let Some(mut key) = bind(caller, ask, deadline).await else {
-            return done;
+    let mut remaining = caller.options.attempts;
+    while remaining > 0 {
+        let Some(mut key) = bind(caller, request, deadline).await else {
+            return result;
         };
-        done.key = Some(Arc::clone(&key.text));
+        result.key = Some(Arc::clone(&key.text));
         loop {
-            left -= 1;
-            let wait = match attempt(caller, ask, deadline, &mut key, &mut done).await {
-                Next::End => return done,
-                Next::Other(wait) => {
-                    key.turn();
+            remaining -= 1;
+            let wait = match attempt(caller, request, deadline, &mut key, &mut result).await {
+                Next::End => return result,
+                Next::SameKey(wait) => {
+                    key.switch_host();
                     wait
                 }
-                Next::Anew(wait) => {
-                    caller.forget(&ask.service);
-                    if left == 0 || !caller.pause(wait, deadline).await {
-                        return done;
+                Next::NewKey(wait) => {
+                    caller.invalidate(&request.service);
+                    if remaining == 0 || !caller.backoff(wait, deadline).await {
+                        return result;
                     }
                     break;
                 }
             };
-            if left == 0 || !caller.pause(wait, deadline).await {
-                return done;
+            if remaining == 0 || !caller.backoff(wait, deadline).await {
+                return result;
             }
         }
     }
-    done
+    result
 }
 
-async fn bind(caller: &Caller, ask: &Ask, deadline: Instant) -> Option<Key> {
-    let hosts = caller.look_up(&ask.service, deadline).await?;
+async fn bind(caller: &Caller, request: &CallRequest, deadline: Instant) -> Option<Key> {
+    let hosts = caller.look_up(&request.service, deadline).await?;
     Key::open(hosts.binding.as_ref()?, &Caller::nonce())
 }
 
 async fn attempt(
     caller: &Caller,
-    ask: &Ask,
+    request: &CallRequest,
     deadline: Instant,
     key: &mut Key,
-    done: &mut Done,
+    result: &mut CallResult,
 ) -> Next {
     let at = key.at();
-    let head = Attempt {
+    let head = AttemptHeaders {
         caller: caller.name(),
         deadline,
         key: Some((&key.text, key.sent.to_string())),
     };
-    let tried = caller.link.attempt(at, ask, &head).await;
-    if !matches!(tried, Tried::Unsent) {
-        key.note();
-        done.attempts += 1;
+    let tried = caller.connections.attempt(at, request, &head).await;
+    if !matches!(tried, AttemptResult::NotSent) {
+        key.count_attempt();
+        result.attempts += 1;
     }
     match tried {
-        Tried::Answer(status, body) => {
-            done.outcome = Outcome::Answered(Answered {
+        AttemptResult::Answer(status, body) => {
+            result.outcome = Outcome::Answered(TargetResponse {
                 status,
                 body,
                 host: at,
@@ -138,30 +142,32 @@
             });
             Next::End
         }
-        Tried::Problem(problem) => answered(&problem, key, done),
+        AttemptResult::Problem(problem) => handle_problem(&problem, key, result),
         // Neither side has seen the key: nobody can run it, so it may be given up for a new one.
-        Tried::Unsent if !key.is_sent() && (key.turn || key.owner == key.witness) => {
-            done.outcome = Outcome::NotRun("no host could be reached".into());
-            Next::Anew(None)
+        AttemptResult::NotSent
+            if !key.is_sent() && (key.at_witness || key.owner == key.witness) =>
+        {
+            result.outcome = Outcome::NotRun("no host could be reached".into());
+            Next::NewKey(None)
         }
-        Tried::Unsent => Next::Other(None),
-        Tried::Lost => {
-            done.outcome = Outcome::Unknown("a host gave no whole answer".into());
-            Next::Other(None)
+        AttemptResult::NotSent => Next::SameKey(None),
+        AttemptResult::Incomplete => {
+            result.outcome = Outcome::Unknown("a host gave no whole answer".into());
+            Next::SameKey(None)
         }
     }
 }
 
-fn answered(problem: &Problem, key: &Key, done: &mut Done) -> Next {
+fn handle_problem(problem: &Problem, key: &Key, result: &mut CallResult) -> Next {
     let wait = problem.retry_after_ms.map(Duration::from_millis);
-    done.outcome = outcome(problem.run, &problem.detail);
+    result.outcome = outcome(problem.run, &problem.detail);
     match problem.run {
         Run::Yes => Next::End,
-        Run::Unknown => Next::Other(wait),
+        Run::Unknown => Next::SameKey(wait),
         Run::No => {
-            done.refused.push(Arc::clone(&key.text));
+            result.not_run_keys.push(Arc::clone(&key.text));
             match wait {
-                Some(_) => Next::Anew(wait),
+                Some(_) => Next::NewKey(wait),
                 None => Next::End,
             }
         }
--- a/crates/cli/src/caller/cache.rs
+++ b/crates/cli/src/caller/cache.rs
@@ -12,32 +12,32 @@
 
 /// Answers to look-ups, each for as long as it may be used.
 pub(super) struct Cache {
-    answers: BTreeMap<Arc<str>, (Instant, Arc<Hosts>)>,
+    entries: BTreeMap<Arc<str>, (Instant, Arc<Hosts>)>,
     /// Where a caller starts; kept for good, since all others may be gone one day.
-    starts: Vec<SocketAddr>,
+    seeds: Vec<SocketAddr>,
     /// Hosts named by answers that did not fail since.
-    named: BTreeSet<SocketAddr>,
+    discovered: BTreeSet<SocketAddr>,
 }
 
 impl Cache {
-    pub(super) fn open(starts: &[SocketAddr]) -> Self {
+    pub(super) fn open(seeds: &[SocketAddr]) -> Self {
         Self {
-            answers: BTreeMap::new(),
-            starts: starts.to_vec(),
-            named: BTreeSet::new(),
+            entries: BTreeMap::new(),
+            seeds: seeds.to_vec(),
+            discovered: BTreeSet::new(),
         }
     }
 
     /// Finds an answer that may still be used.
-    pub(super) fn find(&self, service: &str, now: Instant) -> Option<Arc<Hosts>> {
-        let (until, hosts) = self.answers.get(service)?;
-        (now < *until).then(|| Arc::clone(hosts))
+    pub(super) fn get(&self, service: &str, now: Instant) -> Option<Arc<Hosts>> {
+        let (expires_at, hosts) = self.entries.get(service)?;
+        (now < *expires_at).then(|| Arc::clone(hosts))
     }
 
     /// Keeps an answer.
-    pub(super) fn keep(&mut self, hosts: Hosts, now: Instant) -> Arc<Hosts> {
-        let until = now + Duration::from_millis(hosts.ttl_ms);
-        self.named.extend(
+    pub(super) fn insert(&mut self, hosts: Hosts, now: Instant) -> Arc<Hosts> {
+        let expires_at = now + Duration::from_millis(hosts.ttl_ms);
+        self.discovered.extend(
             hosts
                 .hosts
                 .iter()
@@ -45,24 +45,25 @@
         );
         let service = Arc::clone(&hosts.service);
         let hosts = Arc::new(hosts);
-        self.answers.insert(service, (until, Arc::clone(&hosts)));
+        self.entries
+            .insert(service, (expires_at, Arc::clone(&hosts)));
         hosts
     }
 
-    pub(super) fn forget(&mut self, service: &str) {
-        self.answers.remove(service);
+    pub(super) fn remove(&mut self, service: &str) {
+        self.entries.remove(service);
     }
 
     /// Leaves a host out until an answer names it again.
-    pub(super) fn doubt(&mut self, at: SocketAddr) {
-        self.named.remove(&at);
+    pub(super) fn remove_host(&mut self, at: SocketAddr) {
+        self.discovered.remove(&at);
     }
 
     /// Gives the hosts to ask: those named, or the first ones where none is left.
-    pub(super) fn known(&self) -> Vec<SocketAddr> {
-        match self.named.is_empty() {
-            true => self.starts.clone(),
-            false => self.named.iter().copied().collect(),
+    pub(super) fn candidates(&self) -> Vec<SocketAddr> {
+        match self.discovered.is_empty() {
+            true => self.seeds.clone(),
+            false => self.discovered.iter().copied().collect(),
         }
     }
 }
--- a/crates/cli/src/caller/connections.rs
+++ b/crates/cli/src/caller/connections.rs
@@ -17,39 +17,39 @@
 };
 use tokio::time::Instant;
 
-use super::Ask;
+use super::CallRequest;
 
 /// Largest answer taken, in bytes.
-const ANSWER: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Time to open a connection.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time that a connection without requests is kept.
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time beyond the deadline that a host's last word is waited for. A host that gives a request up at
 /// its deadline says whether it ran; a caller that hangs up at the same moment would miss that.
-const GRACE: Duration = Duration::from_millis(500);
+const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
 /// Media type of an error answer.
 const PROBLEM: &str = "application/problem+json";
 
 /// What one attempt gives.
 #[derive(Debug)]
-pub(super) enum Tried {
+pub(super) enum AttemptResult {
     /// A target's whole answer.
     Answer(StatusCode, Bytes),
     /// A host's error answer.
     Problem(Problem),
     /// No connection: the host has not seen the request.
-    Unsent,
+    NotSent,
     /// No whole answer: the request may have run.
-    Lost,
+    Incomplete,
 }
 
 /// The head fields of an attempt.
-pub(super) struct Attempt<'a> {
+pub(super) struct AttemptHeaders<'a> {
     pub(super) caller: &'a Arc<str>,
     pub(super) deadline: Instant,
     /// Key and the record of its earlier attempts.
@@ -57,19 +57,19 @@
 }
 
 /// Connections of one caller.
-pub(super) struct Link {
+pub(super) struct Connections {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-impl Link {
-    pub(super) fn open(from: Option<IpAddr>) -> Self {
+impl Connections {
+    pub(super) fn open(local_addr: Option<IpAddr>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT));
-        connector.set_local_address(from);
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
+        connector.set_local_address(local_addr);
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .build(connector);
         Self { client }
     }
@@ -91,51 +91,61 @@
     }
 
     /// Sends a request to one host.
-    pub(super) async fn attempt(&self, at: SocketAddr, ask: &Ask, head: &Attempt<'_>) -> Tried {
-        let left = head.deadline.saturating_duration_since(Instant::now());
-        let millis = u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1);
+    pub(super) async fn attempt(
+        &self,
+        at: SocketAddr,
+        request: &CallRequest,
+        head: &AttemptHeaders<'_>,
+    ) -> AttemptResult {
+        let remaining = head.deadline.saturating_duration_since(Instant::now());
+        let millis = u64::try_from(remaining.as_millis())
+            .unwrap_or(u64::MAX)
+            .max(1);
         let mut req = Request::builder()
-            .method(ask.method.clone())
-            .uri(format!("http://{at}/v1/call/{}{}", ask.service, ask.path))
+            .method(request.method.clone())
+            .uri(format!(
+                "http://{at}/v1/call/{}{}",
+                request.service, request.path
+            ))
             .header(wire::TIMEOUT, millis)
             .header(wire::CALLER, &**head.caller);
         if let Some((key, attempts)) = &head.key {
             req = req.header(wire::KEY, *key).header(wire::ATTEMPTS, attempts);
         }
-        let Ok(req) = req.body(Full::new(ask.body.clone())) else {
-            return Tried::Unsent;
+        let Ok(req) = req.body(Full::new(request.body.clone())) else {
+            return AttemptResult::NotSent;
         };
-        match tokio::time::timeout(left + GRACE, self.exchange(req)).await {
+        match tokio::time::timeout(remaining + RESPONSE_GRACE, self.exchange(req)).await {
             Ok(Ok((status, headers, body))) => read(status, &headers, body),
             Ok(Err(failure)) => failure,
-            Err(_) => Tried::Lost,
+            Err(_) => AttemptResult::Incomplete,
         }
     }
 
     async fn exchange(
         &self,
         req: Request<Full<Bytes>>,
-    ) -> Result<(StatusCode, HeaderMap, Bytes), Tried> {
+    ) -> Result<(StatusCode, HeaderMap, Bytes), AttemptResult> {
         let res = match self.client.request(req).await {
             Ok(res) => res,
-            Err(e) if e.is_connect() => return Err(Tried::Unsent),
-            Err(_) => return Err(Tried::Lost),
+            Err(e) if e.is_connect() => return Err(AttemptResult::NotSent),
+            Err(_) => return Err(AttemptResult::Incomplete),
         };
         let (head, body) = res.into_parts();
-        match Limited::new(body, ANSWER).collect().await {
+        match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
             Ok(body) => Ok((head.status, head.headers, body.to_bytes())),
-            Err(_) => Err(Tried::Lost),
+            Err(_) => Err(AttemptResult::Incomplete),
         }
     }
 }
 
-fn read(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Tried {
+fn read(status: StatusCode, headers: &HeaderMap, body: Bytes) -> AttemptResult {
     let kind = headers.get(header::CONTENT_TYPE);
     if kind.is_none_or(|kind| kind != PROBLEM) {
-        return Tried::Answer(status, body);
+        return AttemptResult::Answer(status, body);
     }
     match serde_json::from_slice(&body) {
-        Ok(problem) => Tried::Problem(problem),
-        Err(_) => Tried::Lost,
+        Ok(problem) => AttemptResult::Problem(problem),
+        Err(_) => AttemptResult::Incomplete,
     }
 }
--- a/crates/cli/src/caller/idempotent.rs
+++ b/crates/cli/src/caller/idempotent.rs
@@ -6,76 +6,76 @@
 use tokio::time::Instant;
 
 use super::{
-    Answered, Ask, Caller, Done, Outcome,
-    connections::{Attempt, Tried},
+    CallRequest, CallResult, Caller, Outcome, TargetResponse,
+    connections::{AttemptHeaders, AttemptResult},
 };
 
 /// Tries one host after another until one answers.
-pub(super) async fn run(caller: &Caller, ask: &Ask, deadline: Instant) -> Done {
-    let mut done = Done {
+pub(super) async fn run(caller: &Caller, request: &CallRequest, deadline: Instant) -> CallResult {
+    let mut result = CallResult {
         outcome: Outcome::NotRun("no host answered a look-up".into()),
         attempts: 0,
-        refused: Vec::new(),
+        not_run_keys: Vec::new(),
         key: None,
     };
     let mut tried = Vec::new();
-    for _ in 0..caller.rules.attempts {
-        let Some(hosts) = caller.look_up(&ask.service, deadline).await else {
-            return done;
+    for _ in 0..caller.options.attempts {
+        let Some(hosts) = caller.look_up(&request.service, deadline).await else {
+            return result;
         };
         let Some(at) = choose(caller, &hosts.hosts, &tried) else {
-            return done;
+            return result;
         };
-        let head = Attempt {
+        let head = AttemptHeaders {
             caller: caller.name(),
             deadline,
             key: None,
         };
-        let wait = match caller.link.attempt(at, ask, &head).await {
-            Tried::Answer(status, body) => {
-                done.attempts += 1;
-                done.outcome = Outcome::Answered(Answered {
+        let wait = match caller.connections.attempt(at, request, &head).await {
+            AttemptResult::Answer(status, body) => {
+                result.attempts += 1;
+                result.outcome = Outcome::Answered(TargetResponse {
                     status,
                     body,
                     host: at,
                     key: None,
                 });
-                return done;
+                return result;
             }
-            Tried::Problem(problem) => {
-                done.attempts += 1;
+            AttemptResult::Problem(problem) => {
+                result.attempts += 1;
                 let wait = problem.retry_after_ms.map(Duration::from_millis);
-                done.outcome = outcome(problem.run, &problem.detail);
+                result.outcome = outcome(problem.run, &problem.detail);
                 if problem.run == Run::No && wait.is_none() {
-                    return done;
+                    return result;
                 }
                 wait
             }
-            Tried::Unsent => {
-                caller.forget(&ask.service);
-                done.outcome = Outcome::NotRun("no host could be reached".into());
+            AttemptResult::NotSent => {
+                caller.invalidate(&request.service);
+                result.outcome = Outcome::NotRun("no host could be reached".into());
                 None
             }
-            Tried::Lost => {
-                done.attempts += 1;
-                caller.forget(&ask.service);
-                done.outcome = Outcome::Unknown("a host gave no whole answer".into());
+            AttemptResult::Incomplete => {
+                result.attempts += 1;
+                caller.invalidate(&request.service);
+                result.outcome = Outcome::Unknown("a host gave no whole answer".into());
                 None
             }
         };
         tried.push(at);
-        if !caller.pause(wait, deadline).await {
-            return done;
+        if !caller.backoff(wait, deadline).await {
+            return result;
         }
     }
-    done
+    result
 }
 
 pub(super) fn outcome(run: Run, detail: &Arc<str>) -> Outcome {
     match run {
         Run::No => Outcome::NotRun(Arc::clone(detail)),
         Run::Unknown => Outcome::Unknown(Arc::clone(detail)),
-        Run::Yes => Outcome::Ran,
+        Run::Yes => Outcome::ResponseLost,
     }
 }
 
@@ -86,9 +86,9 @@
         Some((address, host.weight))
     });
     let all: Vec<_> = all.collect();
-    let fresh = all.iter().filter(|(at, _)| !tried.contains(at));
-    let fresh: Vec<_> = fresh.copied().collect();
-    let from = if fresh.is_empty() { all } else { fresh };
+    let untried = all.iter().filter(|(at, _)| !tried.contains(at));
+    let untried: Vec<_> = untried.copied().collect();
+    let from = if untried.is_empty() { all } else { untried };
     let sum: u64 = from.iter().map(|(_, weight)| weight).sum();
     if sum == 0 {
         return from.first().map(|(at, _)| *at);
--- a/crates/cli/src/caller/mod.rs
+++ b/crates/cli/src/caller/mod.rs
@@ -24,29 +24,29 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use tokio::time::Instant;
 
-pub use outcome::{Answered, Done, Outcome};
+pub use outcome::{CallResult, Outcome, TargetResponse};
 
 use cache::Cache;
-use connections::Link;
+use connections::Connections;
 
 /// Time that one look-up may take before another host is asked.
-const LOOKUP_TIME: Duration = Duration::from_millis(1000);
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Hosts that one look-up asks in turn.
-const LOOKUP_TRIES: usize = 4;
+const MAX_LOOKUP_ATTEMPTS: usize = 4;
 
 /// Longest pause before another attempt where no time was given; attempts are spread over it.
-const PAUSE: Duration = Duration::from_millis(40);
+const BACKOFF: Duration = Duration::from_millis(40);
 
 /// Who a caller is and how hard it tries.
 #[derive(Clone, Debug)]
-pub struct Rules {
+pub struct CallerOptions {
     /// Name, by which hosts give fair shares.
     pub name: Arc<str>,
     /// Hosts to ask first; look-ups name more.
-    pub starts: Vec<SocketAddr>,
+    pub seeds: Vec<SocketAddr>,
     /// Own address to call from; the system's choice where absent.
-    pub from: Option<IpAddr>,
+    pub local_addr: Option<IpAddr>,
     /// Attempts of a request, all keys together.
     pub attempts: u32,
     /// Seed of its choices.
@@ -55,7 +55,7 @@
 
 /// A request.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct CallRequest {
     /// Service to run it.
     pub service: Arc<str>,
     /// Method.
@@ -65,63 +65,63 @@
     /// Body.
     pub body: Bytes,
     /// Time in which an answer is of use.
-    pub time: Duration,
+    pub timeout: Duration,
     /// Whether it must run at most once, and so goes under a key.
-    pub keyed: bool,
+    pub at_most_once: bool,
 }
 
 /// A caller; it may have many requests on their way at once.
 pub struct Caller {
-    rules: Rules,
-    link: Link,
+    options: CallerOptions,
+    connections: Connections,
     cache: Mutex<Cache>,
     rng: Mutex<SmallRng>,
 }
 
 impl Caller {
     /// Opens a caller; it connects when it first calls.
-    pub fn open(rules: Rules) -> Self {
+    pub fn open(options: CallerOptions) -> Self {
         Self {
-            link: Link::open(rules.from),
-            cache: Mutex::new(Cache::open(&rules.starts)),
-            rng: Mutex::new(SmallRng::seed_from_u64(rules.seed)),
-            rules,
+            connections: Connections::open(options.local_addr),
+            cache: Mutex::new(Cache::open(&options.seeds)),
+            rng: Mutex::new(SmallRng::seed_from_u64(options.seed)),
+            options,
         }
     }
 
     /// Gives the caller's name.
     pub fn name(&self) -> &Arc<str> {
-        &self.rules.name
+        &self.options.name
     }
 
     /// Runs a request, with retries, until its time is over.
-    pub async fn call(&self, ask: &Ask) -> Done {
-        let deadline = Instant::now() + ask.time;
-        match ask.keyed {
-            true => at_most_once::run(self, ask, deadline).await,
-            false => idempotent::run(self, ask, deadline).await,
+    pub async fn call(&self, request: &CallRequest) -> CallResult {
+        let deadline = Instant::now() + request.timeout;
+        match request.at_most_once {
+            true => at_most_once::run(self, request, deadline).await,
+            false => idempotent::run(self, request, deadline).await,
         }
     }
 
     /// Finds the hosts of a service: from memory while the last answer may be used, else by asking.
     async fn look_up(&self, service: &str, deadline: Instant) -> Option<Arc<Hosts>> {
-        if let Some(hosts) = self.cache().find(service, Instant::now()) {
+        if let Some(hosts) = self.cache().get(service, Instant::now()) {
             return Some(hosts);
         }
-        for _ in 0..LOOKUP_TRIES {
-            let at = self.pick(&self.cache().known())?;
-            let time = LOOKUP_TIME.min(deadline.saturating_duration_since(Instant::now()));
-            match self.link.hosts(at, service, time).await {
-                Some(hosts) => return Some(self.cache().keep(hosts, Instant::now())),
-                None => self.cache().doubt(at),
+        for _ in 0..MAX_LOOKUP_ATTEMPTS {
+            let at = self.pick(&self.cache().candidates())?;
+            let time = LOOKUP_TIMEOUT.min(deadline.saturating_duration_since(Instant::now()));
+            match self.connections.hosts(at, service, time).await {
+                Some(hosts) => return Some(self.cache().insert(hosts, Instant::now())),
+                None => self.cache().remove_host(at),
             }
         }
         None
     }
 
     /// Drops what is remembered of a service, so that the next request asks again.
-    fn forget(&self, service: &str) {
-        self.cache().forget(service);
+    fn invalidate(&self, service: &str) {
+        self.cache().remove(service);
     }
 
     fn cache(&self) -> std::sync::MutexGuard<'_, Cache> {
@@ -147,8 +147,8 @@
     }
 
     /// Waits before another attempt; `false` where that would pass the deadline.
-    async fn pause(&self, asked: Option<Duration>, deadline: Instant) -> bool {
-        let spread = u64::try_from(PAUSE.as_micros()).unwrap_or(u64::MAX);
+    async fn backoff(&self, asked: Option<Duration>, deadline: Instant) -> bool {
+        let spread = u64::try_from(BACKOFF.as_micros()).unwrap_or(u64::MAX);
         let jitter = Duration::from_micros(self.draw(spread));
         let until = Instant::now() + asked.unwrap_or_default() + jitter;
         if until >= deadline {
--- a/crates/cli/src/caller/outcome.rs
+++ b/crates/cli/src/caller/outcome.rs
@@ -7,7 +7,7 @@
 
 /// A whole answer of a target.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct TargetResponse {
     /// Status.
     pub status: StatusCode,
     /// Body, whole.
@@ -22,24 +22,24 @@
 #[derive(Clone, Debug)]
 pub enum Outcome {
     /// With an answer.
-    Answered(Answered),
+    Answered(TargetResponse),
     /// It did not run and will not.
     NotRun(Arc<str>),
     /// Nobody could tell whether it ran.
     Unknown(Arc<str>),
     /// It ran, and its answer is gone.
-    Ran,
+    ResponseLost,
 }
 
 /// A request's end, with what is needed to check it against the targets' records.
 #[derive(Clone, Debug)]
-pub struct Done {
+pub struct CallResult {
     /// The end.
     pub outcome: Outcome,
     /// Attempts that were sent.
     pub attempts: u32,
     /// Keys that were answered `run: no`, the last one's included.
-    pub refused: Vec<Arc<str>>,
+    pub not_run_keys: Vec<Arc<str>>,
     /// Key that the request ended under; none where it never got one.
     pub key: Option<Arc<str>>,
 }
--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -12,48 +12,50 @@
 use super::{check, hosts, store};
 use crate::{
     args::Apply,
-    exit::{Exit, Failure},
+    exit::{CliError, Exit},
     output,
     runtime::block_on,
 };
 
 /// Time between two looks at the hosts that have yet to follow.
-const LOOK: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Applies a directory, and waits for the hosts where that is asked.
-pub(crate) fn apply(args: &Apply) -> Result<(), Failure> {
+pub(crate) fn apply(args: &Apply) -> Result<(), CliError> {
     if args.wait && args.list.is_none() {
         let message = "--wait needs --list IP:PORT, to know which hosts to wait for";
-        return Err(Failure::open(Exit::Usage, message));
+        return Err(CliError::open(Exit::Usage, message));
     }
     let config = check::read(&args.dir)?;
     let open = store::open(&args.store)?;
     let time = store::time(&args.store)?;
-    let intent = intent(args);
-    eprintln!("apply {}", intent.id);
-    let id = Arc::clone(&intent.id);
+    let request = request(args);
+    eprintln!("apply {}", request.id);
+    let id = Arc::clone(&request.id);
     block_on(async {
-        let ended = operate::apply(&open, &config, intent, time).await;
-        let verdict = ended.map_err(|doubt| {
-            let exit = if doubt.in_doubt {
+        let ended = operate::apply(&open, &config, request, time).await;
+        let outcome = ended.map_err(|error| {
+            let exit = if error.in_doubt {
                 Exit::Unknown
             } else {
-                Exit::Away
+                Exit::Unreachable
             };
-            Failure::of(exit, &doubt)
+            CliError::from_error(exit, &error)
         })?;
-        let revision = revision(&verdict)?;
+        let revision = revision(&outcome)?;
         // A revision that was there already has another apply's id.
-        let id = matches!(verdict, ApplyOutcome::Applied { .. }).then_some(id);
-        output::line(format_args!("{verdict}"))?;
+        let id = matches!(outcome, ApplyOutcome::Applied { .. }).then_some(id);
+        output::line(format_args!("{outcome}"))?;
         match args.list {
-            Some(list) if args.wait => follow(list, revision, id.as_deref(), time).await,
+            Some(list) if args.wait => {
+                wait_until_applied(list, revision, id.as_deref(), time).await
+            }
             _ => Ok(()),
         }
     })?
 }
 
-fn intent(args: &Apply) -> ApplyRequest {
+fn request(args: &Apply) -> ApplyRequest {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let at_ms = now.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX));
     let id = || format!("{at_ms:x}-{:08x}", rand::rng().random::<u32>()).into();
@@ -66,29 +68,29 @@
 }
 
 /// Gives the revision that an apply made, or the failure that it ended in.
-fn revision(verdict: &ApplyOutcome) -> Result<u64, Failure> {
-    let exit = match verdict {
+fn revision(outcome: &ApplyOutcome) -> Result<u64, CliError> {
+    let exit = match outcome {
         ApplyOutcome::Applied { revision, .. } | ApplyOutcome::Unchanged { revision } => {
             return Ok(*revision);
         }
-        ApplyOutcome::Conflict { .. } => Exit::Overtaken,
+        ApplyOutcome::Conflict { .. } => Exit::Conflict,
         ApplyOutcome::Undetermined { .. } => Exit::Unknown,
         ApplyOutcome::CorruptRoot { .. } => Exit::Failed,
     };
-    Err(Failure::open(exit, verdict.to_string()))
+    Err(CliError::open(exit, outcome.to_string()))
 }
 
 /// Waits until every listed host follows a revision.
-async fn follow(
+async fn wait_until_applied(
     list: std::net::SocketAddr,
     revision: u64,
     id: Option<&str>,
     time: Duration,
-) -> Result<(), Failure> {
+) -> Result<(), CliError> {
     let start = tokio::time::Instant::now();
     loop {
-        let behind = hosts::behind(list, revision, id).await?;
-        if behind.is_empty() {
+        let lagging_hosts = hosts::lagging_hosts(list, revision, id).await?;
+        if lagging_hosts.is_empty() {
             output::line(format_args!(
                 "every listed host follows it after {:.1} s",
                 start.elapsed().as_secs_f64()
@@ -98,10 +100,10 @@
         if start.elapsed() >= time {
             let message = format!(
                 "revision {revision} is in force, and these hosts do not follow it yet: {}",
-                behind.join(", ")
+                lagging_hosts.join(", ")
             );
-            return Err(Failure::open(Exit::Failed, message));
+            return Err(CliError::open(Exit::Failed, message));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -3,15 +3,15 @@
 use dunlinrock_config::config::{self, CheckedConfig};
 use dunlinrock_schema::config::Config;
 
-use crate::{args::Check, exit::Failure, output};
+use crate::{args::Check, exit::CliError, output};
 
 /// Checks a directory and prints what it holds.
-pub(crate) fn check(args: &Check) -> Result<(), Failure> {
+pub(crate) fn check(args: &Check) -> Result<(), CliError> {
     let config = read(&args.dir)?;
     output::line(format_args!(
         "{}: sound, {}",
         args.dir.display(),
-        sizes(&config)
+        summary(&config)
     ))?;
     Ok(())
 }
@@ -21,7 +21,7 @@
 /// # Errors
 ///
 /// All findings, where one is an error.
-pub(crate) fn read(dir: &std::path::Path) -> Result<Config, Failure> {
+pub(crate) fn read(dir: &std::path::Path) -> Result<Config, CliError> {
     let CheckedConfig { config, findings } = config::check_dir(dir);
     match config {
         Some(config) => {
@@ -33,7 +33,7 @@
 }
 
 /// Says how much a configuration holds.
-pub(crate) fn sizes(config: &Config) -> String {
+pub(crate) fn summary(config: &Config) -> String {
     format!(
         "{} services, {} regions, {} domains, {} links, {} targets, {} drains, {} blocks",
         config.services.len(),
--- a/crates/cli/src/commands/dump.rs
+++ b/crates/cli/src/commands/dump.rs
@@ -10,19 +10,19 @@
 
 use crate::{
     args::Dump,
-    exit::{Exit, Failure},
+    exit::{CliError, Exit},
     output,
     runtime::block_on,
 };
 
 /// Largest answer taken, in bytes.
-const ANSWER: usize = 256 << 20;
+const MAX_RESPONSE_BYTES: usize = 256 << 20;
 
 /// Time that a host has to answer.
-const CALL: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Prints a host's state.
-pub(crate) fn dump(args: &Dump) -> Result<(), Failure> {
+pub(crate) fn dump(args: &Dump) -> Result<(), CliError> {
     let answer = block_on(get(args.at, "/peer/v1/dump"))??;
     let value = serde_json::from_slice::<Value>(&answer.body).ok();
     let Some(value) = value.filter(|_| answer.status == StatusCode::OK) else {
@@ -30,27 +30,27 @@
             "{} gave no dump; is it the address of a host for other hosts (`peers`)?",
             args.at
         );
-        return Err(Failure::open(Exit::Failed, message));
+        return Err(CliError::open(Exit::Failed, message));
     };
     output::line(format_args!("{value:#}"))?;
     Ok(())
 }
 
 /// What a host follows.
-pub(crate) struct Followed {
+pub(crate) struct HostRevision {
     /// Its revision.
     pub(crate) revision: u64,
     /// Revisions and ids of the last applies, newest first.
     applies: Vec<(u64, String)>,
 }
 
-impl Followed {
+impl HostRevision {
     /// Whether the host follows this apply, or one after it.
     ///
     /// A store that lost what it held counts revisions from 1 again, and hosts keep the later one
     /// that they have seen; the revision alone would look as if they followed. An apply that is
     /// older than those listed is taken for followed.
-    pub(crate) fn holds(&self, revision: u64, id: Option<&str>) -> bool {
+    pub(crate) fn has_applied(&self, revision: u64, id: Option<&str>) -> bool {
         let listed = self.applies.iter().find(|(at, _)| *at == revision);
         let other = listed.is_some_and(|(_, listed)| id.is_some_and(|id| listed != id));
         self.revision >= revision && !other
@@ -58,7 +58,7 @@
 }
 
 /// Reads what a host follows.
-pub(crate) async fn followed(at: SocketAddr) -> Option<Followed> {
+pub(crate) async fn host_revision(at: SocketAddr) -> Option<HostRevision> {
     let answer = get(at, "/peer/v1/dump").await.ok()?;
     let value: Value = serde_json::from_slice(&answer.body).ok()?;
     let revision = value.get("revision")?.as_u64()?;
@@ -67,19 +67,21 @@
         let id = entry.get("id")?.as_str()?;
         Some((entry.get("revision")?.as_u64()?, id.to_owned()))
     });
-    Some(Followed {
+    Some(HostRevision {
         revision,
         applies: applies.collect(),
     })
 }
 
 /// Reads a path of a host.
-pub(crate) async fn get(at: SocketAddr, path: &str) -> Result<Answer, Failure> {
+pub(crate) async fn get(at: SocketAddr, path: &str) -> Result<Answer, CliError> {
     let away = |e: &dyn std::fmt::Display| {
-        Failure::open(Exit::Away, format!("no host answered at {at}: {e}"))
+        CliError::open(Exit::Unreachable, format!("no host answered at {at}: {e}"))
     };
     let req = Request::get(format!("http://{at}{path}")).body(Full::<Bytes>::default());
-    let req = req.map_err(|e| Failure::open(Exit::Usage, format!("{path}: {e}")))?;
-    let answer = Client::open(ANSWER).call(req, CALL).await;
+    let req = req.map_err(|e| CliError::open(Exit::Usage, format!("{path}: {e}")))?;
+    let answer = Client::open(MAX_RESPONSE_BYTES)
+        .call(req, CALL_TIMEOUT)
+        .await;
     answer.map_err(|e| away(&e))
 }
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -11,12 +11,12 @@
 
 use crate::{
     args::Explain,
-    exit::{Exit, Failure},
+    exit::{CliError, Exit},
     output,
 };
 
 /// Fields that every line has, or that are shown apart.
-const APART: [&str; 8] = [
+const HIDDEN_FIELDS: [&str; 8] = [
     "time", "level", "of", "event", "id", "text", "source", "held_ms",
 ];
 
@@ -28,45 +28,45 @@
 }
 
 /// Prints the lines about a request in order of time, and what is missing.
-pub(crate) fn explain(args: &Explain) -> Result<(), Failure> {
-    let mut found = Found::default();
+pub(crate) fn explain(args: &Explain) -> Result<(), CliError> {
+    let mut matches = Matches::default();
     for path in &args.files {
-        read(path, &args.id, &mut found)?;
+        read(path, &args.id, &mut matches)?;
     }
-    if found.lines.is_empty() {
+    if matches.lines.is_empty() {
         let text = format!(
             "no line names request {}; {} lines were read",
-            args.id, found.read
+            args.id, matches.read
         );
-        return Err(Failure::open(Exit::Failed, text));
+        return Err(CliError::open(Exit::Failed, text));
     }
-    found.lines.sort_by(|a, b| a.time.total_cmp(&b.time));
-    let start = found.lines[0].time;
-    for line in &found.lines {
+    matches.lines.sort_by(|a, b| a.time.total_cmp(&b.time));
+    let start = matches.lines[0].time;
+    for line in &matches.lines {
         output::line(show(line, start))?;
     }
-    if found.cut > 0 {
-        output::line(format!("{} lines could not be read", found.cut))?;
+    if matches.malformed > 0 {
+        output::line(format!("{} lines could not be read", matches.malformed))?;
     }
-    if found.dropped > 0 {
+    if matches.dropped > 0 {
         let text = "lines were left out by the hosts; some may be this request's";
-        output::line(format!("{} {text}", found.dropped))?;
+        output::line(format!("{} {text}", matches.dropped))?;
     }
     Ok(())
 }
 
 /// What the files hold.
 #[derive(Default)]
-struct Found {
+struct Matches {
     lines: Vec<Line>,
     read: u64,
     /// Lines that are no log lines, such as ones that were cut.
-    cut: u64,
+    malformed: u64,
     /// Lines that hosts say they left out.
     dropped: u64,
 }
 
-fn read(path: &Path, id: &str, found: &mut Found) -> anyhow::Result<()> {
+fn read(path: &Path, id: &str, matches: &mut Matches) -> anyhow::Result<()> {
     let name = path.display().to_string();
     let reader: Box<dyn BufRead> = match name.as_str() {
         "-" => Box::new(BufReader::new(io::stdin())),
@@ -78,19 +78,19 @@
         let bytes = bytes.with_context(|| format!("reading {name}"))?;
         let text = String::from_utf8_lossy(&bytes);
         if !text.trim().is_empty() {
-            found.take(&text, &name, id);
+            matches.add_line(&text, &name, id);
         }
     }
     Ok(())
 }
 
-impl Found {
-    fn take(&mut self, text: &str, name: &str, id: &str) {
+impl Matches {
+    fn add_line(&mut self, text: &str, name: &str, id: &str) {
         self.read += 1;
         // A collector may have put the host's name or a time in front.
         let (before, json) = text.split_at(text.find('{').unwrap_or(text.len()));
         let Ok(Value::Object(fields)) = serde_json::from_str(json.trim()) else {
-            self.cut += 1;
+            self.malformed += 1;
             return;
         };
         if fields.get("event").and_then(Value::as_str) == Some("dropped") {
@@ -124,7 +124,7 @@
     let inputs = line
         .fields
         .iter()
-        .filter(|(name, _)| !APART.contains(&name.as_str()));
+        .filter(|(name, _)| !HIDDEN_FIELDS.contains(&name.as_str()));
     let inputs: Vec<_> = inputs
         .map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
--- a/crates/cli/src/commands/fake.rs
+++ b/crates/cli/src/commands/fake.rs
@@ -5,13 +5,13 @@
 use super::check;
 use crate::{
     args::{Fake, FakeTargets},
-    exit::Failure,
+    exit::CliError,
     fake_targets, output,
     runtime::{Signals, block_on},
 };
 
 /// Runs a stand-in.
-pub(crate) fn fake(args: &Fake) -> Result<(), Failure> {
+pub(crate) fn fake(args: &Fake) -> Result<(), CliError> {
     match args {
         Fake::Store(args) => {
             let store = Store::bind(&args.bind.to_string(), StoreOptions::default())?;
@@ -27,7 +27,7 @@
     }
 }
 
-fn targets(args: &FakeTargets) -> Result<(), Failure> {
+fn targets(args: &FakeTargets) -> Result<(), CliError> {
     let mut config = check::read(&args.dir)?;
     let targets = fake_targets::bind(&mut config, false, args.warm)?;
     output::line(format_args!(
@@ -39,7 +39,7 @@
 }
 
 /// Waits for a signal.
-fn wait() -> Result<(), Failure> {
+fn wait() -> Result<(), CliError> {
     block_on(async {
         Signals::open()?.next().await;
         Ok(())
--- a/crates/cli/src/commands/history.rs
+++ b/crates/cli/src/commands/history.rs
@@ -7,19 +7,19 @@
 use super::store;
 use crate::{
     args::History,
-    exit::{Exit, Failure},
+    exit::{CliError, Exit},
     output,
     runtime::block_on,
 };
 
 /// Prints the last applies, newest first.
-pub(crate) fn history(args: &History) -> Result<(), Failure> {
+pub(crate) fn history(args: &History) -> Result<(), CliError> {
     let entries = block_on(async {
         let root = store::read_some(&args.store).await?.root;
         let store = store::open(&args.store)?;
         entries(&store, root, args.count)
             .await
-            .map_err(|e| Failure::of(Exit::Away, &e))
+            .map_err(|e| CliError::from_error(Exit::Unreachable, &e))
     })??;
     output::line(format_args!(
         "{:>8}  {:<24}  {:<16}  {:<16}",
--- a/crates/cli/src/commands/hosts.rs
+++ b/crates/cli/src/commands/hosts.rs
@@ -7,77 +7,81 @@
 
 use dunlinrock_node::store::HostList;
 use dunlinrock_schema::{
-    api::{Hosts as Found, Problem},
+    api::{Hosts as Lookup, Problem},
     store::Listing,
 };
 
 use super::dump;
 use crate::{
     args::{Hosts, HostsFrom},
-    exit::{Exit, Failure},
+    exit::{CliError, Exit},
     output,
     runtime::block_on,
 };
 
 /// Time that a call may take.
-const CALL: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Prints the hosts.
-pub(crate) fn hosts(args: &Hosts) -> Result<(), Failure> {
+pub(crate) fn hosts(args: &Hosts) -> Result<(), CliError> {
     match &args.from {
         HostsFrom::List { list } => print_listing(&block_on(listing(*list))??),
         HostsFrom::At {
             at,
             client,
             service,
-        } => print_found(&block_on(look_up(*at, *client, service))??),
+        } => print_lookup(&block_on(look_up(*at, *client, service))??),
     }
 }
 
 /// Names the listed hosts that do not follow a revision yet; those that leave do not count.
-pub(crate) async fn behind(
+pub(crate) async fn lagging_hosts(
     list: SocketAddr,
     revision: u64,
     id: Option<&str>,
-) -> Result<Vec<String>, Failure> {
-    let mut behind = Vec::new();
+) -> Result<Vec<String>, CliError> {
+    let mut lagging_hosts = Vec::new();
     for host in listing(list).await?.hosts.iter().filter(|h| !h.leaving) {
         let at = host.peers.parse::<SocketAddr>().ok();
-        let held = match at {
-            Some(at) => dump::followed(at).await,
+        let applied = match at {
+            Some(at) => dump::host_revision(at).await,
             None => None,
         };
-        if held.is_none_or(|held| !held.holds(revision, id)) {
-            behind.push(host.name.to_string());
+        if applied.is_none_or(|applied| !applied.has_applied(revision, id)) {
+            lagging_hosts.push(host.name.to_string());
         }
     }
-    Ok(behind)
+    Ok(lagging_hosts)
 }
 
-async fn listing(list: SocketAddr) -> Result<Listing, Failure> {
-    let read = HostList::open(list, CALL).read().await;
+async fn listing(list: SocketAddr) -> Result<Listing, CliError> {
+    let read = HostList::open(list, CALL_TIMEOUT).read().await;
     read.map_err(|e| {
         let message = format!("the list of hosts at {list} did not answer: {e}");
-        Failure::open(Exit::Away, message)
+        CliError::open(Exit::Unreachable, message)
     })
 }
 
-async fn look_up(at: SocketAddr, client: Option<IpAddr>, service: &str) -> Result<Found, Failure> {
+async fn look_up(
+    at: SocketAddr,
+    client: Option<IpAddr>,
+    service: &str,
+) -> Result<Lookup, CliError> {
     let query = client.map_or_else(String::new, |ip| format!("?client={ip}"));
     let answer = dump::get(at, &format!("/v1/hosts/{service}{query}")).await?;
     if answer.status == http::StatusCode::OK {
         return serde_json::from_slice(&answer.body)
-            .map_err(|e| Failure::open(Exit::Failed, format!("{at} gave no look-up: {e}")));
+            .map_err(|e| CliError::open(Exit::Failed, format!("{at} gave no look-up: {e}")));
     }
     let detail = match serde_json::from_slice::<Problem>(&answer.body) {
         Ok(problem) => problem.detail.to_string(),
         Err(_) => format!("status {}", answer.status),
     };
     let message = format!("the host at {at} answered: {detail}");
-    Err(Failure::open(Exit::Failed, message))
+    Err(CliError::open(Exit::Failed, message))
 }
 
-fn print_listing(listing: &Listing) -> Result<(), Failure> {
+fn print_listing(listing: &Listing) -> Result<(), CliError> {
     output::line(format_args!(
         "{:<16}{:<16}{:<16}{:<22}{:<22}state",
         "host", "region", "domain", "callers", "peers"
@@ -92,18 +96,18 @@
     Ok(())
 }
 
-fn print_found(found: &Found) -> Result<(), Failure> {
+fn print_lookup(lookup: &Lookup) -> Result<(), CliError> {
     output::line(format_args!(
         "{} at revision {}, for callers near {}; good for {} ms",
-        found.service, found.revision, found.region, found.ttl_ms
+        lookup.service, lookup.revision, lookup.region, lookup.ttl_ms
     ))?;
-    for host in &found.hosts {
+    for host in &lookup.hosts {
         output::line(format_args!(
             "{:<16}{:<22}{:<16}{:>8}",
             host.name, host.address, host.domain, host.weight
         ))?;
     }
-    if let Some(binding) = &found.binding {
+    if let Some(binding) = &lookup.binding {
         output::line(format_args!(
             "requests that may not be repeated: owner {}, witness {}, key {}.NONCE",
             binding.owner, binding.witness, binding.prefix
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -11,9 +11,9 @@
 
 use crate::{
     args::Load,
-    caller::{Caller, Rules},
-    exit::{Exit, Failure},
-    load::{self, Mix, Pace, Report, Tally},
+    caller::{Caller, CallerOptions},
+    exit::{CliError, Exit},
+    load::{self, LoadSchedule, LoadStats, Report, Workload},
     output,
     runtime::block_on,
 };
@@ -22,25 +22,28 @@
 const ATTEMPTS: u32 = 10;
 
 /// Runs a load and reports what callers got.
-pub(crate) fn load(args: &Load) -> Result<(), Failure> {
-    let pace = pace(args)?;
-    let mix = Mix {
+pub(crate) fn load(args: &Load) -> Result<(), CliError> {
+    let schedule = schedule(args)?;
+    let workload = Workload {
         services: args.service.clone(),
         path: path(&args.path)?,
-        keys: args.keys,
-        writes: args.mix,
+        path_count: args.keys,
+        write_fraction: args.mix,
         deadline: Duration::from_millis(args.deadline),
     };
     let callers: Vec<_> = (0..args.callers).map(|n| caller(args, n)).collect();
-    let tally = Arc::new(Mutex::new(Tally::default()));
-    block_on(load::run(&callers, &mix, &pace, &tally))?;
-    let report = Report::of(&pace, &tally.lock().unwrap_or_else(PoisonError::into_inner));
+    let stats = Arc::new(Mutex::new(LoadStats::default()));
+    block_on(load::run(&callers, &workload, &schedule, &stats))?;
+    let report = Report::from_stats(
+        &schedule,
+        &stats.lock().unwrap_or_else(PoisonError::into_inner),
+    );
     print(&report, args.json.as_deref())?;
-    judge(&report)
+    check_report(&report)
 }
 
-fn pace(args: &Load) -> Result<Pace, Failure> {
-    let wrong = |text: &str| Failure::open(Exit::Usage, text);
+fn schedule(args: &Load) -> Result<LoadSchedule, CliError> {
+    let wrong = |text: &str| CliError::open(Exit::Usage, text);
     if !(args.rate.is_finite() && args.rate > 0.0) {
         return Err(wrong("--rate takes a number above 0"));
     }
@@ -51,36 +54,36 @@
         return Err(wrong("--mix takes a part from 0 to 1"));
     }
     let time = Duration::try_from_secs_f64(args.time);
-    Ok(Pace {
+    Ok(LoadSchedule {
         rate: args.rate,
-        time: time.map_err(|_| wrong("--time takes a number of seconds"))?,
+        duration: time.map_err(|_| wrong("--time takes a number of seconds"))?,
         seed: args.seed,
     })
 }
 
-fn path(path: &str) -> Result<Arc<str>, Failure> {
+fn path(path: &str) -> Result<Arc<str>, CliError> {
     let sound = path.starts_with('/') && path.parse::<http::Uri>().is_ok() && !path.contains('?');
     match sound {
         true => Ok(path.trim_end_matches('/').into()),
         false => {
             let message = format!("--path: `{path}` is no path; write one like /courses");
-            Err(Failure::open(Exit::Usage, message))
+            Err(CliError::open(Exit::Usage, message))
         }
     }
 }
 
 fn caller(args: &Load, number: usize) -> Arc<Caller> {
     let n = u64::try_from(number).unwrap_or_default();
-    Arc::new(Caller::open(Rules {
+    Arc::new(Caller::open(CallerOptions {
         name: format!("caller-{number}").into(),
-        starts: args.at.clone(),
-        from: None,
+        seeds: args.at.clone(),
+        local_addr: None,
         attempts: ATTEMPTS,
         seed: args.seed.wrapping_mul(1_000_003).wrapping_add(n),
     }))
 }
 
-fn print(report: &Report, json: Option<&Path>) -> Result<(), Failure> {
+fn print(report: &Report, json: Option<&Path>) -> Result<(), CliError> {
     let Some(path) = json else {
         output::print(format_args!("{report}"))?;
         return Ok(());
@@ -92,21 +95,21 @@
     }
     output::print(format_args!("{report}"))?;
     fs::write(path, text + "\n")
-        .map_err(|e| Failure::open(Exit::Usage, format!("cannot write {}: {e}", path.display())))
+        .map_err(|e| CliError::open(Exit::Usage, format!("cannot write {}: {e}", path.display())))
 }
 
 /// Gives the failure that a report shows.
-fn judge(report: &Report) -> Result<(), Failure> {
+fn check_report(report: &Report) -> Result<(), CliError> {
     if report.has_wrong() {
-        return Err(Failure::open(
+        return Err(CliError::open(
             Exit::Failed,
             "a caller got an answer that was not its own",
         ));
     }
     let answered = report.services.values().any(|share| share.answered > 0);
     if !answered {
-        return Err(Failure::open(
-            Exit::Away,
+        return Err(CliError::open(
+            Exit::Unreachable,
             "no request was answered; do hosts run at --at?",
         ));
     }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -16,7 +16,7 @@
 mod store;
 
 pub(crate) use apply::apply;
-pub(crate) use check::{check, read, sizes};
+pub(crate) use check::{check, read, summary};
 pub(crate) use dump::dump;
 pub(crate) use edge::edge;
 pub(crate) use explain::explain;
--- a/crates/cli/src/commands/plan.rs
+++ b/crates/cli/src/commands/plan.rs
@@ -3,10 +3,10 @@
 use dunlinrock_config::plan as compare;
 
 use super::{check, store};
-use crate::{args::Plan, exit::Failure, output, runtime::block_on};
+use crate::{args::Plan, exit::CliError, output, runtime::block_on};
 
 /// Prints the difference between a directory and what is in force.
-pub(crate) fn plan(args: &Plan) -> Result<(), Failure> {
+pub(crate) fn plan(args: &Plan) -> Result<(), CliError> {
     let new = check::read(&args.dir)?;
     let open = store::open(&args.store)?;
     let found = block_on(store::read(&open))??;
--- a/crates/cli/src/commands/plot.rs
+++ b/crates/cli/src/commands/plot.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     args::Plot,
-    exit::{Exit, Failure},
+    exit::{CliError, Exit},
     load::Report,
 };
 
@@ -24,16 +24,16 @@
 }
 
 /// Draws the 99th percentile of the time to answer over the rate, a line a service.
-pub(crate) fn plot(args: &Plot) -> Result<(), Failure> {
+pub(crate) fn plot(args: &Plot) -> Result<(), CliError> {
     let reports: Result<Vec<_>, _> = args.reports.iter().map(|path| read(path)).collect();
     let lines = lines(&reports?);
     draw(&args.output, &lines).with_context(|| format!("drawing {}", args.output.display()))?;
     Ok(())
 }
 
-fn read(path: &Path) -> Result<Report, Failure> {
+fn read(path: &Path) -> Result<Report, CliError> {
     let wrong =
-        |e: &dyn std::fmt::Display| Failure::open(Exit::Usage, format!("{}: {e}", path.display()));
+        |e: &dyn std::fmt::Display| CliError::open(Exit::Usage, format!("{}: {e}", path.display()));
     let text = fs::read(path).map_err(|e| wrong(&e))?;
     serde_json::from_slice(&text).map_err(|e| wrong(&format!("no report of `load`: {e}")))
 }
@@ -42,10 +42,12 @@
     let names = reports.iter().flat_map(|report| report.services.keys());
     let names: std::collections::BTreeSet<_> = names.collect();
     let line = |name: &std::sync::Arc<str>| {
-        let shares = reports
+        let services = reports
             .iter()
             .filter_map(|r| Some((r.rate, r.services.get(name)?)));
-        let mut points: Vec<_> = shares.map(|(rate, share)| (rate, share.p99_ms)).collect();
+        let mut points: Vec<_> = services
+            .map(|(rate, service)| (rate, service.p99_ms))
+            .collect();
         points.sort_by(|a, b| a.0.total_cmp(&b.0));
         Line {
             name: name.to_string(),
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -8,13 +8,13 @@
 
 use crate::{
     args::Serve,
-    exit::{Exit, Failure},
+    exit::{CliError, Exit},
     logs,
     runtime::{Signals, block_on},
 };
 
 /// Runs a host until a signal, then until its planned stop is over.
-pub(crate) fn serve(args: &Serve) -> Result<(), Failure> {
+pub(crate) fn serve(args: &Serve) -> Result<(), CliError> {
     let settings = settings::load(&args.settings)?;
     logs::open(&settings.log.clone().unwrap_or_default())?;
     block_on(async {
@@ -32,18 +32,18 @@
         }
         log::info!("planned stop begins; a second signal ends the host at once");
         host.start_shutdown();
-        let (tell, ended) = oneshot::channel();
+        let (done_tx, done_rx) = oneshot::channel();
         thread::Builder::new()
             .name("stop".to_owned())
-            .spawn(move || tell.send(host.wait()))
+            .spawn(move || done_tx.send(host.wait()))
             .map_err(anyhow::Error::from)?;
         tokio::select! {
-            ended = ended => match ended {
-                Ok(ended) => Ok(ended.map(|_| ())?),
-                Err(_) => Err(Failure::open(Exit::Failed, "the planned stop died")),
+            done = done_rx => match done {
+                Ok(result) => Ok(result.map(|_| ())?),
+                Err(_) => Err(CliError::open(Exit::Failed, "the planned stop died")),
             },
             () = signals.next() => {
-                Err(Failure::open(Exit::Failed, "ended at once by a second signal"))
+                Err(CliError::open(Exit::Failed, "ended at once by a second signal"))
             }
         }
     })?
--- a/crates/cli/src/commands/show.rs
+++ b/crates/cli/src/commands/show.rs
@@ -3,10 +3,10 @@
 use anyhow::Context;
 
 use super::store;
-use crate::{args::Show, exit::Failure, output, runtime::block_on};
+use crate::{args::Show, exit::CliError, output, runtime::block_on};
 
 /// Prints the configuration in force as TOML that `apply` takes.
-pub(crate) fn show(args: &Show) -> Result<(), Failure> {
+pub(crate) fn show(args: &Show) -> Result<(), CliError> {
     let found = block_on(store::read_some(&args.store))??;
     let now = &found.root.now;
     output::line(format_args!(
--- a/crates/cli/src/commands/store.rs
+++ b/crates/cli/src/commands/store.rs
@@ -9,44 +9,50 @@
 
 use crate::{
     args,
-    exit::{Exit, Failure},
+    exit::{CliError, Exit},
 };
 
 /// Longest time that one call may take.
-const CALL: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Opens the store that the command line names.
-pub(crate) fn open(args: &args::Store) -> Result<Store, Failure> {
-    Ok(Store::open(args.at, &args.prefix, time(args)?.min(CALL)))
+pub(crate) fn open(args: &args::Store) -> Result<Store, CliError> {
+    Ok(Store::open(
+        args.at,
+        &args.prefix,
+        time(args)?.min(CALL_TIMEOUT),
+    ))
 }
 
 /// Gives the time after which the store counts as away.
-pub(crate) fn time(args: &args::Store) -> Result<Duration, Failure> {
+pub(crate) fn time(args: &args::Store) -> Result<Duration, CliError> {
     Duration::try_from_secs_f64(args.seconds)
         .ok()
         .filter(|time| !time.is_zero())
-        .ok_or_else(|| Failure::open(Exit::Usage, "--timeout takes a number of seconds above 0"))
+        .ok_or_else(|| CliError::open(Exit::Usage, "--timeout takes a number of seconds above 0"))
 }
 
 /// Reads what is in force.
-pub(crate) async fn read(store: &Store) -> Result<Option<ActiveConfig>, Failure> {
+pub(crate) async fn read(store: &Store) -> Result<Option<ActiveConfig>, CliError> {
     operate::read(store).await.map_err(|e| {
         let exit = match e.downcast_ref::<StoreError>() {
-            Some(StoreError::Unavailable { .. } | StoreError::Indeterminate { .. }) => Exit::Away,
+            Some(StoreError::Unavailable { .. } | StoreError::Indeterminate { .. }) => {
+                Exit::Unreachable
+            }
             _ => Exit::Failed,
         };
-        Failure::open(exit, format!("{e:#}"))
+        CliError::open(exit, format!("{e:#}"))
     })
 }
 
 /// Reads what is in force, where there is something.
-pub(crate) async fn read_some(args: &args::Store) -> Result<ActiveConfig, Failure> {
+pub(crate) async fn read_some(args: &args::Store) -> Result<ActiveConfig, CliError> {
     let found = read(&open(args)?).await?;
     found.ok_or_else(|| {
         let message = format!(
             "no configuration was applied under `{}` of the store at {}; see `dunlinrock apply`",
             args.prefix, args.at
         );
-        Failure::open(Exit::Failed, message)
+        CliError::open(Exit::Failed, message)
     })
 }
--- a/crates/cli/src/demo/callers.rs
+++ b/crates/cli/src/demo/callers.rs
@@ -7,8 +7,8 @@
 
 use dunlinrock_schema::config::Config;
 
-use super::deployment::Stage;
-use crate::caller::{Caller, Rules};
+use super::deployment::DemoDeployment;
+use crate::caller::{Caller, CallerOptions};
 
 /// Callers near each region.
 const CALLERS: u64 = 8;
@@ -17,24 +17,24 @@
 const ATTEMPTS: u32 = 10;
 
 /// Opens the callers; those of one region follow those of another.
-pub(super) fn open(stage: &Stage, seed: u64) -> Vec<Arc<Caller>> {
-    let starts: Vec<SocketAddr> = stage
+pub(super) fn open(deployment: &DemoDeployment, seed: u64) -> Vec<Arc<Caller>> {
+    let seeds: Vec<SocketAddr> = deployment
         .hosts
         .iter()
         .map(dunlinrock_node::Host::callers_addr)
         .collect();
-    let regions = || stage.config.regions.keys();
+    let regions = || deployment.config.regions.keys();
     let mut callers = Vec::new();
     for n in 0..CALLERS {
         for region in regions() {
-            let rules = Rules {
+            let options = CallerOptions {
                 name: format!("{region}-{n}").into(),
-                starts: starts.clone(),
-                from: address(&stage.config, region),
+                seeds: seeds.clone(),
+                local_addr: address(&deployment.config, region),
                 attempts: ATTEMPTS,
                 seed: seed.wrapping_mul(1_000_003) + u64::try_from(callers.len()).unwrap_or(0),
             };
-            callers.push(Arc::new(Caller::open(rules)));
+            callers.push(Arc::new(Caller::open(options)));
         }
     }
     callers
--- a/crates/cli/src/demo/deployment.rs
+++ b/crates/cli/src/demo/deployment.rs
@@ -17,22 +17,22 @@
 };
 
 use crate::{
-    exit::{Exit, Failure},
+    exit::{CliError, Exit},
     fake_targets,
     runtime::block_on,
 };
 
 /// Hosts in each failure domain.
-const HOSTS: usize = 2;
+const HOSTS_PER_DOMAIN: usize = 2;
 
 /// Prefix of the deployment's keys in the store.
 const PREFIX: &str = "dunlinrock/";
 
 /// Time that hosts have to be ready, and an apply to end.
-const READY: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Time between two looks at hosts that are not ready.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time that callers may keep a look-up. A planned stop takes at least that long.
 const ANSWER_TTL_MS: u64 = 1000;
@@ -41,7 +41,7 @@
 const LIST_LAG: Duration = Duration::from_millis(500);
 
 /// A running deployment.
-pub(super) struct Stage {
+pub(super) struct DemoDeployment {
     /// The configuration in force.
     pub(super) config: Config,
     pub(super) targets: Targets,
@@ -54,33 +54,33 @@
 }
 
 /// A drain that is in force.
-pub(super) struct Drained {
+pub(super) struct ActiveDrain {
     pub(super) domain: Arc<str>,
     /// Time at which the apply began.
     pub(super) at: Instant,
 }
 
-impl Stage {
+impl DemoDeployment {
     /// Brings everything up, and waits until every host is ready.
-    pub(super) fn open(mut config: Config) -> Result<Self, Failure> {
+    pub(super) fn open(mut config: Config) -> Result<Self, CliError> {
         let targets = fake_targets::bind(&mut config, true, 0)?;
-        let rules = ListOptions {
+        let options = ListOptions {
             visibility_delay: LIST_LAG,
             ..ListOptions::default()
         };
-        let mut stage = Self {
+        let mut deployment = Self {
             config,
             targets,
             hosts: Vec::new(),
             regions: BTreeMap::new(),
             store: Store::bind("127.0.0.1:0", StoreOptions::default())?,
-            list: List::bind("127.0.0.1:0", rules)?,
+            list: List::bind("127.0.0.1:0", options)?,
             applies: 0,
         };
-        let revision = stage.apply()?;
-        stage.spawn()?;
-        stage.settle(revision)?;
-        Ok(stage)
+        let revision = deployment.apply()?;
+        deployment.spawn()?;
+        deployment.wait_ready(revision)?;
+        Ok(deployment)
     }
 
     /// Gives the lowest revision that a host follows.
@@ -110,7 +110,10 @@
 
     /// Drains the domain that began the most requests since `earlier`: the drain of an idle one
     /// would show nothing.
-    pub(super) fn drain(&mut self, earlier: &BTreeMap<Arc<str>, u64>) -> Result<Drained, Failure> {
+    pub(super) fn drain(
+        &mut self,
+        earlier: &BTreeMap<Arc<str>, u64>,
+    ) -> Result<ActiveDrain, CliError> {
         let begun = |(name, n): &(Arc<str>, u64)| n - earlier.get(name).copied().unwrap_or(0);
         let busiest = self.started().into_iter().max_by_key(begun);
         let (domain, _) = busiest.ok_or_else(|| failed("the configuration has no target"))?;
@@ -121,40 +124,45 @@
         self.config.drains.insert("demo".into(), drain);
         let at = Instant::now();
         self.apply()?;
-        Ok(Drained { domain, at })
+        Ok(ActiveDrain { domain, at })
     }
 
     /// Takes out a host of a domain that is not drained.
-    pub(super) fn take_host(&mut self, drained: &str) -> Option<Host> {
+    pub(super) fn remove_host(&mut self, drained: &str) -> Option<Host> {
         let mut domains = self.config.domains.keys().rev();
         let last = domains.find(|name| ***name != *drained)?;
-        let name = host_name(last, HOSTS);
+        let name = host_name(last, HOSTS_PER_DOMAIN);
         let at = self.hosts.iter().position(|host| **host.name() == *name)?;
         Some(self.hosts.remove(at))
     }
 
     /// Applies the configuration at hand; gives its revision.
-    fn apply(&mut self) -> Result<u64, Failure> {
+    fn apply(&mut self) -> Result<u64, CliError> {
         self.applies += 1;
-        let intent = ApplyRequest {
+        let request = ApplyRequest {
             id: format!("demo-{}", self.applies).into(),
             by: "demo".into(),
             at_ms: 0,
             base: None,
         };
         let client = store::Store::open(self.store.addr(), PREFIX, Duration::from_secs(2));
-        let ended = block_on(operate::apply(&client, &self.config, intent, READY))?;
-        match ended.map_err(|doubt| Failure::of(Exit::Unknown, &doubt))? {
+        let ended = block_on(operate::apply(
+            &client,
+            &self.config,
+            request,
+            READY_TIMEOUT,
+        ))?;
+        match ended.map_err(|error| CliError::from_error(Exit::Unknown, &error))? {
             ApplyOutcome::Applied { revision, .. } | ApplyOutcome::Unchanged { revision } => {
                 Ok(revision)
             }
-            verdict => Err(failed(&verdict.to_string())),
+            outcome => Err(failed(&outcome.to_string())),
         }
     }
 
-    fn spawn(&mut self) -> Result<(), Failure> {
+    fn spawn(&mut self) -> Result<(), CliError> {
         for (domain, entry) in &self.config.domains {
-            for n in 1..=HOSTS {
+            for n in 1..=HOSTS_PER_DOMAIN {
                 let settings = self.settings(&host_name(domain, n), domain, &entry.region);
                 let host = Host::spawn(settings)?;
                 self.regions
@@ -194,14 +202,14 @@
     }
 
     /// Waits until every host is ready at a revision.
-    fn settle(&self, revision: u64) -> Result<(), Failure> {
-        let end = Instant::now() + READY;
+    fn wait_ready(&self, revision: u64) -> Result<(), CliError> {
+        let end = Instant::now() + READY_TIMEOUT;
         let ready = |host: &&Host| host.is_ready() && host.revision() >= revision;
         while self.hosts.iter().filter(ready).count() < self.hosts.len() {
             if Instant::now() >= end {
                 return Err(failed("the hosts did not become ready"));
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
@@ -211,6 +219,6 @@
     format!("{domain}-{number}")
 }
 
-fn failed(text: &str) -> Failure {
-    Failure::open(Exit::Failed, text)
+fn failed(text: &str) -> CliError {
+    CliError::open(Exit::Failed, text)
 }
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -18,18 +18,18 @@
 use crate::{
     args::Demo,
     commands,
-    exit::{Exit, Failure},
-    load::{self, Mix, Pace, Tally},
+    exit::{CliError, Exit},
+    load::{self, LoadSchedule, LoadStats, Workload},
     output,
     runtime::block_on,
 };
 
-use deployment::Stage;
-use invariants::Audit;
-use sampler::Probe;
+use deployment::DemoDeployment;
+use invariants::InvariantChecks;
+use sampler::Sampler;
 
 /// Time that the load goes on for.
-const LOAD: Duration = Duration::from_secs(15);
+const LOAD_DURATION: Duration = Duration::from_secs(15);
 
 /// Time in the load at which a failure domain is drained.
 const DRAIN_AT: Duration = Duration::from_secs(4);
@@ -38,90 +38,94 @@
 const STOP_AT: Duration = Duration::from_secs(8);
 
 /// Time between two lines of progress.
-const TICK: Duration = Duration::from_secs(1);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Part of the requests that may not be repeated.
-const WRITES: f64 = 0.3;
+const WRITE_FRACTION: f64 = 0.3;
 
 /// Different keys of requests.
-const KEYS: u64 = 500;
+const PATHS: u64 = 500;
 
 /// Runs the demo and tells whether every promise was kept.
-pub(crate) fn run(args: &Demo) -> Result<(), Failure> {
+pub(crate) fn run(args: &Demo) -> Result<(), CliError> {
     if !(args.rate.is_finite() && args.rate > 0.0) {
-        return Err(Failure::open(Exit::Usage, "--rate takes a number above 0"));
+        return Err(CliError::open(Exit::Usage, "--rate takes a number above 0"));
     }
     let config = commands::read(&args.dir)?;
     output::line(format_args!(
         "{}: {}",
         args.dir.display(),
-        commands::sizes(&config)
+        commands::summary(&config)
     ))?;
-    let mut stage = Stage::open(config)?;
+    let mut deployment = DemoDeployment::open(config)?;
     output::line(format_args!(
         "{} hosts are ready at revision {}",
-        stage.hosts.len(),
-        stage.revision()
+        deployment.hosts.len(),
+        deployment.revision()
     ))?;
-    let pace = Pace {
+    let schedule = LoadSchedule {
         rate: args.rate,
-        time: LOAD,
+        duration: LOAD_DURATION,
         seed: args.seed,
     };
-    let tally = Arc::new(Mutex::new(Tally::default()));
-    let probe = Probe::spawn(&stage)?;
+    let stats = Arc::new(Mutex::new(LoadStats::default()));
+    let sampler = Sampler::spawn(&deployment)?;
     let start = Instant::now();
-    let load = start_load(&stage, &pace, &tally)?;
-    progress(start, DRAIN_AT - TICK, &tally)?;
-    let earlier = stage.started();
-    progress(start, DRAIN_AT, &tally)?;
-    let drain = stage.drain(&earlier)?;
-    probe.drain(&drain.domain);
+    let load = start_load(&deployment, &schedule, &stats)?;
+    progress(start, DRAIN_AT - PROGRESS_INTERVAL, &stats)?;
+    let earlier = deployment.started();
+    progress(start, DRAIN_AT, &stats)?;
+    let drain = deployment.drain(&earlier)?;
+    sampler.drain(&drain.domain);
     output::line(format_args!(
         "drain of domain {} is in force, {:.3} s after its apply began",
         drain.domain,
         drain.at.elapsed().as_secs_f64()
     ))?;
-    progress(start, STOP_AT, &tally)?;
-    let stop = stop(&mut stage, &drain.domain)?;
-    progress(start, LOAD, &tally)?;
+    progress(start, STOP_AT, &stats)?;
+    let stop = stop(&mut deployment, &drain.domain)?;
+    progress(start, LOAD_DURATION, &stats)?;
     join(load)?;
     let stop = stop.map(join).transpose()?;
-    let samples = probe.stop()?;
-    let tally = lock(&tally).clone();
-    let audit = Audit::of(&stage, &tally, &samples, &drain, stop);
+    let samples = sampler.stop()?;
+    let stats = lock(&stats).clone();
+    let checks = InvariantChecks::collect(&deployment, &stats, &samples, &drain, stop);
     output::print(format_args!(
         "{}",
-        table::table(&stage, &pace, &tally, &samples, &audit)
+        table::table(&deployment, &schedule, &stats, &samples, &checks)
     ))?;
-    audit.judge()
+    checks.to_result()
 }
 
 fn start_load(
-    stage: &Stage,
-    pace: &Pace,
-    tally: &Arc<Mutex<Tally>>,
-) -> Result<JoinHandle<Result<(), Failure>>, Failure> {
-    let callers = callers::open(stage, pace.seed);
-    let deadlines = stage.config.services.values().map(|s| s.deadline_ms.get());
-    let mix = Mix {
-        services: stage.config.services.keys().cloned().collect(),
+    deployment: &DemoDeployment,
+    schedule: &LoadSchedule,
+    stats: &Arc<Mutex<LoadStats>>,
+) -> Result<JoinHandle<Result<(), CliError>>, CliError> {
+    let callers = callers::open(deployment, schedule.seed);
+    let deadlines = deployment
+        .config
+        .services
+        .values()
+        .map(|s| s.deadline_ms.get());
+    let workload = Workload {
+        services: deployment.config.services.keys().cloned().collect(),
         path: "/demo".into(),
-        keys: KEYS,
-        writes: WRITES,
+        path_count: PATHS,
+        write_fraction: WRITE_FRACTION,
         deadline: Duration::from_millis(deadlines.max().unwrap_or(1000)),
     };
-    let (pace, tally) = (pace.clone(), Arc::clone(tally));
-    let run = move || Ok(block_on(load::run(&callers, &mix, &pace, &tally))?);
+    let (schedule, stats) = (schedule.clone(), Arc::clone(stats));
+    let run = move || Ok(block_on(load::run(&callers, &workload, &schedule, &stats))?);
     spawn("load", run)
 }
 
 /// Stops one host that the drain left in use; tells how long it took.
 fn stop(
-    stage: &mut Stage,
+    deployment: &mut DemoDeployment,
     drained: &str,
-) -> Result<Option<JoinHandle<Result<Stopped, Failure>>>, Failure> {
-    let Some(host) = stage.take_host(drained) else {
+) -> Result<Option<JoinHandle<Result<StoppedHost, CliError>>>, CliError> {
+    let Some(host) = deployment.remove_host(drained) else {
         return Ok(None);
     };
     output::line(format_args!("planned stop of host {} begins", host.name()))?;
@@ -129,34 +133,34 @@
 }
 
 /// A host that was stopped.
-struct Stopped {
+struct StoppedHost {
     name: Arc<str>,
     time: Duration,
 }
 
-fn stop_host(host: Host) -> Result<Stopped, Failure> {
+fn stop_host(host: Host) -> Result<StoppedHost, CliError> {
     let name = Arc::clone(host.name());
     host.start_shutdown();
     let time = host.wait()?;
-    Ok(Stopped { name, time })
+    Ok(StoppedHost { name, time })
 }
 
 /// Shows what callers got so far, once a second, until a time after `start`.
-fn progress(start: Instant, until: Duration, tally: &Mutex<Tally>) -> Result<(), Failure> {
+fn progress(start: Instant, until: Duration, stats: &Mutex<LoadStats>) -> Result<(), CliError> {
     let live = std::io::stdout().is_terminal();
     loop {
         let now = start.elapsed();
         if now >= until {
             break;
         }
-        thread::sleep(TICK.min(until - now));
-        let tally = lock(tally);
-        let totals = tally.services.values();
+        thread::sleep(PROGRESS_INTERVAL.min(until - now));
+        let stats = lock(stats);
+        let counts = stats.services.values();
         let (mut sent, mut answered, mut other) = (0, 0, 0);
-        for totals in totals {
-            sent += totals.sent;
-            answered += totals.answered;
-            other += totals.ended() - totals.answered;
+        for counts in counts {
+            sent += counts.sent;
+            answered += counts.answered;
+            other += counts.ended() - counts.answered;
         }
         let end = if live { '\r' } else { '\n' };
         output::print(format_args!(
@@ -170,19 +174,19 @@
     Ok(())
 }
 
-fn lock(tally: &Mutex<Tally>) -> MutexGuard<'_, Tally> {
-    tally.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(stats: &Mutex<LoadStats>) -> MutexGuard<'_, LoadStats> {
+    stats.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn spawn<T: Send + 'static>(
     name: &str,
-    f: impl FnOnce() -> Result<T, Failure> + Send + 'static,
-) -> Result<JoinHandle<Result<T, Failure>>, Failure> {
+    f: impl FnOnce() -> Result<T, CliError> + Send + 'static,
+) -> Result<JoinHandle<Result<T, CliError>>, CliError> {
     let thread = thread::Builder::new().name(name.to_owned()).spawn(f);
-    thread.map_err(|e| Failure::of(Exit::Failed, &e))
+    thread.map_err(|e| CliError::from_error(Exit::Failed, &e))
 }
 
-fn join<T>(thread: JoinHandle<Result<T, Failure>>) -> Result<T, Failure> {
-    let died = |_| Failure::open(Exit::Failed, "a thread of the demo died");
+fn join<T>(thread: JoinHandle<Result<T, CliError>>) -> Result<T, CliError> {
+    let died = |_| CliError::open(Exit::Failed, "a thread of the demo died");
     thread.join().map_err(died)?
 }
--- a/crates/cli/src/demo/sampler.rs
+++ b/crates/cli/src/demo/sampler.rs
@@ -12,14 +12,14 @@
 
 use dunlinrock_fakes::Target;
 
-use super::{deployment::Stage, join, spawn};
-use crate::exit::Failure;
+use super::{deployment::DemoDeployment, join, spawn};
+use crate::exit::CliError;
 
 /// Time between two looks.
-const LOOK: Duration = Duration::from_millis(10);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A target with the place that it stands in.
-struct Placed {
+struct PlacedTarget {
     target: Target,
     domain: Arc<str>,
     region: Arc<str>,
@@ -27,62 +27,62 @@
 
 /// What was seen of a region.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Region {
+pub(super) struct RegionSamples {
     /// Slots of its targets at the last look.
     pub(super) slots: u32,
     /// Looks.
-    looks: u32,
+    samples: u32,
     /// Parts of its slots that were free, summed up over the looks.
-    free: f64,
+    free_sum: f64,
     /// Least part that was free at a look.
-    least: f64,
+    min_free: f64,
 }
 
 /// What was seen of a failure domain.
 #[derive(Clone, Debug)]
-pub(super) struct Domain {
+pub(super) struct DomainSamples {
     /// Last time at which it was seen at work, or to have begun some.
-    pub(super) busy: Instant,
+    pub(super) last_busy: Instant,
     /// Requests begun up to then.
     pub(super) started: u64,
     /// Requests begun before the drain.
-    pub(super) before: u64,
+    pub(super) started_before_drain: u64,
 }
 
 /// What was seen.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Samples {
-    pub(super) regions: BTreeMap<Arc<str>, Region>,
-    pub(super) domains: BTreeMap<Arc<str>, Domain>,
+    pub(super) regions: BTreeMap<Arc<str>, RegionSamples>,
+    pub(super) domains: BTreeMap<Arc<str>, DomainSamples>,
 }
 
 /// A thread that looks at the targets until it is stopped.
-pub(super) struct Probe {
+pub(super) struct Sampler {
     /// Domain that was drained; its slots are no headroom any more.
     drained: Arc<OnceLock<Arc<str>>>,
     stop: Arc<AtomicBool>,
-    thread: thread::JoinHandle<Result<Samples, Failure>>,
+    thread: thread::JoinHandle<Result<Samples, CliError>>,
 }
 
-impl Probe {
-    pub(super) fn spawn(stage: &Stage) -> Result<Self, Failure> {
-        let placed = place(stage);
+impl Sampler {
+    pub(super) fn spawn(deployment: &DemoDeployment) -> Result<Self, CliError> {
+        let placed = place(deployment);
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = Arc::clone(&stop);
         let drained = Arc::new(OnceLock::new());
         let out = Arc::clone(&drained);
-        let look = move || {
+        let sample = move || {
             let mut samples = Samples::default();
             while !stopped.load(Ordering::Relaxed) {
-                samples.look(&placed, out.get(), Instant::now());
-                thread::sleep(LOOK);
+                samples.sample(&placed, out.get(), Instant::now());
+                thread::sleep(SAMPLE_INTERVAL);
             }
             Ok(samples)
         };
         Ok(Self {
             drained,
             stop,
-            thread: spawn("probe", look)?,
+            thread: spawn("probe", sample)?,
         })
     }
 
@@ -92,17 +92,17 @@
     }
 
     /// Stops looking and gives what was seen.
-    pub(super) fn stop(self) -> Result<Samples, Failure> {
+    pub(super) fn stop(self) -> Result<Samples, CliError> {
         self.stop.store(true, Ordering::Relaxed);
         join(self.thread)
     }
 }
 
-fn place(stage: &Stage) -> Vec<Placed> {
-    let placed = stage.targets.iter().filter_map(|target| {
-        let domain = Arc::clone(&stage.config.targets.get(target.name())?.domain);
-        let region = Arc::clone(&stage.config.domains.get(&domain)?.region);
-        Some(Placed {
+fn place(deployment: &DemoDeployment) -> Vec<PlacedTarget> {
+    let placed = deployment.targets.iter().filter_map(|target| {
+        let domain = Arc::clone(&deployment.config.targets.get(target.name())?.domain);
+        let region = Arc::clone(&deployment.config.domains.get(&domain)?.region);
+        Some(PlacedTarget {
             target: target.clone(),
             domain,
             region,
@@ -112,7 +112,7 @@
 }
 
 impl Samples {
-    fn look(&mut self, placed: &[Placed], drained: Option<&Arc<str>>, now: Instant) {
+    fn sample(&mut self, placed: &[PlacedTarget], drained: Option<&Arc<str>>, now: Instant) {
         let mut regions: BTreeMap<&Arc<str>, (u32, u32)> = BTreeMap::new();
         let mut domains: BTreeMap<&Arc<str>, (u32, u64)> = BTreeMap::new();
         for at in placed {
@@ -130,42 +130,48 @@
             self.region(name, slots, busy);
         }
         for (name, (busy, started)) in domains {
-            let domain = self.domains.entry(Arc::clone(name)).or_insert(Domain {
-                busy: now,
-                started,
-                before: started,
-            });
+            let domain = self
+                .domains
+                .entry(Arc::clone(name))
+                .or_insert(DomainSamples {
+                    last_busy: now,
+                    started,
+                    started_before_drain: started,
+                });
             if busy > 0 || started != domain.started {
-                domain.busy = now;
+                domain.last_busy = now;
                 domain.started = started;
             }
             if drained.is_none() {
-                domain.before = started;
+                domain.started_before_drain = started;
             }
         }
     }
 
     fn region(&mut self, name: &Arc<str>, slots: u32, busy: u32) {
         let free = 1.0 - f64::from(busy) / f64::from(slots.max(1));
-        let region = self.regions.entry(Arc::clone(name)).or_insert(Region {
-            least: 1.0,
-            ..Region::default()
-        });
+        let region = self
+            .regions
+            .entry(Arc::clone(name))
+            .or_insert(RegionSamples {
+                min_free: 1.0,
+                ..RegionSamples::default()
+            });
         region.slots = slots;
-        region.looks += 1;
-        region.free += free;
-        region.least = region.least.min(free);
+        region.samples += 1;
+        region.free_sum += free;
+        region.min_free = region.min_free.min(free);
     }
 }
 
-impl Region {
+impl RegionSamples {
     /// Gives the part of its slots that was free on average.
     pub(super) fn mean(&self) -> f64 {
-        self.free / f64::from(self.looks.max(1))
+        self.free_sum / f64::from(self.samples.max(1))
     }
 
     /// Gives the part of its slots that was free at the busiest look.
-    pub(super) fn low(&self) -> f64 {
-        self.least
+    pub(super) fn min_free(&self) -> f64 {
+        self.min_free
     }
 }
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -14,9 +14,9 @@
     /// The command line or a file is wrong.
     Usage = 2,
     /// Another apply came first; this one did not take effect.
-    Overtaken = 3,
+    Conflict = 3,
     /// The store, the list or a host could not be reached; nothing was changed.
-    Away = 4,
+    Unreachable = 4,
     /// The store gave no certain answer: the apply may have taken effect.
     Unknown = 5,
 }
@@ -29,14 +29,14 @@
 
 /// An error with its exit code.
 #[derive(Debug)]
-pub struct Failure {
+pub struct CliError {
     /// The exit code.
     pub exit: Exit,
     /// What to print; names the thing and the fix.
     pub message: String,
 }
 
-impl Failure {
+impl CliError {
     /// An error with a code of its own.
     pub fn open(exit: Exit, message: impl Into<String>) -> Self {
         Self {
@@ -46,7 +46,7 @@
     }
 
     /// An error of a library, with all its causes.
-    pub fn of(exit: Exit, error: &(dyn Error + 'static)) -> Self {
+    pub fn from_error(exit: Exit, error: &(dyn Error + 'static)) -> Self {
         let mut message = error.to_string();
         let mut cause = error.source();
         while let Some(error) = cause {
@@ -57,13 +57,13 @@
     }
 }
 
-impl From<anyhow::Error> for Failure {
+impl From<anyhow::Error> for CliError {
     fn from(error: anyhow::Error) -> Self {
         Self::open(Exit::Failed, format!("{error:#}"))
     }
 }
 
-impl From<Findings> for Failure {
+impl From<Findings> for CliError {
     fn from(findings: Findings) -> Self {
         Self::open(Exit::Usage, findings.to_string())
     }
--- a/crates/cli/src/fake_targets.rs
+++ b/crates/cli/src/fake_targets.rs
@@ -9,7 +9,7 @@
 const SIGMA: f64 = 0.35;
 
 /// Bytes of an answer besides its filling.
-const ECHO: u64 = 200;
+const ECHO_BYTES: u64 = 200;
 
 /// Binds every target of a configuration, with the slots and work that it states.
 ///
@@ -23,7 +23,7 @@
             true => "127.0.0.1:0".into(),
             false => Arc::clone(&target.address),
         },
-        options: rules(config, target, warm, n),
+        options: target_options(config, target, warm, n),
     });
     let targets = Targets::bind(specs.collect())?;
     for target in targets.iter() {
@@ -34,7 +34,7 @@
     Ok(targets)
 }
 
-fn rules(config: &Config, target: &Target, warm: u64, number: usize) -> TargetOptions {
+fn target_options(config: &Config, target: &Target, warm: u64, number: usize) -> TargetOptions {
     let service = config.services.get(&target.service);
     let work = service.map_or(10, |s| s.work_ms.get());
     let answer = service.map_or(1024, |s| s.answer_bytes.get());
@@ -48,7 +48,7 @@
             slow_factor: 1.0,
         },
         warmup_requests: warm,
-        padding_bytes: usize::try_from(answer.saturating_sub(ECHO)).unwrap_or_default(),
+        padding_bytes: usize::try_from(answer.saturating_sub(ECHO_BYTES)).unwrap_or_default(),
         seed: u64::try_from(number).unwrap_or_default(),
         ..TargetOptions::default()
     }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -4,12 +4,12 @@
 //! does, and [`load`] an open-loop load of such clients; both are of use without the program:
 //!
 //! ```
-//! use dunlinrock::caller::{Caller, Rules};
+//! use dunlinrock::caller::{Caller, CallerOptions};
 //!
-//! let caller = Caller::open(Rules {
+//! let caller = Caller::open(CallerOptions {
 //!     name: "county-office".into(),
-//!     starts: vec!["127.0.0.1:17101".parse().unwrap()],
-//!     from: None,
+//!     seeds: vec!["127.0.0.1:17101".parse().unwrap()],
+//!     local_addr: None,
 //!     attempts: 4,
 //!     seed: 1,
 //! });
@@ -31,7 +31,7 @@
 use std::process::ExitCode;
 
 use args::Command;
-use exit::{Exit, Failure};
+use exit::{CliError, Exit};
 
 /// Runs the command of this process's arguments and gives its exit code.
 pub fn run() -> ExitCode {
@@ -39,7 +39,7 @@
         Ok(command) => command,
         Err(exit) => return exit.into(),
     };
-    match obey(command) {
+    match dispatch(command) {
         Ok(()) => Exit::Ok.into(),
         Err(failure) => {
             eprintln!("{}", failure.message.trim_end());
@@ -48,7 +48,7 @@
     }
 }
 
-fn obey(command: Command) -> Result<(), Failure> {
+fn dispatch(command: Command) -> Result<(), CliError> {
     match command {
         Command::Serve(args) => commands::serve(&args),
         Command::Edge(args) => commands::edge(&args),
--- a/crates/cli/src/load/mod.rs
+++ b/crates/cli/src/load/mod.rs
@@ -18,33 +18,33 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use tokio::{task::JoinSet, time::Instant};
 
-pub use report::{Report, Share};
-pub use stats::{Tally, Totals};
+pub use report::{Report, ServiceReport};
+pub use stats::{LoadStats, ServiceCounts};
 
-use crate::caller::{Ask, Caller, Outcome};
+use crate::caller::{CallRequest, Caller, Outcome};
 
 /// What the requests of a load are.
 #[derive(Clone, Debug)]
-pub struct Mix {
+pub struct Workload {
     /// Services, each taking an equal part of the requests.
     pub services: Vec<Arc<str>>,
     /// Path at the service; a key is added to it.
     pub path: Arc<str>,
     /// Different keys.
-    pub keys: u64,
+    pub path_count: u64,
     /// Part of the requests that may not be repeated, of 1.
-    pub writes: f64,
+    pub write_fraction: f64,
     /// Time in which an answer is of use.
     pub deadline: Duration,
 }
 
 /// How much is sent and for how long.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct LoadSchedule {
     /// Requests a second.
     pub rate: f64,
     /// Time to go on for.
-    pub time: Duration,
+    pub duration: Duration,
     /// Seed of times, services and keys.
     pub seed: u64,
 }
@@ -52,20 +52,25 @@
 /// Sends requests from the callers in turn and waits for the last to end.
 ///
 /// The tally is shared, so that others can read it on the way.
-pub async fn run(callers: &[Arc<Caller>], mix: &Mix, pace: &Pace, tally: &Arc<Mutex<Tally>>) {
-    let mut rng = SmallRng::seed_from_u64(pace.seed);
+pub async fn run(
+    callers: &[Arc<Caller>],
+    workload: &Workload,
+    schedule: &LoadSchedule,
+    stats: &Arc<Mutex<LoadStats>>,
+) {
+    let mut rng = SmallRng::seed_from_u64(schedule.seed);
     let mut running = JoinSet::new();
     let start = Instant::now();
     let mut due = start;
     for (number, caller) in callers.iter().cycle().enumerate() {
-        due += gap(&mut rng, pace.rate);
-        if due >= start + pace.time {
+        due += gap(&mut rng, schedule.rate);
+        if due >= start + schedule.duration {
             break;
         }
         tokio::time::sleep_until(due).await;
-        let ask = draw(&mut rng, mix, pace.seed, number);
-        let (caller, tally) = (Arc::clone(caller), Arc::clone(tally));
-        running.spawn(async move { send(&caller, &ask, due, &tally).await });
+        let request = draw(&mut rng, workload, schedule.seed, number);
+        let (caller, stats) = (Arc::clone(caller), Arc::clone(stats));
+        running.spawn(async move { send(&caller, &request, due, &stats).await });
         while running.try_join_next().is_some() {}
     }
     while running.join_next().await.is_some() {}
@@ -78,31 +83,35 @@
 }
 
 /// Draws a request. Its path is its own, so that an answer to another one is seen.
-fn draw(rng: &mut SmallRng, mix: &Mix, seed: u64, number: usize) -> Ask {
-    let service = rng.random_range(0..mix.services.len());
-    let key = rng.random_range(0..mix.keys.max(1));
-    let keyed = rng.random::<f64>() < mix.writes;
-    Ask {
-        service: Arc::clone(&mix.services[service]),
-        method: if keyed { Method::POST } else { Method::GET },
-        path: format!("{}/{key}?n={seed}-{number}", mix.path).into(),
+fn draw(rng: &mut SmallRng, workload: &Workload, seed: u64, number: usize) -> CallRequest {
+    let service = rng.random_range(0..workload.services.len());
+    let key = rng.random_range(0..workload.path_count.max(1));
+    let at_most_once = rng.random::<f64>() < workload.write_fraction;
+    CallRequest {
+        service: Arc::clone(&workload.services[service]),
+        method: if at_most_once {
+            Method::POST
+        } else {
+            Method::GET
+        },
+        path: format!("{}/{key}?n={seed}-{number}", workload.path).into(),
         body: Bytes::new(),
-        time: mix.deadline,
-        keyed,
+        timeout: workload.deadline,
+        at_most_once,
     }
 }
 
-async fn send(caller: &Caller, ask: &Ask, due: Instant, tally: &Mutex<Tally>) {
-    tally
+async fn send(caller: &Caller, request: &CallRequest, due: Instant, stats: &Mutex<LoadStats>) {
+    stats
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
-        .sent(&ask.service);
-    let done = caller.call(ask).await;
+        .sent(&request.service);
+    let result = caller.call(request).await;
     let time = due.elapsed();
-    let whole = match &done.outcome {
-        Outcome::Answered(answered) => response_check::check(ask, answered),
-        _ => response_check::Verdict::Right,
+    let check = match &result.outcome {
+        Outcome::Answered(answered) => response_check::check(request, answered),
+        _ => response_check::ResponseCheck::Matching,
     };
-    let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
-    tally.ended(&ask.service, &done, whole, time);
+    let mut stats = stats.lock().unwrap_or_else(PoisonError::into_inner);
+    stats.ended(&request.service, &result, check, time);
 }
--- a/crates/cli/src/load/report.rs
+++ b/crates/cli/src/load/report.rs
@@ -4,12 +4,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Pace, Tally, Totals};
+use super::{LoadSchedule, LoadStats, ServiceCounts};
 
 /// What one service's callers got.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Share {
+pub struct ServiceReport {
     /// Requests sent.
     pub sent: u64,
     /// Requests with the whole answer to themselves.
@@ -36,24 +36,24 @@
     pub max_ms: f64,
 }
 
-impl Share {
+impl ServiceReport {
     /// Sums up the counts of a service.
-    pub fn of(totals: &Totals) -> Self {
+    pub fn from_counts(counts: &ServiceCounts) -> Self {
         let millis = |micros: u64| micros as f64 / 1000.0;
-        let at = |quantile| millis(totals.times.value_at_quantile(quantile));
+        let at = |quantile| millis(counts.latencies.value_at_quantile(quantile));
         Self {
-            sent: totals.sent,
-            answered: totals.answered,
-            failed: totals.failed,
-            wrong: totals.wrong,
-            refused: totals.refused,
-            unknown: totals.unknown,
-            gone: totals.gone,
-            attempts: totals.attempts,
+            sent: counts.sent,
+            answered: counts.answered,
+            failed: counts.failed,
+            wrong: counts.wrong,
+            refused: counts.refused,
+            unknown: counts.unknown,
+            gone: counts.response_lost,
+            attempts: counts.attempts,
             p50_ms: at(0.5),
             p90_ms: at(0.9),
             p99_ms: at(0.99),
-            max_ms: millis(totals.times.max()),
+            max_ms: millis(counts.latencies.max()),
         }
     }
 }
@@ -69,41 +69,41 @@
     /// Seed.
     pub seed: u64,
     /// Results by service.
-    pub services: BTreeMap<Arc<str>, Share>,
+    pub services: BTreeMap<Arc<str>, ServiceReport>,
     /// Reasons of requests without an answer, with their number.
     pub reasons: BTreeMap<Arc<str>, u64>,
 }
 
 impl Report {
     /// Sums up a load.
-    pub fn of(pace: &Pace, tally: &Tally) -> Self {
-        let services = tally.services.iter();
+    pub fn from_stats(schedule: &LoadSchedule, stats: &LoadStats) -> Self {
+        let services = stats.services.iter();
         Self {
-            rate: pace.rate,
-            seconds: pace.time.as_secs_f64(),
-            seed: pace.seed,
+            rate: schedule.rate,
+            seconds: schedule.duration.as_secs_f64(),
+            seed: schedule.seed,
             services: services
-                .map(|(name, totals)| (Arc::clone(name), Share::of(totals)))
+                .map(|(name, counts)| (Arc::clone(name), ServiceReport::from_counts(counts)))
                 .collect(),
-            reasons: tally.reasons.clone(),
+            reasons: stats.reasons.clone(),
         }
     }
 
     /// Tells whether a caller got an answer that was not its own.
     pub fn has_wrong(&self) -> bool {
-        self.services.values().any(|share| share.wrong > 0)
+        self.services.values().any(|service| service.wrong > 0)
     }
 }
 
 /// Reasons that are shown; details with numbers in them make many that differ.
-const SHOWN: usize = 8;
+const MAX_REASONS: usize = 8;
 
 impl Report {
     /// Shows the most frequent reasons.
     fn show_reasons(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut reasons: Vec<_> = self.reasons.iter().collect();
         reasons.sort_by_key(|(_, number)| std::cmp::Reverse(**number));
-        let shown = reasons.len().min(SHOWN);
+        let shown = reasons.len().min(MAX_REASONS);
         for (reason, number) in &reasons[..shown] {
             writeln!(f, "{number} without an answer: {reason}")?;
         }
@@ -135,21 +135,21 @@
             "p99 ms",
             "max ms"
         )?;
-        for (name, share) in &self.services {
+        for (name, service) in &self.services {
             writeln!(
                 f,
                 "{:<14}{:>8}{:>9}{:>8}{:>7}{:>9}{:>9}{:>9.1}{:>9.1}{:>9.1}{:>9.1}",
                 name,
-                share.sent,
-                share.answered,
-                share.failed,
-                share.wrong,
-                share.refused,
-                share.unknown + share.gone,
-                share.p50_ms,
-                share.p90_ms,
-                share.p99_ms,
-                share.max_ms
+                service.sent,
+                service.answered,
+                service.failed,
+                service.wrong,
+                service.refused,
+                service.unknown + service.gone,
+                service.p50_ms,
+                service.p90_ms,
+                service.p99_ms,
+                service.max_ms
             )?;
         }
         self.show_reasons(f)
--- a/crates/cli/src/load/response_check.rs
+++ b/crates/cli/src/load/response_check.rs
@@ -2,15 +2,15 @@
 
 use serde::Deserialize;
 
-use crate::caller::{Answered, Ask};
+use crate::caller::{CallRequest, TargetResponse};
 
 /// What an answer is to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum ResponseCheck {
     /// The answer to this request.
-    Right,
+    Matching,
     /// The answer to another request.
-    Wrong,
+    Mismatched,
     /// An error of the target.
     Error,
 }
@@ -23,16 +23,16 @@
 }
 
 /// Compares an answer with the request that it was given to.
-pub(crate) fn check(ask: &Ask, answered: &Answered) -> Verdict {
+pub(crate) fn check(request: &CallRequest, answered: &TargetResponse) -> ResponseCheck {
     if !answered.status.is_success() {
-        return Verdict::Error;
+        return ResponseCheck::Error;
     }
     let Ok(echo) = serde_json::from_slice::<Echo<'_>>(&answered.body) else {
-        return Verdict::Right;
+        return ResponseCheck::Matching;
     };
     let key = answered.key.as_deref().unwrap_or_default();
-    match echo.path == &*ask.path && echo.key == key {
-        true => Verdict::Right,
-        false => Verdict::Wrong,
+    match echo.path == &*request.path && echo.key == key {
+        true => ResponseCheck::Matching,
+        false => ResponseCheck::Mismatched,
     }
 }
--- a/crates/cli/src/load/stats.rs
+++ b/crates/cli/src/load/stats.rs
@@ -10,18 +10,18 @@
 use hdrhistogram::Histogram;
 use serde::Deserialize;
 
-use super::response_check::Verdict;
-use crate::caller::{Answered, Done, Outcome};
+use super::response_check::ResponseCheck;
+use crate::caller::{CallResult, Outcome, TargetResponse};
 
 /// Longest time that is told apart, in microseconds.
-const LONGEST: u64 = 120_000_000;
+const MAX_LATENCY_US: u64 = 120_000_000;
 
 /// Digits of a time that are kept.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Counts of one service.
 #[derive(Clone, Debug)]
-pub struct Totals {
+pub struct ServiceCounts {
     /// Requests sent.
     pub sent: u64,
     /// Requests with the whole answer to themselves.
@@ -35,14 +35,14 @@
     /// Requests whose caller could not be told whether they ran.
     pub unknown: u64,
     /// Requests that ran, and whose answer was gone.
-    pub gone: u64,
+    pub response_lost: u64,
     /// Attempts of all requests.
     pub attempts: u64,
     /// Times to answer, in microseconds.
-    pub times: Histogram<u64>,
+    pub latencies: Histogram<u64>,
 }
 
-impl Totals {
+impl ServiceCounts {
     fn open() -> Self {
         Self {
             sent: 0,
@@ -51,26 +51,27 @@
             wrong: 0,
             refused: 0,
             unknown: 0,
-            gone: 0,
+            response_lost: 0,
             attempts: 0,
             // The bounds are constants that fit.
-            times: Histogram::new_with_max(LONGEST, DIGITS).unwrap_or_else(|_| unreachable!()),
+            latencies: Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+                .unwrap_or_else(|_| unreachable!()),
         }
     }
 
     /// Requests that have ended.
     pub fn ended(&self) -> u64 {
-        self.answered + self.failed + self.wrong + self.refused + self.unknown + self.gone
+        self.answered + self.failed + self.wrong + self.refused + self.unknown + self.response_lost
     }
 }
 
 /// Counts of a load.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct LoadStats {
     /// Counts by service.
-    pub services: BTreeMap<Arc<str>, Totals>,
+    pub services: BTreeMap<Arc<str>, ServiceCounts>,
     /// Keys that were answered `run: no`; none of them may be found at a target.
-    pub closed: BTreeSet<Arc<str>>,
+    pub not_run_keys: BTreeSet<Arc<str>>,
     /// Bytes of answers, by the host that gave them and the target that it names.
     pub bytes: BTreeMap<(SocketAddr, Arc<str>), u64>,
     /// Reasons of requests without an answer, with their number.
@@ -83,47 +84,48 @@
     target: &'a str,
 }
 
-impl Tally {
+impl LoadStats {
     /// Counts a request that is sent.
     pub(crate) fn sent(&mut self, service: &Arc<str>) {
-        self.totals(service).sent += 1;
+        self.service_counts(service).sent += 1;
     }
 
     /// Counts a request that has ended.
     pub(crate) fn ended(
         &mut self,
         service: &Arc<str>,
-        done: &Done,
-        verdict: Verdict,
+        result: &CallResult,
+        check: ResponseCheck,
         time: Duration,
     ) {
-        self.closed.extend(done.refused.iter().cloned());
-        let totals = self.totals(service);
-        totals.attempts += u64::from(done.attempts);
-        let reason = match &done.outcome {
+        self.not_run_keys
+            .extend(result.not_run_keys.iter().cloned());
+        let counts = self.service_counts(service);
+        counts.attempts += u64::from(result.attempts);
+        let reason = match &result.outcome {
             Outcome::Answered(answered) => {
-                match verdict {
-                    Verdict::Right => {
-                        totals.answered += 1;
+                match check {
+                    ResponseCheck::Matching => {
+                        counts.answered += 1;
                         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
-                        totals.times.saturating_record(micros);
+                        counts.latencies.saturating_record(micros);
                     }
-                    Verdict::Wrong => totals.wrong += 1,
-                    Verdict::Error => totals.failed += 1,
+                    ResponseCheck::Mismatched => counts.wrong += 1,
+                    ResponseCheck::Error => counts.failed += 1,
                 }
-                self.carry(answered);
+                self.count_bytes(answered);
                 return;
             }
             Outcome::NotRun(reason) => {
-                totals.refused += 1;
+                counts.refused += 1;
                 Arc::clone(reason)
             }
             Outcome::Unknown(reason) => {
-                totals.unknown += 1;
+                counts.unknown += 1;
                 Arc::clone(reason)
             }
-            Outcome::Ran => {
-                totals.gone += 1;
+            Outcome::ResponseLost => {
+                counts.response_lost += 1;
                 "the answer is gone".into()
             }
         };
@@ -131,7 +133,7 @@
     }
 
     /// Counts the bytes that came from a target over a host.
-    fn carry(&mut self, answered: &Answered) {
+    fn count_bytes(&mut self, answered: &TargetResponse) {
         if let Ok(named) = serde_json::from_slice::<Named<'_>>(&answered.body) {
             let bytes = self
                 .bytes
@@ -141,9 +143,9 @@
         }
     }
 
-    fn totals(&mut self, service: &Arc<str>) -> &mut Totals {
+    fn service_counts(&mut self, service: &Arc<str>) -> &mut ServiceCounts {
         self.services
             .entry(Arc::clone(service))
-            .or_insert_with(Totals::open)
+            .or_insert_with(ServiceCounts::open)
     }
 }
--- a/crates/cli/src/logs/async_appender.rs
+++ b/crates/cli/src/logs/async_appender.rs
@@ -24,7 +24,7 @@
 use serde_json::json;
 
 /// Lines that may wait for the writer: a few seconds of a host at its line budget.
-const RING: usize = 4096;
+const QUEUE_CAPACITY: usize = 4096;
 
 /// Room for a usual line, in bytes.
 const LINE_BYTES: usize = 320;
@@ -34,33 +34,33 @@
 
 /// Hands lines to the writer.
 #[derive(Debug)]
-pub(super) struct Lines {
-    ring: Mutex<SyncSender<String>>,
+pub(super) struct AsyncAppender {
+    queue: Mutex<SyncSender<String>>,
     dropped: Arc<AtomicU64>,
 }
 
-impl Lines {
+impl AsyncAppender {
     /// Spawns the writer.
-    pub(super) fn spawn() -> anyhow::Result<Lines> {
-        let (ring, lines) = sync_channel(RING);
+    pub(super) fn spawn() -> anyhow::Result<AsyncAppender> {
+        let (queue, lines) = sync_channel(QUEUE_CAPACITY);
         let dropped = Arc::new(AtomicU64::new(0));
         let counted = Arc::clone(&dropped);
         std::thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || write(&lines, &counted))
             .context("starting the log's writer")?;
-        Ok(Lines {
-            ring: Mutex::new(ring),
+        Ok(AsyncAppender {
+            queue: Mutex::new(queue),
             dropped,
         })
     }
 }
 
-impl Append for Lines {
+impl Append for AsyncAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
         let line = line(record)?;
-        let ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
-        match ring.try_send(line) {
+        let queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
+        match queue.try_send(line) {
             Ok(()) => {}
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
                 self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -84,8 +84,8 @@
         }
         let lost = dropped.swap(0, Ordering::Relaxed);
         if lost > 0 {
-            let told = json!({"time": seconds(), "level": "WARN", "of": "log", "event": "dropped", "lines": lost});
-            batch.push_str(&format!("{told}\n"));
+            let notice = json!({"time": seconds(), "level": "WARN", "of": "log", "event": "dropped", "lines": lost});
+            batch.push_str(&format!("{notice}\n"));
         }
         // With its reader gone there is nobody to tell.
         if out
--- a/crates/cli/src/logs/mod.rs
+++ b/crates/cli/src/logs/mod.rs
@@ -41,7 +41,7 @@
 
 /// Sends records as structured lines to the standard output, without ever waiting for its reader.
 pub(crate) fn open_lines() -> anyhow::Result<()> {
-    let lines = Box::new(async_appender::Lines::spawn()?);
+    let lines = Box::new(async_appender::AsyncAppender::spawn()?);
     let config = Config::builder()
         .appender(Appender::builder().build(CONSOLE, lines))
         .build(Root::builder().appender(CONSOLE).build(LevelFilter::Info))
--- a/crates/cli/src/soak/callers.rs
+++ b/crates/cli/src/soak/callers.rs
@@ -38,40 +38,40 @@
 
 /// How long a caller waits beyond that before it closes the connection. It is no bound on the
 /// answer: a caller that leaves judges nothing.
-const WAIT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How many connections of callers a host's faults may have cut.
 #[derive(Debug, Default)]
-pub(super) struct Calm {
+pub(super) struct HostFaults {
     /// Faults that are at work on the host or its connections.
     pub(super) active: AtomicU32,
     /// Faults that began.
-    pub(super) begun: AtomicU32,
+    pub(super) started: AtomicU32,
 }
 
-impl Calm {
+impl HostFaults {
     /// Number that stays the same while no fault begins, if none is at work.
-    fn mark(&self) -> Option<u32> {
-        let begun = self.begun.load(Ordering::SeqCst);
-        (self.active.load(Ordering::SeqCst) == 0).then_some(begun)
+    fn quiet_epoch(&self) -> Option<u32> {
+        let started = self.started.load(Ordering::SeqCst);
+        (self.active.load(Ordering::SeqCst) == 0).then_some(started)
     }
 }
 
 /// What callers saw.
 #[derive(Debug, Default)]
-pub(super) struct Seen {
+pub(super) struct Observations {
     pub(super) answered: AtomicU32,
     pub(super) failed: AtomicU32,
     /// Requests that were told that they have not run.
     pub(super) refused: Mutex<BTreeSet<String>>,
     /// Requests that may run once.
     pub(super) once: Mutex<BTreeSet<String>>,
-    pub(super) breaks: Mutex<Vec<String>>,
+    pub(super) violations: Mutex<Vec<String>>,
 }
 
-impl Seen {
-    pub(super) fn broke(&self, text: String) {
-        lock(&self.breaks).push(text);
+impl Observations {
+    pub(super) fn record_violation(&self, text: String) {
+        lock(&self.violations).push(text);
     }
 }
 
@@ -82,8 +82,8 @@
 /// Callers that run until they are stopped.
 #[derive(Debug)]
 pub(super) struct Callers {
-    pub(super) seen: Arc<Seen>,
-    pub(super) calm: Arc<Vec<Calm>>,
+    pub(super) observations: Arc<Observations>,
+    pub(super) host_faults: Arc<Vec<HostFaults>>,
     stop: Arc<AtomicBool>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
@@ -94,11 +94,11 @@
     hosts: Vec<SocketAddr>,
     ledger: Ledger,
     keys: SharedKeys,
-    seen: Arc<Seen>,
-    calm: Arc<Vec<Calm>>,
+    observations: Arc<Observations>,
+    host_faults: Arc<Vec<HostFaults>>,
     rng: StdRng,
     /// The kept connection and the host behind it.
-    link: Option<(usize, SendRequest<Full<Bytes>>)>,
+    connection: Option<(usize, SendRequest<Full<Bytes>>)>,
 }
 
 impl Callers {
@@ -108,8 +108,9 @@
         keys: &SharedKeys,
         seed: u64,
     ) -> Callers {
-        let seen = Arc::new(Seen::default());
-        let calm: Arc<Vec<Calm>> = Arc::new(hosts.iter().map(|_| Calm::default()).collect());
+        let observations = Arc::new(Observations::default());
+        let host_faults: Arc<Vec<HostFaults>> =
+            Arc::new(hosts.iter().map(|_| HostFaults::default()).collect());
         let stop = Arc::new(AtomicBool::new(false));
         let spawn = |name| {
             let mut caller = Caller {
@@ -117,10 +118,10 @@
                 hosts: hosts.to_vec(),
                 ledger: ledger.clone(),
                 keys: Arc::clone(keys),
-                seen: Arc::clone(&seen),
-                calm: Arc::clone(&calm),
+                observations: Arc::clone(&observations),
+                host_faults: Arc::clone(&host_faults),
                 rng: StdRng::seed_from_u64(seed ^ name),
-                link: None,
+                connection: None,
             };
             let stop = Arc::clone(&stop);
             tokio::spawn(async move {
@@ -134,8 +135,8 @@
         };
         let tasks = (0..CALLERS).map(spawn).collect();
         Callers {
-            seen,
-            calm,
+            observations,
+            host_faults,
             stop,
             tasks,
         }
@@ -146,7 +147,8 @@
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks.drain(..) {
             if let Err(e) = task.await {
-                self.seen.broke(format!("a caller died: {e}"));
+                self.observations
+                    .record_violation(format!("a caller died: {e}"));
             }
         }
     }
@@ -162,12 +164,12 @@
         let is_once = self.rng.random_range(0..3) == 0;
         let path = format!("/{}/{object}", if is_once { "once" } else { "read" });
         if is_once {
-            lock(&self.seen.once).insert(id.to_string());
+            lock(&self.observations.once).insert(id.to_string());
         }
         let Some((host, mut sender)) = self.connect().await else {
             return;
         };
-        let before = self.calm[host].mark();
+        let before = self.host_faults[host].quiet_epoch();
         let key = self.keys.draw(&id, &mut self.rng);
         let sent = sender.send_request(request(&id, &path, is_once, object, &key));
         let answer = async {
@@ -175,12 +177,12 @@
             let (head, body) = response.into_parts();
             Ok::<_, hyper::Error>((head, body.collect().await?.to_bytes()))
         };
-        match tokio::time::timeout(WAIT, answer).await {
+        match tokio::time::timeout(RESPONSE_TIMEOUT, answer).await {
             Ok(Ok((head, body))) => {
-                self.link = Some((host, sender));
-                self.judge(&id, &path, &key, &head, &body);
+                self.connection = Some((host, sender));
+                self.check_response(&id, &path, &key, &head, &body);
             }
-            Ok(Err(e)) => self.cut(&id, host, before, &e),
+            Ok(Err(e)) => self.check_disconnect(&id, host, before, &e),
             // The caller leaves; what it would have got is not judged.
             Err(_) => self.count(false),
         }
@@ -188,7 +190,7 @@
 
     /// The kept connection, or a new one to any host.
     async fn connect(&mut self) -> Option<(usize, SendRequest<Full<Bytes>>)> {
-        if let Some((host, mut sender)) = self.link.take()
+        if let Some((host, mut sender)) = self.connection.take()
             && sender.ready().await.is_ok()
         {
             return Some((host, sender));
@@ -204,47 +206,47 @@
         Some((host, sender))
     }
 
-    fn judge(&self, id: &str, path: &str, key: &Key, head: &Parts, body: &[u8]) {
+    fn check_response(&self, id: &str, path: &str, key: &Key, head: &Parts, body: &[u8]) {
         let (status, headers) = (head.status, &head.headers);
         self.count(status.is_success());
         if status.is_success() {
             let own = body == format!("{id} {path}").as_bytes();
             if !own || !headers.contains_key(dialect::open().signature) {
                 let text = String::from_utf8_lossy(body);
-                self.seen
-                    .broke(format!("{id} got another's answer, or a part: {text}"));
+                self.observations
+                    .record_violation(format!("{id} got another's answer, or a part: {text}"));
             }
-        } else if is_promise(status, key) {
-            lock(&self.seen.refused).insert(id.to_owned());
+        } else if confirms_not_run(status, key) {
+            lock(&self.observations.refused).insert(id.to_owned());
         } else if status.is_client_error() {
-            self.seen
-                .broke(format!("{id}, a proper request, got {status}"));
+            self.observations
+                .record_violation(format!("{id}, a proper request, got {status}"));
         }
     }
 
     /// The connection ended without an answer. From a host that nothing was done to, that must not
     /// happen to a request that a target ran.
-    fn cut(&self, id: &str, host: usize, before: Option<u32>, error: &hyper::Error) {
+    fn check_disconnect(&self, id: &str, host: usize, before: Option<u32>, error: &hyper::Error) {
         self.count(false);
-        let calm = before.is_some() && self.calm[host].mark() == before;
-        if calm && self.ledger.runs(id) > 0 {
-            self.seen
-                .broke(format!("{id} ran and got no answer from h{host}: {error}"));
+        let undisturbed = before.is_some() && self.host_faults[host].quiet_epoch() == before;
+        if undisturbed && self.ledger.runs(id) > 0 {
+            self.observations
+                .record_violation(format!("{id} ran and got no answer from h{host}: {error}"));
         }
     }
 
     fn count(&self, is_good: bool) {
         let count = if is_good {
-            &self.seen.answered
+            &self.observations.answered
         } else {
-            &self.seen.failed
+            &self.observations.failed
         };
         count.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 /// Whether an answer says that the request has not run and never will.
-fn is_promise(status: StatusCode, key: &Key) -> bool {
+fn confirms_not_run(status: StatusCode, key: &Key) -> bool {
     let is_unknown = status == StatusCode::UNAUTHORIZED && key.may_be_unknown();
     is_unknown || [408, 421, 429, 503].contains(&status.as_u16())
 }
--- a/crates/cli/src/soak/deployment.rs
+++ b/crates/cli/src/soak/deployment.rs
@@ -18,7 +18,7 @@
 use serde_json::Value;
 
 use super::{
-    keys::{Keys, REVOKE, SLACK, SharedKeys},
+    keys::{Keys, LIMIT_SLACK, REVOKE_DELAY, SharedKeys},
     plan::TARGETS,
     proxy::Proxy,
 };
@@ -60,66 +60,66 @@
     child: Option<Child>,
     dir: PathBuf,
     /// Starts so far.
-    pub(super) starts: u32,
+    pub(super) start_count: u32,
 }
 
 /// A target, the proxy before it, and what it announces.
 #[derive(Debug)]
-pub(super) struct TargetSeat {
+pub(super) struct ProxiedTarget {
     pub(super) target: Target,
     pub(super) proxy: Proxy,
-    pub(super) starts: u32,
+    pub(super) start_count: u32,
 }
 
 /// A running deployment. Dropped, its processes are killed.
 #[derive(Debug)]
-pub(super) struct Fleet {
+pub(super) struct Deployment {
     pub(super) store: Store,
     pub(super) ledger: Ledger,
     pub(super) hosts: Vec<HostProcess>,
-    pub(super) targets: Vec<TargetSeat>,
+    pub(super) targets: Vec<ProxiedTarget>,
     pub(super) version: u64,
     /// Faults at work for which the store serves nobody.
-    pub(super) downs: usize,
+    pub(super) store_outages: usize,
     pub(super) keys: SharedKeys,
 }
 
-impl Fleet {
+impl Deployment {
     /// Starts stand-ins and hosts.
-    pub(super) async fn spawn(dir: &Path, hosts: usize) -> anyhow::Result<Fleet> {
+    pub(super) async fn spawn(dir: &Path, hosts: usize) -> anyhow::Result<Deployment> {
         let local = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let store = Store::bind(SocketAddr::new(local, 0)).context("the store")?;
-        let mut fleet = Fleet {
+        let mut deployment = Deployment {
             store,
             ledger: Ledger::default(),
             hosts: Vec::new(),
             targets: Vec::new(),
             version: 0,
-            downs: 0,
+            store_outages: 0,
             keys: SharedKeys::default(),
         };
         for n in 0..TARGETS {
-            fleet.seat(n).await?;
+            deployment.add_target(n).await?;
         }
-        fleet.configure();
+        deployment.apply_next_config();
         for n in 0..hosts {
-            let host = HostProcess::open(n, dir, fleet.store.address()).await?;
-            fleet.hosts.push(host);
-            fleet.hosts[n].start()?;
+            let host = HostProcess::open(n, dir, deployment.store.address()).await?;
+            deployment.hosts.push(host);
+            deployment.hosts[n].start()?;
         }
-        Ok(fleet)
+        Ok(deployment)
     }
 
-    async fn seat(&mut self, n: usize) -> anyhow::Result<()> {
+    async fn add_target(&mut self, n: usize) -> anyhow::Result<()> {
         let local = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let rules = rules(n, 1);
         let target = Target::bind(SocketAddr::new(local, 0), rules, self.ledger.clone());
         let target = target.context("a target")?;
         let proxy = Proxy::bind(local, target.address()).await?;
-        self.targets.push(TargetSeat {
+        self.targets.push(ProxiedTarget {
             target,
             proxy,
-            starts: 1,
+            start_count: 1,
         });
         self.announce(n, false);
         Ok(())
@@ -127,11 +127,11 @@
 
     /// Writes a target's entry.
     pub(super) fn announce(&self, n: usize, is_leaving: bool) {
-        let seat = &self.targets[n];
+        let proxied = &self.targets[n];
         self.store.write_target(&model::Target {
-            id: seat.target.rules().id.into(),
+            id: proxied.target.rules().id.into(),
             service: SERVICE.into(),
-            address: seat.proxy.address,
+            address: proxied.proxy.address,
             domain: DOMAINS[n % DOMAINS.len()].into(),
             slots: SLOTS,
             leaving: is_leaving,
@@ -141,32 +141,32 @@
     }
 
     /// Ends a target's start and begins another, at the same address.
-    pub(super) fn renew(&mut self, n: usize) {
+    pub(super) fn replace_target(&mut self, n: usize) {
         let old = self.targets[n].target.rules().id;
         self.store.remove_target(&old);
-        let seat = &mut self.targets[n];
-        seat.starts += 1;
-        let next = rules(n, seat.starts);
-        seat.target.set(|rules| *rules = next);
+        let proxied = &mut self.targets[n];
+        proxied.start_count += 1;
+        let next = rules(n, proxied.start_count);
+        proxied.target.set(|rules| *rules = next);
         self.announce(n, false);
     }
 
     /// The store serves nobody from now on.
     pub(super) fn store_down(&mut self, down: Down) {
-        self.downs += 1;
+        self.store_outages += 1;
         self.store.set_down(Some(down));
     }
 
     /// One of the faults for which the store serves nobody has ended.
-    pub(super) fn store_back(&mut self) {
-        self.downs -= 1;
-        if self.downs == 0 {
+    pub(super) fn store_up(&mut self) {
+        self.store_outages -= 1;
+        if self.store_outages == 0 {
             self.store.set_down(None);
         }
     }
 
     /// Puts a newer configuration in force.
-    pub(super) fn configure(&mut self) {
+    pub(super) fn apply_next_config(&mut self) {
         self.version += 3;
         self.store.write_config(&Draft {
             version: self.version,
@@ -174,9 +174,9 @@
             service: SERVICE,
             routes: &[("/read/", true), ("/once/", false)],
             timeout: TIMEOUT + Duration::from_millis(self.version),
-            workspaces: &Keys::holders(self.version),
+            workspaces: &Keys::workspaces(self.version),
         });
-        self.keys.confirm(self.version);
+        self.keys.mark_active(self.version);
     }
 }
 
@@ -192,7 +192,7 @@
 }
 
 /// How a target behaves when nothing is wrong with it.
-pub(super) fn sound(rules: &mut TargetRules) {
+pub(super) fn clear_faults(rules: &mut TargetRules) {
     rules.work = WORK;
     rules.is_down = false;
     rules.loses = false;
@@ -213,16 +213,18 @@
             ip,
             child: None,
             dir: dir.to_owned(),
-            starts: 0,
+            start_count: 0,
         })
     }
 
     /// Starts the process; its log goes on in a file of its own for each start.
     pub(super) fn start(&mut self) -> anyhow::Result<()> {
-        self.starts += 1;
+        self.start_count += 1;
         let settings = self.dir.join(format!("{}.toml", self.name));
         std::fs::write(&settings, self.settings()).context("a host's settings")?;
-        let log = self.dir.join(format!("{}-{}.log", self.name, self.starts));
+        let log = self
+            .dir
+            .join(format!("{}-{}.log", self.name, self.start_count));
         let out = File::create(&log).with_context(|| format!("making {}", log.display()))?;
         let program = std::env::current_exe().context("this program's path")?;
         let child = Command::new(program)
@@ -251,17 +253,17 @@
         format!(
             "name = \"{}\"\nregion = \"{region}\"\ndomain = \"{domain}\"\n[domains]\n{}\n\
              [listen]\n{}\n[store]\naddress = \"{}\"\n[bounds]\ngrace = \"6s\"\nretry_slack = 1000\n\
-             revoke = \"{}s\"\nlimit_slack = {SLACK}\n",
+             revoke = \"{}s\"\nlimit_slack = {LIMIT_SLACK}\n",
             self.name,
             domains.join("\n"),
             listen.join("\n"),
             self.store.address,
-            REVOKE.as_secs(),
+            REVOKE_DELAY.as_secs(),
         )
     }
 
     /// Starts the process again, if it has ended.
-    pub(super) fn revive(&mut self) -> anyhow::Result<()> {
+    pub(super) fn ensure_running(&mut self) -> anyhow::Result<()> {
         match self.child {
             Some(_) => Ok(()),
             None => self.start(),
@@ -278,7 +280,7 @@
     }
 
     /// The exit code, once the process has ended.
-    pub(super) fn ended(&mut self) -> anyhow::Result<Option<Option<i32>>> {
+    pub(super) fn try_wait(&mut self) -> anyhow::Result<Option<Option<i32>>> {
         let Some(child) = &mut self.child else {
             return Ok(None);
         };
--- a/crates/cli/src/soak/faults.rs
+++ b/crates/cli/src/soak/faults.rs
@@ -6,17 +6,17 @@
 use nix::sys::signal::Signal;
 
 use super::{
-    callers::Calm,
-    deployment::{DOMAINS, Fleet, sound},
+    callers::HostFaults,
+    deployment::{DOMAINS, Deployment, clear_faults},
     plan::Fault,
     proxy::Mode,
 };
 
 /// How much longer runs take at a slow target.
-const SLOWER: u32 = 10;
+const SLOWDOWN: u32 = 10;
 
 /// Writes whose answers are lost.
-const LOST_WRITES: u32 = 3;
+const LOST_RESPONSES: u32 = 3;
 
 /// Which host a fault disturbs: its callers' connections may end without an answer.
 pub(super) fn disturbs(fault: Fault) -> Option<usize> {
@@ -29,10 +29,14 @@
 }
 
 /// Begins a fault.
-pub(super) fn begin(fleet: &mut Fleet, calm: &[Calm], fault: Fault) -> anyhow::Result<()> {
+pub(super) fn begin(
+    fleet: &mut Deployment,
+    host_faults: &[HostFaults],
+    fault: Fault,
+) -> anyhow::Result<()> {
     if let Some(host) = disturbs(fault) {
-        calm[host].active.fetch_add(1, Ordering::SeqCst);
-        calm[host].begun.fetch_add(1, Ordering::SeqCst);
+        host_faults[host].active.fetch_add(1, Ordering::SeqCst);
+        host_faults[host].started.fetch_add(1, Ordering::SeqCst);
     }
     match fault {
         Fault::Kill(host) => fleet.hosts[host].signal(Signal::SIGKILL)?,
@@ -47,41 +51,45 @@
         Fault::StoreBusy => fleet.store_down(Down::Busy),
         Fault::StoreAway => {
             fleet.store_down(Down::Busy);
-            fleet.configure();
+            fleet.apply_next_config();
         }
         Fault::StoreClosed => fleet.store_down(Down::Closed),
         Fault::StoreForgets => fleet.store.forget(),
-        Fault::StoreLoses => fleet.store.lose_answers(LOST_WRITES),
+        Fault::StoreLoses => fleet.store.lose_answers(LOST_RESPONSES),
         Fault::TargetDown(n) => fleet.targets[n].target.set(|rules| rules.is_down = true),
         Fault::TargetLoses(n) => fleet.targets[n].target.set(|rules| rules.loses = true),
         Fault::TargetSheds(n) => fleet.targets[n].target.set(|rules| rules.sheds = true),
-        Fault::TargetSlow(n) => fleet.targets[n].target.set(|rules| rules.work *= SLOWER),
+        Fault::TargetSlow(n) => fleet.targets[n].target.set(|rules| rules.work *= SLOWDOWN),
         Fault::TargetMute(n) => fleet.targets[n].proxy.set(Mode::Mute),
         Fault::TargetLeaves(n) => fleet.announce(n, true),
-        Fault::TargetReplaced(n) => fleet.renew(n),
-        Fault::Configure => fleet.configure(),
+        Fault::TargetReplaced(n) => fleet.replace_target(n),
+        Fault::Configure => fleet.apply_next_config(),
         Fault::Evacuate(n) => fleet.store.evacuate(DOMAINS[n % DOMAINS.len()], true),
     }
     Ok(())
 }
 
 /// Ends a fault, as far as it does not end by itself.
-pub(super) fn end(fleet: &mut Fleet, calm: &[Calm], fault: Fault) -> anyhow::Result<()> {
+pub(super) fn end(
+    fleet: &mut Deployment,
+    host_faults: &[HostFaults],
+    fault: Fault,
+) -> anyhow::Result<()> {
     match fault {
-        Fault::Kill(host) => fleet.hosts[host].revive()?,
+        Fault::Kill(host) => fleet.hosts[host].ensure_running()?,
         Fault::Pause(host) => fleet.hosts[host].signal(Signal::SIGCONT)?,
         Fault::SlowLink(host) | Fault::ResetLink(host) | Fault::MuteLink(host) => {
             fleet.hosts[host].callers.set(Mode::Pass);
         }
         Fault::CutStore(host) | Fault::RefuseStore(host) => fleet.hosts[host].store.set(Mode::Pass),
-        Fault::StoreBusy | Fault::StoreAway | Fault::StoreClosed => fleet.store_back(),
+        Fault::StoreBusy | Fault::StoreAway | Fault::StoreClosed => fleet.store_up(),
         Fault::StoreLoses => fleet.store.lose_answers(0),
         Fault::TargetDown(n) | Fault::TargetLoses(n) | Fault::TargetSheds(n) => {
-            fleet.targets[n].target.set(sound);
+            fleet.targets[n].target.set(clear_faults);
         }
-        Fault::TargetSlow(n) => fleet.targets[n].target.set(sound),
+        Fault::TargetSlow(n) => fleet.targets[n].target.set(clear_faults),
         Fault::TargetMute(n) => fleet.targets[n].proxy.set(Mode::Pass),
-        Fault::TargetLeaves(n) => fleet.renew(n),
+        Fault::TargetLeaves(n) => fleet.replace_target(n),
         Fault::Evacuate(n) => fleet.store.evacuate(DOMAINS[n % DOMAINS.len()], false),
         Fault::Stop(_)
         | Fault::Reload(_)
@@ -90,7 +98,7 @@
         | Fault::Configure => {}
     }
     if let Some(host) = disturbs(fault) {
-        calm[host].active.fetch_sub(1, Ordering::SeqCst);
+        host_faults[host].active.fetch_sub(1, Ordering::SeqCst);
     }
     Ok(())
 }
--- a/crates/cli/src/soak/keys.rs
+++ b/crates/cli/src/soak/keys.rs
@@ -12,14 +12,14 @@
 use super::callers::lock;
 
 /// Time after which a key that was taken away serves no more, as in the hosts' settings.
-pub(super) const REVOKE: Duration = Duration::from_secs(5);
+pub(super) const REVOKE_DELAY: Duration = Duration::from_secs(5);
 
 /// Requests beyond a limit in a window, as in the hosts' settings.
-pub(super) const SLACK: u32 = 20;
+pub(super) const LIMIT_SLACK: u32 = 20;
 
 /// Window, and share beyond a limit; what hosts take where their settings do not say.
 const WINDOW: Duration = Duration::from_secs(5);
-const OVER: f64 = 0.1;
+const MAX_OVERSHOOT: f64 = 0.1;
 
 /// Requests a second of the workspace with a limit, and as many at once: a third of what it sends.
 const RATE: u32 = 30;
@@ -54,12 +54,12 @@
 struct Changing {
     now: String,
     /// Keys that were taken away, and when the store had confirmed it.
-    taken: BTreeMap<String, Instant>,
+    revoked: BTreeMap<String, Instant>,
 }
 
 impl Keys {
     /// The workspaces of a version. Once the store holds it, [`Keys::confirm`] is to be called.
-    pub(super) fn holders(version: u64) -> [Holder<'static>; 3] {
+    pub(super) fn workspaces(version: u64) -> [Holder<'static>; 3] {
         let holder = |name, key: String, rate| Holder {
             name,
             keys: vec![key],
@@ -78,16 +78,16 @@
     }
 
     /// The store holds a version.
-    pub(super) fn confirm(&self, version: u64) {
+    pub(super) fn mark_active(&self, version: u64) {
         let mut changing = lock(&self.changing);
         let old = std::mem::replace(&mut changing.now, Keys::text(version));
-        changing.taken.insert(old, Instant::now());
+        changing.revoked.insert(old, Instant::now());
     }
 
     /// Draws the key of a request that is about to be sent.
     pub(super) fn draw(&self, id: &str, rng: &mut StdRng) -> Key {
         let changing = lock(&self.changing);
-        let last = changing.taken.keys().next_back();
+        let last = changing.revoked.keys().next_back();
         let (text, workspace) = match rng.random_range(0..8) {
             0 => (changing.now.clone(), CHANGING),
             1 => (last.unwrap_or(&changing.now).clone(), CHANGING),
@@ -102,7 +102,7 @@
     }
 
     /// What ran and must not have.
-    pub(super) fn judge(&self, ledger: &Ledger) -> Vec<String> {
+    pub(super) fn violations(&self, ledger: &Ledger) -> Vec<String> {
         let (sent, changing) = (lock(&self.sent), lock(&self.changing));
         let mut found = Vec::new();
         let mut busy = Vec::new();
@@ -111,11 +111,11 @@
                 continue;
             };
             let late = changing
-                .taken
+                .revoked
                 .get(&key.text)
-                .filter(|taken| **taken + REVOKE < *at);
-            if let Some(taken) = late {
-                let late = at.duration_since(*taken);
+                .filter(|revoked| **revoked + REVOKE_DELAY < *at);
+            if let Some(revoked) = late {
+                let late = at.duration_since(*revoked);
                 found.push(format!(
                     "{id} ran under a key that was taken away {late:?} before"
                 ));
@@ -129,15 +129,16 @@
                 busy.extend(runs.first().map(|run| (*at, run.at)));
             }
         }
-        found.extend(beyond(busy));
+        found.extend(limit_violation(busy));
         found
     }
 }
 
 /// The worst window of a limit, if it was broken: requests that were sent and ran in it.
-fn beyond(mut runs: Vec<(Instant, Instant)>) -> Option<String> {
+fn limit_violation(mut runs: Vec<(Instant, Instant)>) -> Option<String> {
     let rate = f64::from(RATE);
-    let most = (rate * WINDOW.as_secs_f64() + rate) * (1.0 + OVER) + f64::from(SLACK);
+    let allowed =
+        (rate * WINDOW.as_secs_f64() + rate) * (1.0 + MAX_OVERSHOOT) + f64::from(LIMIT_SLACK);
     runs.sort();
     let within = |from: Instant| {
         let runs = runs
@@ -146,8 +147,8 @@
         runs.count()
     };
     let worst = runs.iter().map(|(sent, _)| within(*sent)).max()?;
-    let is_beyond = worst as f64 > most;
-    is_beyond.then(|| format!("{worst} requests of {BUSY} ran in {WINDOW:?}; {most} may"))
+    let is_beyond = worst as f64 > allowed;
+    is_beyond.then(|| format!("{worst} requests of {BUSY} ran in {WINDOW:?}; {allowed} may"))
 }
 
 /// Clones share the keys.
--- a/crates/cli/src/soak/mod.rs
+++ b/crates/cli/src/soak/mod.rs
@@ -18,42 +18,42 @@
 
 use anyhow::Context;
 
-use self::{deployment::Fleet, plan::Plan, runner::Verdict};
+use self::{deployment::Deployment, plan::Plan, runner::SoakResult};
 use crate::{
     args::Soak,
-    exit::{Exit, Failure},
+    exit::{CliError, Exit},
     output,
     runtime::block_on,
 };
 
 /// Hosts of a plan at most: each has an address of its own, of which the last number counts.
-const MOST_HOSTS: usize = 200;
+const MAX_HOSTS: usize = 200;
 
 /// Plays the plans and tells which of them broke a promise.
-pub(crate) fn run(args: &Soak) -> Result<(), Failure> {
-    if args.hosts == 0 || args.hosts > MOST_HOSTS {
-        let text = format!("--hosts {}: give 1 to {MOST_HOSTS}", args.hosts);
-        return Err(Failure::open(Exit::Usage, text));
+pub(crate) fn run(args: &Soak) -> Result<(), CliError> {
+    if args.hosts == 0 || args.hosts > MAX_HOSTS {
+        let text = format!("--hosts {}: give 1 to {MAX_HOSTS}", args.hosts);
+        return Err(CliError::open(Exit::Usage, text));
     }
     let mut broken = 0;
     for seed in args.seed..args.seed + args.plans {
         let plan = Plan::open(seed, args.hosts, args.faults);
-        let verdict = play(&plan, args.keep.as_deref())?;
-        output::line(format!("seed {seed}: {verdict}"))?;
-        if verdict.breaks.is_empty() {
+        let result = run_plan(&plan, args.keep.as_deref())?;
+        output::line(format!("seed {seed}: {result}"))?;
+        if result.violations.is_empty() {
             continue;
         }
         broken += 1;
         if args.shrink {
-            let least = shrink(plan, args.keep.as_deref())?;
+            let smallest = shrink(plan, args.keep.as_deref())?;
             output::line(format!(
-                "fewest faults that still break a promise:\n{least}"
+                "fewest faults that still break a promise:\n{smallest}"
             ))?;
         }
     }
     match broken {
         0 => Ok(()),
-        n => Err(Failure::open(
+        n => Err(CliError::open(
             Exit::Failed,
             format!("{n} of {} plans broke a promise", args.plans),
         )),
@@ -61,20 +61,20 @@
 }
 
 /// Plays one plan; the logs stay where a promise broke.
-fn play(plan: &Plan, keep: Option<&Path>) -> anyhow::Result<Verdict> {
-    let dir = folder(plan.seed, keep)?;
-    let verdict = block_on(async {
-        let fleet = Fleet::spawn(&dir, plan.hosts).await?;
-        runner::watch(fleet, plan).await
+fn run_plan(plan: &Plan, keep: Option<&Path>) -> anyhow::Result<SoakResult> {
+    let dir = log_dir(plan.seed, keep)?;
+    let result = block_on(async {
+        let deployment = Deployment::spawn(&dir, plan.hosts).await?;
+        runner::run(deployment, plan).await
     })??;
-    if verdict.breaks.is_empty() {
+    if result.violations.is_empty() {
         std::fs::remove_dir_all(&dir).with_context(|| format!("removing {}", dir.display()))?;
     } else {
-        let text = format!("{plan}\n{verdict}\n");
+        let text = format!("{plan}\n{result}\n");
         let path = dir.join("plan.txt");
         std::fs::write(&path, text).with_context(|| format!("writing {}", path.display()))?;
     }
-    Ok(verdict)
+    Ok(result)
 }
 
 /// Takes faults out of a plan one by one, for as long as it breaks a promise without them.
@@ -83,7 +83,7 @@
     while at < plan.steps.len() {
         let mut fewer = plan.clone();
         fewer.steps.remove(at);
-        if play(&fewer, keep)?.breaks.is_empty() {
+        if run_plan(&fewer, keep)?.violations.is_empty() {
             at += 1;
         } else {
             plan = fewer;
@@ -92,7 +92,7 @@
     Ok(plan)
 }
 
-fn folder(seed: u64, keep: Option<&Path>) -> anyhow::Result<PathBuf> {
+fn log_dir(seed: u64, keep: Option<&Path>) -> anyhow::Result<PathBuf> {
     let name = format!("soak-{}-{seed}", std::process::id());
     let dir = keep
         .map_or_else(std::env::temp_dir, Path::to_path_buf)
--- a/crates/cli/src/soak/plan.rs
+++ b/crates/cli/src/soak/plan.rs
@@ -8,16 +8,16 @@
 pub(super) const TARGETS: usize = 6;
 
 /// Longest pause before the next fault: shorter than most faults last, so that they overlap.
-const PAUSE_MS: u64 = 900;
+const MAX_PAUSE_MS: u64 = 900;
 
 /// Shortest and longest time that a fault lasts.
 const LASTS_MS: std::ops::Range<u64> = 300..3500;
 
 /// The same for a store that serves no host: longer than a host may serve keys by what it knew before.
-const AWAY_MS: std::ops::Range<u64> = 6500..9000;
+const OUTAGE_MS: std::ops::Range<u64> = 6500..9000;
 
 /// Part of the plans that hold such a time.
-const AWAY_PART: f64 = 0.5;
+const OUTAGE_FRACTION: f64 = 0.5;
 
 /// What is done to a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -92,18 +92,18 @@
     pub(super) fn open(seed: u64, hosts: usize, faults: usize) -> Plan {
         let mut rng = StdRng::seed_from_u64(seed);
         let steps = (0..faults).map(|_| Step {
-            pause: Duration::from_millis(rng.random_range(0..PAUSE_MS)),
+            pause: Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS)),
             lasts: Duration::from_millis(rng.random_range(LASTS_MS)),
             fault: draw(&mut rng, hosts),
         });
         let mut steps: Vec<_> = steps.collect();
-        if rng.random_bool(AWAY_PART) {
-            let away = Step {
-                pause: Duration::from_millis(rng.random_range(0..PAUSE_MS)),
-                lasts: Duration::from_millis(rng.random_range(AWAY_MS)),
+        if rng.random_bool(OUTAGE_FRACTION) {
+            let outage = Step {
+                pause: Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS)),
+                lasts: Duration::from_millis(rng.random_range(OUTAGE_MS)),
                 fault: Fault::StoreAway,
             };
-            steps.insert(rng.random_range(0..=steps.len()), away);
+            steps.insert(rng.random_range(0..=steps.len()), outage);
         }
         Plan { seed, hosts, steps }
     }
