--- a/crates/cli/src/soak/callers.rs
+++ b/crates/cli/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a soak: they keep their connections, and check what they get.
+//! Callers of a soak: HTTP clients with persistent connections that check each response.
 
 use std::{
     collections::BTreeSet,
@@ -27,44 +27,45 @@
     keys::{Key, SharedKeys},
 };
 
-/// Callers at the same time.
+/// Number of concurrent callers.
 const CALLERS: u64 = 12;
 
 /// Pause between two requests of a caller.
 const PAUSE: Duration = Duration::from_millis(15);
 
-/// Time that a caller grants, as it says in its requests.
+/// Deadline that a caller states in its requests.
 const DEADLINE: Duration = Duration::from_secs(3);
 
-/// How long a caller waits beyond that before it closes the connection. It is no bound on the
-/// answer: a caller that leaves judges nothing.
+/// Time after which a caller closes the connection. It does not limit the response time: the
+/// caller checks nothing after a timeout.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How many connections of callers a host's faults may have cut.
+/// Counts of the injected faults that may close a host's connections to its callers.
 #[derive(Debug, Default)]
 pub(super) struct HostFaults {
-    /// Faults that are at work on the host or its connections.
+    /// Faults that are active on the host or its connections.
     pub(super) active: AtomicU32,
-    /// Faults that began.
+    /// Faults started so far.
     pub(super) started: AtomicU32,
 }
 
 impl HostFaults {
-    /// Number that stays the same while no fault begins, if none is at work.
+    /// Returns the number of started faults if none is active. Two equal values mean that no fault
+    /// was active in between.
     fn quiet_epoch(&self) -> Option<u32> {
         let started = self.started.load(Ordering::SeqCst);
         (self.active.load(Ordering::SeqCst) == 0).then_some(started)
     }
 }
 
-/// What callers saw.
+/// Results of all callers' requests.
 #[derive(Debug, Default)]
 pub(super) struct Observations {
     pub(super) answered: AtomicU32,
     pub(super) failed: AtomicU32,
-    /// Requests that were told that they have not run.
+    /// Requests whose response says that they have not run.
     pub(super) refused: Mutex<BTreeSet<String>>,
-    /// Requests that may run once.
+    /// Requests that may run at most once.
     pub(super) once: Mutex<BTreeSet<String>>,
     pub(super) violations: Mutex<Vec<String>>,
 }
@@ -97,7 +98,7 @@
     observations: Arc<Observations>,
     host_faults: Arc<Vec<HostFaults>>,
     rng: StdRng,
-    /// The kept connection and the host behind it.
+    /// The open connection and the index of its host.
     connection: Option<(usize, SendRequest<Full<Bytes>>)>,
 }
 
@@ -142,20 +143,20 @@
         }
     }
 
-    /// Lets every caller end its request, and stops.
+    /// Stops the callers after their current requests.
     pub(super) async fn stop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks.drain(..) {
             if let Err(e) = task.await {
                 self.observations
-                    .record_violation(format!("a caller died: {e}"));
+                    .record_violation(format!("a caller task failed: {e}"));
             }
         }
     }
 }
 
 impl Caller {
-    /// Sends one request and checks what comes back.
+    /// Sends one request and checks the response.
     async fn call(&mut self, number: u64) {
         let (id, object) = (
             Arc::<str>::from(format!("c{}-{number}", self.name)),
@@ -183,12 +184,12 @@
                 self.check_response(&id, &path, &key, &head, &body);
             }
             Ok(Err(e)) => self.check_disconnect(&id, host, before, &e),
-            // The caller leaves; what it would have got is not judged.
+            // The caller closes the connection, so there is no response to check.
             Err(_) => self.count(false),
         }
     }
 
-    /// The kept connection, or a new one to any host.
+    /// Returns the open connection, or opens one to a random host.
     async fn connect(&mut self) -> Option<(usize, SendRequest<Full<Bytes>>)> {
         if let Some((host, mut sender)) = self.connection.take()
             && sender.ready().await.is_ok()
@@ -200,7 +201,7 @@
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(async move {
             if let Err(e) = connection.await {
-                log::debug!(error:% = e; "a caller's connection ended");
+                log::debug!(error:% = e; "caller connection closed with an error");
             }
         });
         Some((host, sender))
@@ -213,25 +214,27 @@
             let own = body == format!("{id} {path}").as_bytes();
             if !own || !headers.contains_key(dialect::open().signature) {
                 let text = String::from_utf8_lossy(body);
-                self.observations
-                    .record_violation(format!("{id} got another's answer, or a part: {text}"));
+                self.observations.record_violation(format!(
+                    "{id} got a mismatched or truncated response: {text}"
+                ));
             }
         } else if confirms_not_run(status, key) {
             lock(&self.observations.refused).insert(id.to_owned());
         } else if status.is_client_error() {
             self.observations
-                .record_violation(format!("{id}, a proper request, got {status}"));
+                .record_violation(format!("{id} is a valid request and got {status}"));
         }
     }
 
-    /// The connection ended without an answer. From a host that nothing was done to, that must not
-    /// happen to a request that a target ran.
+    /// Handles a connection that closed without a response. On a host without an active fault this
+    /// must not happen to a request that a target ran.
     fn check_disconnect(&self, id: &str, host: usize, before: Option<u32>, error: &hyper::Error) {
         self.count(false);
         let undisturbed = before.is_some() && self.host_faults[host].quiet_epoch() == before;
         if undisturbed && self.ledger.runs(id) > 0 {
-            self.observations
-                .record_violation(format!("{id} ran and got no answer from h{host}: {error}"));
+            self.observations.record_violation(format!(
+                "{id} ran and got no response from h{host}: {error}"
+            ));
         }
     }
 
@@ -245,7 +248,7 @@
     }
 }
 
-/// Whether an answer says that the request has not run and never will.
+/// Returns whether a response says that the request has not run and never will.
 fn confirms_not_run(status: StatusCode, key: &Key) -> bool {
     let is_unknown = status == StatusCode::UNAUTHORIZED && key.may_be_unknown();
     is_unknown || [408, 421, 429, 503].contains(&status.as_u16())
@@ -265,7 +268,7 @@
     } else {
         http::Method::GET
     };
-    // The path is made here, of a word and a number.
+    // Always valid: the path consists of a fixed word and a number.
     *request.uri_mut() = path.parse().unwrap_or_default();
     *request.headers_mut() = standin::headers(NAME, id, object, DEADLINE, Some(&key.text));
     request
--- a/crates/cli/src/soak/deployment.rs
+++ b/crates/cli/src/soak/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment of a soak: hosts as processes, stand-ins, and the proxies between them.
+//! The deployment of a soak: hosts as processes, fakes of the platform, and the proxies between them.
 
 use std::{
     fs::File,
@@ -23,31 +23,31 @@
     proxy::Proxy,
 };
 
-/// Failure domains; hosts and targets stand in them in turn.
+/// Failure domains; hosts and targets are assigned to them round robin.
 pub(super) const DOMAINS: [&str; 3] = ["north-1", "south-1", "west-1"];
 
 /// Host name of the routes.
 pub(super) const NAME: &str = "soak";
 
-/// The one service.
+/// Name of the only service.
 const SERVICE: &str = "work";
 
-/// Timeout of the routes; each configuration adds a little, so that versions differ.
+/// Timeout of the routes. Each configuration adds a few milliseconds, so that versions differ.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time of a run.
+/// Run time of a request at a target.
 const WORK: Duration = Duration::from_millis(20);
 
-/// Requests that a target runs at once.
+/// Requests that a target runs concurrently.
 const SLOTS: u32 = 8;
 
-/// Last number of the first host's address. Each host has an address of its own, so that its ports
-/// stay the same over restarts; the numbers before follow from this process's id, so that soaks may
-/// run beside each other.
+/// Last octet of the first host's address. Each host has its own address, so that its ports stay the
+/// same over restarts. The middle octets follow from this process's id, so that several soaks can
+/// run at the same time.
 const FIRST_IP: u8 = 20;
 
-/// Ports of callers, look-ups, readiness, other hosts and metrics: below those that the system gives
-/// to outgoing connections, one of which could otherwise hold a port while its host is down.
+/// Ports for callers, lookups, readiness, peers and metrics. They are below the ephemeral range: an
+/// outgoing connection could otherwise occupy a port while its host is down.
 const PORTS: [u16; 5] = [17101, 17102, 17103, 17104, 17105];
 
 /// A host's process and the proxies around it.
@@ -59,11 +59,11 @@
     ip: IpAddr,
     child: Option<Child>,
     dir: PathBuf,
-    /// Starts so far.
+    /// Number of starts, which also names the log file.
     pub(super) start_count: u32,
 }
 
-/// A target, the proxy before it, and what it announces.
+/// A target and the proxy in front of it, whose address is announced.
 #[derive(Debug)]
 pub(super) struct ProxiedTarget {
     pub(super) target: Target,
@@ -71,7 +71,7 @@
     pub(super) start_count: u32,
 }
 
-/// A running deployment. Dropped, its processes are killed.
+/// A running deployment. Its processes are killed on drop.
 #[derive(Debug)]
 pub(super) struct Deployment {
     pub(super) store: Store,
@@ -79,13 +79,13 @@
     pub(super) hosts: Vec<HostProcess>,
     pub(super) targets: Vec<ProxiedTarget>,
     pub(super) version: u64,
-    /// Faults at work for which the store serves nobody.
+    /// Number of active faults that make the store unavailable to all hosts.
     pub(super) store_outages: usize,
     pub(super) keys: SharedKeys,
 }
 
 impl Deployment {
-    /// Starts stand-ins and hosts.
+    /// Starts the fakes and the hosts.
     pub(super) async fn spawn(dir: &Path, hosts: usize) -> anyhow::Result<Deployment> {
         let local = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let store = Store::bind(SocketAddr::new(local, 0)).context("the store")?;
@@ -125,7 +125,7 @@
         Ok(())
     }
 
-    /// Writes a target's entry.
+    /// Writes a target's entry to the store.
     pub(super) fn announce(&self, n: usize, is_leaving: bool) {
         let proxied = &self.targets[n];
         self.store.write_target(&model::Target {
@@ -140,7 +140,7 @@
         });
     }
 
-    /// Ends a target's start and begins another, at the same address.
+    /// Replaces a target by its next incarnation at the same address.
     pub(super) fn replace_target(&mut self, n: usize) {
         let old = self.targets[n].target.rules().id;
         self.store.remove_target(&old);
@@ -151,13 +151,13 @@
         self.announce(n, false);
     }
 
-    /// The store serves nobody from now on.
+    /// Makes the store unavailable to all hosts.
     pub(super) fn store_down(&mut self, down: Down) {
         self.store_outages += 1;
         self.store.set_down(Some(down));
     }
 
-    /// One of the faults for which the store serves nobody has ended.
+    /// Ends one store outage; the store is available again after the last one.
     pub(super) fn store_up(&mut self) {
         self.store_outages -= 1;
         if self.store_outages == 0 {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Puts a newer configuration in force.
+    /// Writes the next version of the configuration.
     pub(super) fn apply_next_config(&mut self) {
         self.version += 3;
         self.store.write_config(&Draft {
@@ -191,7 +191,7 @@
     }
 }
 
-/// How a target behaves when nothing is wrong with it.
+/// Resets a target's options to those of a healthy target.
 pub(super) fn clear_faults(rules: &mut TargetRules) {
     rules.work = WORK;
     rules.is_down = false;
@@ -203,7 +203,7 @@
     async fn open(n: usize, dir: &Path, store: SocketAddr) -> anyhow::Result<HostProcess> {
         let last = FIRST_IP + u8::try_from(n).context("at most 200 hosts")?;
         let [.., high, low] = std::process::id().to_be_bytes();
-        // 127.0.x.x is left to what else runs on the machine.
+        // 127.0.x.x is left to other programs on the machine.
         let ip = IpAddr::V4(Ipv4Addr::new(127, high.max(1), low, last));
         let to = SocketAddr::new(ip, PORTS[0]);
         Ok(HostProcess {
@@ -217,7 +217,7 @@
         })
     }
 
-    /// Starts the process; its log goes on in a file of its own for each start.
+    /// Starts the process; each start writes its own log file.
     pub(super) fn start(&mut self) -> anyhow::Result<()> {
         self.start_count += 1;
         let settings = self.dir.join(format!("{}.toml", self.name));
@@ -262,7 +262,7 @@
         )
     }
 
-    /// Starts the process again, if it has ended.
+    /// Starts the process again if it has exited.
     pub(super) fn ensure_running(&mut self) -> anyhow::Result<()> {
         match self.child {
             Some(_) => Ok(()),
@@ -270,7 +270,7 @@
         }
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process if it is running.
     pub(super) fn signal(&self, signal: Signal) -> anyhow::Result<()> {
         let Some(child) = &self.child else {
             return Ok(());
@@ -279,29 +279,29 @@
         kill(Pid::from_raw(id), signal).with_context(|| format!("signalling {}", self.name))
     }
 
-    /// The exit code, once the process has ended.
+    /// Returns the exit code once the process has exited.
     pub(super) fn try_wait(&mut self) -> anyhow::Result<Option<Option<i32>>> {
         let Some(child) = &mut self.child else {
             return Ok(None);
         };
-        let status = child.try_wait().context("a host's end")?;
+        let status = child.try_wait().context("a host's exit status")?;
         if status.is_some() {
             self.child = None;
         }
         Ok(status.map(|status| status.code()))
     }
 
-    /// Process id, while it runs.
+    /// Returns the process id while the process is running.
     pub(super) fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Where its dump is read.
+    /// Returns the address that serves the dump.
     pub(super) fn peers(&self) -> SocketAddr {
         SocketAddr::new(self.ip, PORTS[3])
     }
 
-    /// What it believes, as it says itself; `None` while it does not answer.
+    /// Reads the host's state; `None` if it does not respond.
     pub(super) async fn dump(&self) -> Option<Value> {
         let client = dunlinrock_node::wire::Client::open(1 << 20);
         let uri = format!("http://{}/peer/v1/dump", self.peers());
@@ -316,7 +316,7 @@
 impl Drop for HostProcess {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // It is being replaced or the soak is over; one that has ended is past killing.
+            // Errors are ignored: the process may have exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/cli/src/soak/faults.rs
+++ b/crates/cli/src/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Begins and ends faults.
+//! Starts and ends faults.
 
 use std::sync::atomic::Ordering;
 
@@ -12,13 +12,13 @@
     proxy::Mode,
 };
 
-/// How much longer runs take at a slow target.
+/// Factor by which runs take longer at a slow target.
 const SLOWDOWN: u32 = 10;
 
-/// Writes whose answers are lost.
+/// Number of writes whose responses the store drops.
 const LOST_RESPONSES: u32 = 3;
 
-/// Which host a fault disturbs: its callers' connections may end without an answer.
+/// Returns the host whose caller connections may close without a response because of a fault.
 pub(super) fn disturbs(fault: Fault) -> Option<usize> {
     match fault {
         Fault::Kill(host) | Fault::Pause(host) | Fault::ResetLink(host) | Fault::MuteLink(host) => {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Begins a fault.
+/// Starts a fault.
 pub(super) fn begin(
     fleet: &mut Deployment,
     host_faults: &[HostFaults],
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-/// Ends a fault, as far as it does not end by itself.
+/// Ends a fault. Faults that end by themselves need no action.
 pub(super) fn end(
     fleet: &mut Deployment,
     host_faults: &[HostFaults],
--- a/crates/cli/src/soak/keys.rs
+++ b/crates/cli/src/soak/keys.rs
@@ -1,4 +1,4 @@
-//! Keys and limits of a soak: what callers use, and what must not run.
+//! API keys and rate limits of a soak, and the checks that hosts enforce them.
 
 use std::{
     collections::BTreeMap,
@@ -11,25 +11,25 @@
 
 use super::callers::lock;
 
-/// Time after which a key that was taken away serves no more, as in the hosts' settings.
+/// Time after which a revoked key must be refused, as in the hosts' settings.
 pub(super) const REVOKE_DELAY: Duration = Duration::from_secs(5);
 
-/// Requests beyond a limit in a window, as in the hosts' settings.
+/// Number of requests by which a window may exceed a limit, as in the hosts' settings.
 pub(super) const LIMIT_SLACK: u32 = 20;
 
-/// Window, and share beyond a limit; what hosts take where their settings do not say.
+/// Window, and fraction by which it may exceed a limit: the defaults of the hosts' settings.
 const WINDOW: Duration = Duration::from_secs(5);
 const MAX_OVERSHOOT: f64 = 0.1;
 
-/// Requests a second of the workspace with a limit, and as many at once: a third of what it sends.
+/// Rate limit per second of the limited workspace, and its burst: a third of what it sends.
 const RATE: u32 = 30;
 
-/// Workspaces: one whose key stays, one with a limit, one whose key changes with each version.
+/// Workspaces: one with a fixed key, one with a rate limit, one whose key changes with each version.
 const STEADY: &str = "steady";
 const BUSY: &str = "busy";
 const CHANGING: &str = "changing";
 
-/// A caller's key.
+/// An API key and its workspace.
 #[derive(Clone, Debug)]
 pub(super) struct Key {
     pub(super) text: String,
@@ -37,13 +37,13 @@
 }
 
 impl Key {
-    /// Whether a host may not know it: it was changed, and hosts learn of that in time.
+    /// Returns whether a host may not know the key: changed keys reach hosts with a delay.
     pub(super) fn may_be_unknown(&self) -> bool {
         self.workspace == CHANGING
     }
 }
 
-/// Keys that were changed, and who sent which.
+/// The changing API key, and the key of each request.
 #[derive(Debug, Default)]
 pub(super) struct Keys {
     changing: Mutex<Changing>,
@@ -53,12 +53,13 @@
 #[derive(Debug, Default)]
 struct Changing {
     now: String,
-    /// Keys that were taken away, and when the store had confirmed it.
+    /// Revoked keys, and when the store had confirmed the change.
     revoked: BTreeMap<String, Instant>,
 }
 
 impl Keys {
-    /// The workspaces of a version. Once the store holds it, [`Keys::confirm`] is to be called.
+    /// Returns the workspaces of a version. Call [`Keys::mark_active`] after the store has accepted
+    /// the version.
     pub(super) fn workspaces(version: u64) -> [Holder<'static>; 3] {
         let holder = |name, key: String, rate| Holder {
             name,
@@ -72,19 +73,19 @@
         ]
     }
 
-    /// Sorts as its version does.
+    /// Returns the key of a version; keys sort in the order of versions.
     fn text(version: u64) -> String {
         format!("key-{version:08}")
     }
 
-    /// The store holds a version.
+    /// Records that the store has accepted a version, which revokes the previous key.
     pub(super) fn mark_active(&self, version: u64) {
         let mut changing = lock(&self.changing);
         let old = std::mem::replace(&mut changing.now, Keys::text(version));
         changing.revoked.insert(old, Instant::now());
     }
 
-    /// Draws the key of a request that is about to be sent.
+    /// Selects a random key for a request that is about to be sent.
     pub(super) fn draw(&self, id: &str, rng: &mut StdRng) -> Key {
         let changing = lock(&self.changing);
         let last = changing.revoked.keys().next_back();
@@ -101,7 +102,7 @@
         key
     }
 
-    /// What ran and must not have.
+    /// Returns the runs that violate keys, workspaces or the rate limit.
     pub(super) fn violations(&self, ledger: &Ledger) -> Vec<String> {
         let (sent, changing) = (lock(&self.sent), lock(&self.changing));
         let mut found = Vec::new();
@@ -117,7 +118,7 @@
             if let Some(revoked) = late {
                 let late = at.duration_since(*revoked);
                 found.push(format!(
-                    "{id} ran under a key that was taken away {late:?} before"
+                    "{id} ran under a key that was revoked {late:?} before"
                 ));
             }
             for run in &runs {
@@ -134,7 +135,7 @@
     }
 }
 
-/// The worst window of a limit, if it was broken: requests that were sent and ran in it.
+/// Returns the window with the most requests sent and run in it, if it exceeds the limit.
 fn limit_violation(mut runs: Vec<(Instant, Instant)>) -> Option<String> {
     let rate = f64::from(RATE);
     let allowed =
@@ -148,8 +149,9 @@
     };
     let worst = runs.iter().map(|(sent, _)| within(*sent)).max()?;
     let is_beyond = worst as f64 > allowed;
-    is_beyond.then(|| format!("{worst} requests of {BUSY} ran in {WINDOW:?}; {allowed} may"))
+    is_beyond
+        .then(|| format!("{worst} requests of {BUSY} ran in {WINDOW:?}; the limit is {allowed}"))
 }
 
-/// Clones share the keys.
+/// Shared handle to the keys.
 pub(super) type SharedKeys = Arc<Keys>;
--- a/crates/cli/src/soak/mod.rs
+++ b/crates/cli/src/soak/mod.rs
@@ -1,10 +1,9 @@
-//! A randomized soak: real hosts as processes, faults from outside them, promises checked while they
-//! serve.
+//! `soak`: a randomized test that injects faults into hosts under load and checks the promises.
 //!
-//! The stand-ins of the platform's store and targets run in this process. Each host is a process of
-//! its own behind loopback proxies, one towards its callers and one towards the store; each target
-//! is behind one too. A plan follows from its seed alone. What is checked is what callers and
-//! targets see, and never how long something took: a busy machine changes no verdict.
+//! The fakes of the platform's store and targets run in this process. Each host is a separate process
+//! behind two loopback proxies, one towards its callers and one towards the store; each target is
+//! behind a proxy too. A plan follows from its seed alone. The checks compare what callers and
+//! targets observe and never measure durations, so a busy machine does not change the result.
 
 mod callers;
 mod deployment;
@@ -26,13 +25,13 @@
     runtime::block_on,
 };
 
-/// Hosts of a plan at most: each has an address of its own, of which the last number counts.
+/// Maximum number of hosts: each has its own address, and only the last octet varies.
 const MAX_HOSTS: usize = 200;
 
-/// Plays the plans and tells which of them broke a promise.
+/// Runs the plans and reports which of them broke a promise.
 pub(crate) fn run(args: &Soak) -> Result<(), CliError> {
     if args.hosts == 0 || args.hosts > MAX_HOSTS {
-        let text = format!("--hosts {}: give 1 to {MAX_HOSTS}", args.hosts);
+        let text = format!("--hosts {}: must be from 1 to {MAX_HOSTS}", args.hosts);
         return Err(CliError::open(Exit::Usage, text));
     }
     let mut broken = 0;
@@ -60,7 +59,7 @@
     }
 }
 
-/// Plays one plan; the logs stay where a promise broke.
+/// Runs one plan; keeps the logs if a promise was broken.
 fn run_plan(plan: &Plan, keep: Option<&Path>) -> anyhow::Result<SoakResult> {
     let dir = log_dir(plan.seed, keep)?;
     let result = block_on(async {
@@ -77,7 +76,7 @@
     Ok(result)
 }
 
-/// Takes faults out of a plan one by one, for as long as it breaks a promise without them.
+/// Removes faults from a plan one by one while it still breaks a promise.
 fn shrink(mut plan: Plan, keep: Option<&Path>) -> anyhow::Result<Plan> {
     let mut at = 0;
     while at < plan.steps.len() {
--- a/crates/cli/src/soak/plan.rs
+++ b/crates/cli/src/soak/plan.rs
@@ -1,85 +1,86 @@
-//! A plan of faults, which follows from a seed alone.
+//! A random fault plan, determined by its seed.
 
 use std::{fmt, time::Duration};
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Targets of a deployment.
+/// Number of targets in a deployment.
 pub(super) const TARGETS: usize = 6;
 
-/// Longest pause before the next fault: shorter than most faults last, so that they overlap.
+/// Maximum pause before the next fault. Most faults last longer, so that they overlap.
 const MAX_PAUSE_MS: u64 = 900;
 
-/// Shortest and longest time that a fault lasts.
+/// Range of the duration of a fault.
 const LASTS_MS: std::ops::Range<u64> = 300..3500;
 
-/// The same for a store that serves no host: longer than a host may serve keys by what it knew before.
+/// Range of the duration of a store outage. It is longer than a host may serve requests by API keys
+/// that the store has not confirmed since.
 const OUTAGE_MS: std::ops::Range<u64> = 6500..9000;
 
-/// Part of the plans that hold such a time.
+/// Fraction of the plans that contain a store outage of this kind.
 const OUTAGE_FRACTION: f64 = 0.5;
 
-/// What is done to a deployment.
+/// A fault that is injected into a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
     /// A host is killed and started again.
     Kill(usize),
-    /// A host stands still.
+    /// A host is suspended by SIGSTOP.
     Pause(usize),
-    /// A host is asked to stop, and started again once it has ended.
+    /// A host is stopped by SIGTERM, and started again once it has exited.
     Stop(usize),
-    /// A host is told to read its settings.
+    /// A host reloads its settings on SIGHUP.
     Reload(usize),
-    /// The way between callers and a host is late.
+    /// Data between callers and a host is delayed.
     SlowLink(usize),
     /// Connections between callers and a host are reset.
     ResetLink(usize),
-    /// Nothing of a host's answers reaches its callers.
+    /// No bytes of a host's responses reach its callers.
     MuteLink(usize),
-    /// The store does not answer a host.
+    /// The store's responses do not reach a host.
     CutStore(usize),
-    /// The store turns one host away.
+    /// Connections between one host and the store are reset.
     RefuseStore(usize),
-    /// The store is busy for all.
+    /// The store refuses requests of all hosts as overloaded.
     StoreBusy,
-    /// The store serves no host for long, and the configuration changes meanwhile.
+    /// The store refuses requests of all hosts for longer, and the configuration changes meanwhile.
     StoreAway,
     /// The store closes every connection.
     StoreClosed,
-    /// The store drops its history.
+    /// The store compacts its history.
     StoreForgets,
-    /// Answers of the store's writes are lost.
+    /// Responses to writes to the store are lost.
     StoreLoses,
     /// A target is down.
     TargetDown(usize),
-    /// A target runs requests and loses their answers.
+    /// A target runs requests and loses their responses.
     TargetLoses(usize),
-    /// A target turns everything away.
+    /// A target sheds every request.
     TargetSheds(usize),
     /// A target's runs take ten times as long.
     TargetSlow(usize),
     /// Connections to a target go silent.
     TargetMute(usize),
-    /// A target leaves, and is started again under another id at the same address.
+    /// A target leaves, and is replaced by one with another id at the same address.
     TargetLeaves(usize),
-    /// A target's address belongs to another start at once.
+    /// A target is replaced at once by another incarnation at the same address.
     TargetReplaced(usize),
-    /// A newer configuration is in force.
+    /// A newer configuration becomes active.
     Configure,
-    /// A failure domain's targets get nothing.
+    /// A failure domain is evacuated: its targets get no traffic.
     Evacuate(usize),
 }
 
-/// A fault, when it begins and how long it lasts.
+/// A fault with its start and duration.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Step {
-    /// Time since the fault before.
+    /// Time since the previous fault started.
     pub(super) pause: Duration,
     pub(super) lasts: Duration,
     pub(super) fault: Fault,
 }
 
-/// Faults in the order in which they begin.
+/// Faults in the order of their starts.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
     pub(super) seed: u64,
@@ -88,7 +89,7 @@
 }
 
 impl Plan {
-    /// The plan of a seed.
+    /// Generates the plan of a seed.
     pub(super) fn open(seed: u64, hosts: usize, faults: usize) -> Plan {
         let mut rng = StdRng::seed_from_u64(seed);
         let steps = (0..faults).map(|_| Step {
--- a/crates/cli/src/soak/proxy.rs
+++ b/crates/cli/src/soak/proxy.rs
@@ -12,23 +12,23 @@
     sync::watch,
 };
 
-/// What is done to connections.
+/// How the proxy treats its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Mode {
-    /// Nothing.
+    /// Forwards bytes unchanged.
     Pass,
-    /// Bytes are late.
+    /// Delays bytes.
     Slow,
-    /// Open and new connections are reset.
+    /// Resets open and new connections.
     Reset,
-    /// Bytes towards the caller vanish.
+    /// Discards bytes towards the client.
     Mute,
 }
 
 /// Delay of bytes in [`Mode::Slow`].
 const DELAY: Duration = Duration::from_millis(150);
 
-/// Bytes moved at once.
+/// Size of the copy buffer, in bytes.
 const CHUNK: usize = 16 << 10;
 
 /// A running proxy.
@@ -39,7 +39,7 @@
 }
 
 impl Proxy {
-    /// Binds a free port on `ip` and leads its connections to `to`.
+    /// Binds a free port on `ip` and forwards its connections to `to`.
     pub(super) async fn bind(ip: std::net::IpAddr, to: SocketAddr) -> anyhow::Result<Proxy> {
         let listener = TcpListener::bind(SocketAddr::new(ip, 0))
             .await
@@ -50,14 +50,14 @@
         Ok(Proxy { address, mode })
     }
 
-    /// Changes what is done to connections.
+    /// Changes the mode, also for open connections.
     pub(super) fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 }
 
 async fn accept(listener: TcpListener, modes: watch::Receiver<Mode>, to: SocketAddr) {
-    // The listener fails only with the process out of descriptors, which ends the soak as broken.
+    // Accepting fails only if the process runs out of descriptors, which fails the soak.
     while let Ok((near, _)) = listener.accept().await {
         tokio::spawn(serve(near, to, modes.clone()));
     }
@@ -72,7 +72,7 @@
         reset(&near);
         return;
     };
-    // Small messages back and forth: held together they would wait for each other.
+    // Nagle's algorithm would delay the small messages that go back and forth.
     if near
         .set_nodelay(true)
         .and_then(|()| far.set_nodelay(true))
@@ -95,7 +95,7 @@
     }
 }
 
-/// Moves bytes one way until one side ends.
+/// Copies bytes in one direction until either side closes.
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -103,7 +103,7 @@
     is_answer: bool,
 ) {
     let mut chunk = vec![0; CHUNK];
-    // An error ends the connection like an orderly end; the other side sees it either way.
+    // A read error closes the connection as end of stream does; the other side sees it either way.
     while let Ok(n) = from.read(&mut chunk).await
         && n > 0
     {
@@ -120,9 +120,9 @@
     let _ = to.shutdown().await;
 }
 
-/// Closes with a reset instead of an orderly end.
+/// Makes closing the connection send a reset instead of a FIN.
 fn reset(stream: &TcpStream) {
     if let Err(e) = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)) {
-        log::debug!(error:% = e; "a connection ends in order, not by a reset");
+        log::debug!(error:% = e; "cannot set SO_LINGER; the connection closes without a reset");
     }
 }
--- a/crates/cli/src/soak/runner.rs
+++ b/crates/cli/src/soak/runner.rs
@@ -1,4 +1,4 @@
-//! Plays a plan and checks the promises while it runs and after it.
+//! Runs a fault plan and checks the promises during and after it.
 
 use std::{
     collections::BTreeMap,
@@ -17,21 +17,21 @@
     plan::{Fault, Plan},
 };
 
-/// Pause between two looks at processes and their dumps.
+/// Interval at which processes and their dumps are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long the deployment may take to be whole again after the last fault. It only ends a hang:
-/// hosts are back within seconds, and a machine that is busy may take ten times as long.
+/// Time limit for the deployment to recover after the last fault. It only ends a hang: hosts recover
+/// within seconds, and a busy machine may take ten times as long.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Largest resident memory of a host, in bytes, and most descriptors: the platform's own limits.
+/// Limits on a host's resident memory and open descriptors, as the platform sets them.
 const MAX_MEMORY_BYTES: u64 = 260 << 20;
 const MAX_DESCRIPTORS: usize = 4100;
 
-/// Size of a page of memory, in bytes.
+/// Size of a memory page, in bytes.
 const PAGE_BYTES: u64 = 4096;
 
-/// What a plan led to.
+/// Result of a plan.
 #[derive(Debug)]
 pub(super) struct SoakResult {
     pub(super) violations: Vec<String>,
@@ -59,22 +59,22 @@
     }
 }
 
-/// A deployment that is watched.
+/// State of a running plan.
 struct Runner {
     deployment: Deployment,
     callers: Callers,
-    /// Faults that are to end.
+    /// Active faults and their end times.
     active_faults: Vec<(Instant, Fault)>,
     /// Hosts that were killed or asked to stop since their last start.
     killed: Vec<bool>,
     stopped: Vec<bool>,
-    /// Version that each start of a host last held.
+    /// Highest configuration version seen at each start of a host.
     versions: BTreeMap<(usize, u32), u64>,
-    /// Targets that leave: their id, and their arrivals once no host lists them.
+    /// Leaving targets: their id, and their request count at the time when no host listed them.
     leaving: BTreeMap<usize, (String, Option<u32>)>,
 }
 
-/// Plays a plan.
+/// Runs a plan and returns its result.
 pub(super) async fn run(deployment: Deployment, plan: &Plan) -> anyhow::Result<SoakResult> {
     let hosts: Vec<_> = deployment
         .hosts
@@ -110,7 +110,7 @@
     }
 
     fn begin(&mut self, fault: Fault, lasts: Duration) -> anyhow::Result<()> {
-        // A fault that is at work already would end with the first of the two.
+        // Two overlapping instances of a fault would both end with the first.
         if self.active_faults.iter().any(|(_, other)| *other == fault) {
             return Ok(());
         }
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    /// Looks again and again for a time, and ends the faults that are due.
+    /// Checks the hosts repeatedly for a time and ends the faults that are due.
     async fn monitor_for(&mut self, time: Duration) -> anyhow::Result<()> {
         let end = Instant::now() + time;
         loop {
@@ -159,7 +159,7 @@
         Ok(())
     }
 
-    /// One look at every process and what it says of itself.
+    /// Checks each process and its dump once.
     async fn check_hosts(&mut self) -> anyhow::Result<()> {
         let mut lists = Vec::new();
         for n in 0..self.deployment.hosts.len() {
@@ -183,7 +183,7 @@
         Ok(())
     }
 
-    /// Processes end only when they are killed or asked to.
+    /// Checks that a process exits only after it was killed or signalled to stop.
     fn check_exit(&mut self, n: usize) -> anyhow::Result<()> {
         let Some(code) = self.deployment.hosts[n].try_wait()? else {
             return Ok(());
@@ -191,7 +191,7 @@
         let (killed, stopped) = (self.killed[n], self.stopped[n]);
         let in_order = stopped && code == Some(0);
         if !(killed || in_order) {
-            self.record_violation(format!("h{n} ended by itself, or badly, with {code:?}"));
+            self.record_violation(format!("h{n} exited unexpectedly with {code:?}"));
         }
         if stopped || !killed {
             self.deployment.hosts[n].ensure_running()?;
@@ -204,7 +204,7 @@
         let Some(id) = self.deployment.hosts[n].id() else {
             return Ok(());
         };
-        // A process that has just ended has no figures any more.
+        // A process that has just exited has no entries in /proc.
         let Ok(text) = fs::read_to_string(format!("/proc/{id}/statm")) else {
             return Ok(());
         };
@@ -217,31 +217,31 @@
         Ok(())
     }
 
-    /// A process never goes back to an older configuration.
+    /// Checks that a process never returns to an older configuration.
     fn check_version(&mut self, n: usize, version: u64) {
         let start = (n, self.deployment.hosts[n].start_count);
         let held = self.versions.entry(start).or_default();
         if version < *held {
-            let text = format!("h{n} went back from version {held} to {version}");
+            let text = format!("h{n} returned from version {held} to {version}");
             self.callers.observations.record_violation(text);
         }
         *held = version.max(*held);
     }
 
-    /// A target gets nothing after every host knew that it leaves.
+    /// Checks that a leaving target received no request after every host stopped listing it.
     fn check_leaving(&mut self, n: usize) {
         let Some((id, Some(before))) = self.leaving.remove(&n) else {
             return;
         };
         let target = &self.deployment.targets[n].target;
-        // Another start at its address has arrivals of its own.
+        // A later incarnation at this address has its own request count.
         let late = target.arrivals() - before;
         if target.rules().id == id && late > 0 {
             self.record_violation(format!("{id} got {late} requests after no host listed it"));
         }
     }
 
-    /// Waits until every host serves and holds the newest configuration.
+    /// Waits until every host is ready and has applied the latest configuration.
     async fn wait_recovered(&mut self, when: &str) -> anyhow::Result<()> {
         let end = Instant::now() + RECOVERY_TIMEOUT;
         loop {
@@ -256,13 +256,13 @@
                 return Ok(());
             }
             if Instant::now() > end {
-                self.record_violation(format!("the hosts are not whole again {when}"));
+                self.record_violation(format!("the hosts did not recover {when}"));
                 return Ok(());
             }
         }
     }
 
-    /// Asks every host to stop; each ends by itself and in order.
+    /// Stops every host by SIGTERM; each must exit with code 0.
     async fn stop_all(&mut self) -> anyhow::Result<()> {
         for host in &self.deployment.hosts {
             host.signal(Signal::SIGTERM)?;
@@ -285,7 +285,7 @@
         let (observations, ledger) = (&self.callers.observations, &self.deployment.ledger);
         let refused = lock(&observations.refused);
         for id in refused.iter().filter(|id| ledger.runs(id) > 0) {
-            self.record_violation(format!("{id} was told that it has not run, and ran"));
+            self.record_violation(format!("{id} was answered as not run, and ran"));
         }
         for id in lock(&observations.once)
             .iter()
@@ -298,7 +298,7 @@
         }
         let answered = observations.answered.load(Ordering::Relaxed);
         if answered == 0 {
-            self.record_violation("nothing was answered".to_owned());
+            self.record_violation("no request was answered".to_owned());
         }
         SoakResult {
             violations: lock(&observations.violations).clone(),
