--- a/crates/cli/src/demo/callers.rs
+++ b/crates/cli/src/demo/callers.rs
@@ -1,4 +1,4 @@
-//! The demo's callers, some near each region.
+//! The demo's callers, a few near each region.
 
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -10,13 +10,13 @@
 use super::deployment::DemoDeployment;
 use crate::caller::{Caller, CallerOptions};
 
-/// Callers near each region.
+/// Number of callers near each region.
 const CALLERS: u64 = 8;
 
-/// Attempts that a caller makes of one request; its deadline ends most before.
+/// Maximum attempts per request; the deadline usually ends a request earlier.
 const ATTEMPTS: u32 = 10;
 
-/// Opens the callers; those of one region follow those of another.
+/// Creates the callers, alternating between regions.
 pub(super) fn open(deployment: &DemoDeployment, seed: u64) -> Vec<Arc<Caller>> {
     let seeds: Vec<SocketAddr> = deployment
         .hosts
@@ -40,7 +40,7 @@
     callers
 }
 
-/// Finds a loopback address that the configuration places near a region: the first one of the
+/// Returns a loopback address that the configuration places near a region: the first address of the
 /// region's smallest loopback block.
 fn address(config: &Config, region: &str) -> Option<IpAddr> {
     let near = config.blocks.iter().filter(|(_, at)| ***at == *region);
--- a/crates/cli/src/demo/deployment.rs
+++ b/crates/cli/src/demo/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment that the demo runs: stand-ins and hosts on free loopback ports.
+//! The demo's deployment: fakes of the platform and hosts, on free loopback ports.
 
 use std::{
     collections::BTreeMap,
@@ -22,46 +22,46 @@
     runtime::block_on,
 };
 
-/// Hosts in each failure domain.
+/// Number of hosts in each failure domain.
 const HOSTS_PER_DOMAIN: usize = 2;
 
 /// Prefix of the deployment's keys in the store.
 const PREFIX: &str = "dunlinrock/";
 
-/// Time that hosts have to be ready, and an apply to end.
+/// Timeout for hosts to become ready, and for an apply.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time between two looks at hosts that are not ready.
+/// Interval at which the hosts' readiness is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time that callers may keep a look-up. A planned stop takes at least that long.
+/// TTL of lookup responses. A graceful shutdown takes at least that long.
 const ANSWER_TTL_MS: u64 = 1000;
 
-/// Lag of the list of hosts.
+/// Delay until an announced host appears in the host list.
 const LIST_LAG: Duration = Duration::from_millis(500);
 
 /// A running deployment.
 pub(super) struct DemoDeployment {
-    /// The configuration in force.
+    /// The active configuration.
     pub(super) config: Config,
     pub(super) targets: Targets,
     pub(super) hosts: Vec<Host>,
-    /// Region of each host, by its address for callers.
+    /// Region of each host, keyed by its address for callers.
     regions: BTreeMap<SocketAddr, Arc<str>>,
     store: Store,
     list: List,
     applies: u64,
 }
 
-/// A drain that is in force.
+/// A drain that was applied.
 pub(super) struct ActiveDrain {
     pub(super) domain: Arc<str>,
-    /// Time at which the apply began.
+    /// Time at which the apply started.
     pub(super) at: Instant,
 }
 
 impl DemoDeployment {
-    /// Brings everything up, and waits until every host is ready.
+    /// Starts the fakes and the hosts, and waits until every host is ready.
     pub(super) fn open(mut config: Config) -> Result<Self, CliError> {
         let targets = fake_targets::bind(&mut config, true, 0)?;
         let options = ListOptions {
@@ -83,7 +83,7 @@
         Ok(deployment)
     }
 
-    /// Gives the lowest revision that a host follows.
+    /// Returns the lowest revision that any host has applied.
     pub(super) fn revision(&self) -> u64 {
         self.hosts
             .iter()
@@ -92,12 +92,12 @@
             .unwrap_or_default()
     }
 
-    /// Finds the region of a host, also of one that was stopped.
+    /// Returns the region of a host, even if the host has been stopped.
     pub(super) fn region_of(&self, callers: SocketAddr) -> Option<Arc<str>> {
         self.regions.get(&callers).cloned()
     }
 
-    /// Counts the requests that the targets of each domain have begun.
+    /// Returns the number of requests started by the targets of each domain.
     pub(super) fn started(&self) -> BTreeMap<Arc<str>, u64> {
         let mut started = BTreeMap::new();
         for target in self.targets.iter() {
@@ -108,8 +108,8 @@
         started
     }
 
-    /// Drains the domain that began the most requests since `earlier`: the drain of an idle one
-    /// would show nothing.
+    /// Drains the domain that started the most requests since `earlier`. Draining an idle domain would
+    /// have no visible effect.
     pub(super) fn drain(
         &mut self,
         earlier: &BTreeMap<Arc<str>, u64>,
@@ -127,7 +127,7 @@
         Ok(ActiveDrain { domain, at })
     }
 
-    /// Takes out a host of a domain that is not drained.
+    /// Removes and returns a host of a domain that is not drained.
     pub(super) fn remove_host(&mut self, drained: &str) -> Option<Host> {
         let mut domains = self.config.domains.keys().rev();
         let last = domains.find(|name| ***name != *drained)?;
@@ -136,7 +136,7 @@
         Some(self.hosts.remove(at))
     }
 
-    /// Applies the configuration at hand; gives its revision.
+    /// Applies the current configuration and returns its revision.
     fn apply(&mut self) -> Result<u64, CliError> {
         self.applies += 1;
         let request = ApplyRequest {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Waits until every host is ready at a revision.
+    /// Waits until every host is ready and has applied a revision.
     fn wait_ready(&self, revision: u64) -> Result<(), CliError> {
         let end = Instant::now() + READY_TIMEOUT;
         let ready = |host: &&Host| host.is_ready() && host.revision() >= revision;
--- a/crates/cli/src/demo/invariants.rs
+++ b/crates/cli/src/demo/invariants.rs
@@ -1,4 +1,4 @@
-//! Whether the promises were kept, by the targets' own records.
+//! Checks of the promises against the targets' own records.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,24 +12,24 @@
     load::LoadStats,
 };
 
-/// Time after which a drained domain gets no new work.
+/// Time limit after which a drained domain must get no new requests.
 const DRAIN_LIMIT: Duration = Duration::from_secs(5);
 
-/// What the demo is judged by.
+/// Observations that the promises are checked against.
 pub(super) struct InvariantChecks {
-    /// Domain that was drained.
+    /// The drained failure domain.
     pub(super) domain: Arc<str>,
-    /// Time until the drained domain's targets were last at work.
+    /// Time from the drain until the domain's targets were last busy.
     pub(super) drain: Duration,
-    /// The host that was stopped.
+    /// The host that was shut down.
     pub(super) stop: Option<StoppedHost>,
-    /// Keys whose work began more than once.
+    /// Number of idempotency keys that were run more than once.
     pub(super) repeated: usize,
-    /// Answers that were not the caller's own.
+    /// Number of responses to another request.
     pub(super) wrong: u64,
-    /// Keys answered `run: no` whose work began.
+    /// Number of keys that were answered `run: no` and run by a target.
     pub(super) false_no: usize,
-    /// Requests whose caller could not be told whether they ran.
+    /// Number of requests with an unknown outcome or a lost response.
     pub(super) unknown: u64,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Lists the promises, each with what was seen and whether it was kept.
+    /// Returns each promise with the observation and whether it was kept.
     pub(super) fn results(&self) -> Vec<(String, bool)> {
         let empty = format!(
             "drained domain {} had its last work after {:.1} s (at most {:.0} s)",
@@ -86,7 +86,7 @@
         ]
     }
 
-    /// Fails where a promise was broken.
+    /// Returns an error that lists the broken promises, if any.
     pub(super) fn to_result(&self) -> Result<(), CliError> {
         let broken = self.results().into_iter().filter(|(_, kept)| !kept);
         let broken: Vec<String> = broken.map(|(text, _)| text).collect();
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -1,4 +1,5 @@
-//! `demo`: a deployment with load, a drained failure domain and a planned stop, in one process.
+//! `demo`: a deployment under load with a drained failure domain and a graceful shutdown, in one
+//! process.
 
 mod callers;
 mod deployment;
@@ -28,25 +29,25 @@
 use invariants::InvariantChecks;
 use sampler::Sampler;
 
-/// Time that the load goes on for.
+/// Duration of the load.
 const LOAD_DURATION: Duration = Duration::from_secs(15);
 
-/// Time in the load at which a failure domain is drained.
+/// Time from the start of the load at which a failure domain is drained.
 const DRAIN_AT: Duration = Duration::from_secs(4);
 
-/// Time in the load at which a host is stopped.
+/// Time from the start of the load at which a host is stopped.
 const STOP_AT: Duration = Duration::from_secs(8);
 
-/// Time between two lines of progress.
+/// Interval between progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Part of the requests that may not be repeated.
+/// Fraction of the requests that are not idempotent.
 const WRITE_FRACTION: f64 = 0.3;
 
-/// Different keys of requests.
+/// Number of distinct request paths.
 const PATHS: u64 = 500;
 
-/// Runs the demo and tells whether every promise was kept.
+/// Runs the demo; returns an error if a promise was broken.
 pub(crate) fn run(args: &Demo) -> Result<(), CliError> {
     if !(args.rate.is_finite() && args.rate > 0.0) {
         return Err(CliError::open(Exit::Usage, "--rate takes a number above 0"));
@@ -120,7 +121,7 @@
     spawn("load", run)
 }
 
-/// Stops one host that the drain left in use; tells how long it took.
+/// Shuts down one host outside the drained domain, on a thread that returns how long it took.
 fn stop(
     deployment: &mut DemoDeployment,
     drained: &str,
@@ -132,7 +133,7 @@
     spawn("stop", move || stop_host(host)).map(Some)
 }
 
-/// A host that was stopped.
+/// A host that was shut down, and how long that took.
 struct StoppedHost {
     name: Arc<str>,
     time: Duration,
@@ -145,7 +146,7 @@
     Ok(StoppedHost { name, time })
 }
 
-/// Shows what callers got so far, once a second, until a time after `start`.
+/// Prints the callers' results so far once a second, until a time after `start`.
 fn progress(start: Instant, until: Duration, stats: &Mutex<LoadStats>) -> Result<(), CliError> {
     let live = std::io::stdout().is_terminal();
     loop {
@@ -187,6 +188,6 @@
 }
 
 fn join<T>(thread: JoinHandle<Result<T, CliError>>) -> Result<T, CliError> {
-    let died = |_| CliError::open(Exit::Failed, "a thread of the demo died");
+    let died = |_| CliError::open(Exit::Failed, "a thread of the demo panicked");
     thread.join().map_err(died)?
 }
--- a/crates/cli/src/demo/sampler.rs
+++ b/crates/cli/src/demo/sampler.rs
@@ -1,4 +1,4 @@
-//! Looks at the targets while the demo runs.
+//! Samples the targets' load while the demo runs.
 
 use std::{
     collections::BTreeMap,
@@ -15,50 +15,50 @@
 use super::{deployment::DemoDeployment, join, spawn};
 use crate::exit::CliError;
 
-/// Time between two looks.
+/// Interval between samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A target with the place that it stands in.
+/// A target with its failure domain and region.
 struct PlacedTarget {
     target: Target,
     domain: Arc<str>,
     region: Arc<str>,
 }
 
-/// What was seen of a region.
+/// Samples of a region.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RegionSamples {
-    /// Slots of its targets at the last look.
+    /// Slots of its targets in the last sample.
     pub(super) slots: u32,
-    /// Looks.
+    /// Number of samples.
     samples: u32,
-    /// Parts of its slots that were free, summed up over the looks.
+    /// Sum of the fractions of free slots over all samples.
     free_sum: f64,
-    /// Least part that was free at a look.
+    /// Minimum fraction of free slots.
     min_free: f64,
 }
 
-/// What was seen of a failure domain.
+/// Samples of a failure domain.
 #[derive(Clone, Debug)]
 pub(super) struct DomainSamples {
-    /// Last time at which it was seen at work, or to have begun some.
+    /// Last time at which it was running requests or had started new ones.
     pub(super) last_busy: Instant,
-    /// Requests begun up to then.
+    /// Requests started up to then.
     pub(super) started: u64,
-    /// Requests begun before the drain.
+    /// Requests started before the drain.
     pub(super) started_before_drain: u64,
 }
 
-/// What was seen.
+/// Samples of all regions and failure domains.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Samples {
     pub(super) regions: BTreeMap<Arc<str>, RegionSamples>,
     pub(super) domains: BTreeMap<Arc<str>, DomainSamples>,
 }
 
-/// A thread that looks at the targets until it is stopped.
+/// A thread that samples the targets until it is stopped.
 pub(super) struct Sampler {
-    /// Domain that was drained; its slots are no headroom any more.
+    /// The drained domain; its slots no longer count as headroom.
     drained: Arc<OnceLock<Arc<str>>>,
     stop: Arc<AtomicBool>,
     thread: thread::JoinHandle<Result<Samples, CliError>>,
@@ -86,12 +86,12 @@
         })
     }
 
-    /// Leaves the slots of a drained domain out from now on.
+    /// Excludes the slots of a drained domain from further samples.
     pub(super) fn drain(&self, domain: &Arc<str>) {
         let _ = self.drained.set(Arc::clone(domain));
     }
 
-    /// Stops looking and gives what was seen.
+    /// Stops sampling and returns the samples.
     pub(super) fn stop(self) -> Result<Samples, CliError> {
         self.stop.store(true, Ordering::Relaxed);
         join(self.thread)
@@ -165,12 +165,12 @@
 }
 
 impl RegionSamples {
-    /// Gives the part of its slots that was free on average.
+    /// Returns the mean fraction of free slots.
     pub(super) fn mean(&self) -> f64 {
         self.free_sum / f64::from(self.samples.max(1))
     }
 
-    /// Gives the part of its slots that was free at the busiest look.
+    /// Returns the fraction of free slots in the busiest sample.
     pub(super) fn min_free(&self) -> f64 {
         self.min_free
     }
--- a/crates/cli/src/demo/table.rs
+++ b/crates/cli/src/demo/table.rs
@@ -1,4 +1,4 @@
-//! The table at the demo's end.
+//! The results that the demo prints at its end.
 
 use std::{
     collections::BTreeMap,
@@ -9,7 +9,7 @@
 use super::{deployment::DemoDeployment, invariants::InvariantChecks, sampler::Samples};
 use crate::load::{LoadSchedule, LoadStats, Report};
 
-/// Writes the table.
+/// Formats the results as text tables.
 pub(super) fn table(
     deployment: &DemoDeployment,
     schedule: &LoadSchedule,
@@ -18,7 +18,7 @@
     checks: &InvariantChecks,
 ) -> String {
     let mut out = String::new();
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     let _ = write(&mut out, deployment, schedule, stats, samples, checks);
     out
 }
@@ -86,8 +86,8 @@
     Ok(())
 }
 
-/// Adds up the bytes of answers that went over each link: from the region of the target to the
-/// region of the host that answered.
+/// Returns the bytes of responses that crossed each link, from the target's region to the region of
+/// the host that responded.
 fn links(deployment: &DemoDeployment, stats: &LoadStats) -> BTreeMap<Arc<str>, u64> {
     let mut used = BTreeMap::new();
     for ((host, target), bytes) in &stats.bytes {
