--- a/crates/cli/src/caller/at_most_once.rs
+++ b/crates/cli/src/caller/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Requests that must run at most once.
+//! Requests that must run at most once, under an idempotency key.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,15 +12,15 @@
     idempotent::outcome,
 };
 
-/// A key with the record of its attempts.
+/// An idempotency key and the record of its attempts.
 struct Key {
     text: Arc<str>,
     owner: SocketAddr,
     witness: SocketAddr,
-    /// Attempts that a host may have seen. Stated with each attempt: a host that says `run: no`
-    /// relies on knowing whether another host may have seen the key.
+    /// Attempts that a host may have received. Each attempt states them: a host may answer `run: no`
+    /// only if it knows whether another host may have received the key.
     sent: PriorAttempts,
-    /// Whether the next attempt goes to the witness.
+    /// Whether the next attempt goes to the witness rather than the owner.
     at_witness: bool,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Notes an attempt that a host may have seen.
+    /// Counts an attempt that the current host may have received.
     fn count_attempt(&mut self) {
         match self.at_witness {
             true => self.sent.witness += 1,
@@ -55,23 +55,23 @@
         self.sent.owner + self.sent.witness > 0
     }
 
-    /// Turns to the other host; a key of one host alone stays with it.
+    /// Switches between owner and witness; has no effect if they are the same host.
     fn switch_host(&mut self) {
         self.at_witness = !self.at_witness && self.owner != self.witness;
     }
 }
 
-/// What follows an attempt.
+/// The step after an attempt.
 enum Next {
     /// The request has ended.
     End,
-    /// The same key goes to its other host, after a time.
+    /// Retry with the same key at its other host, after an optional delay.
     SameKey(Option<Duration>),
-    /// This key is closed for good; a new one may be tried, after a time.
+    /// The key will never run; retry with a new one, after an optional delay.
     NewKey(Option<Duration>),
 }
 
-/// Runs a request under one key after another; a new key only where the last one will never run.
+/// Runs a request, with a new key only after the previous key is known never to run.
 pub(super) async fn run(caller: &Caller, request: &CallRequest, deadline: Instant) -> CallResult {
     let mut result = CallResult {
         outcome: Outcome::NotRun("no host answered a look-up".into()),
@@ -143,7 +143,7 @@
             Next::End
         }
         AttemptResult::Problem(problem) => handle_problem(&problem, key, result),
-        // Neither side has seen the key: nobody can run it, so it may be given up for a new one.
+        // Neither owner nor witness received the key, so it cannot run, and a new key is safe.
         AttemptResult::NotSent
             if !key.is_sent() && (key.at_witness || key.owner == key.witness) =>
         {
--- a/crates/cli/src/caller/cache.rs
+++ b/crates/cli/src/caller/cache.rs
@@ -1,4 +1,4 @@
-//! What a caller remembers of its look-ups.
+//! Cache of lookup responses.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,12 +10,12 @@
 use dunlinrock_schema::api::Hosts;
 use tokio::time::Instant;
 
-/// Answers to look-ups, each for as long as it may be used.
+/// Lookup responses with their expiry, and the hosts that they named.
 pub(super) struct Cache {
     entries: BTreeMap<Arc<str>, (Instant, Arc<Hosts>)>,
-    /// Where a caller starts; kept for good, since all others may be gone one day.
+    /// Configured hosts. They are never removed, since all discovered hosts may disappear.
     seeds: Vec<SocketAddr>,
-    /// Hosts named by answers that did not fail since.
+    /// Hosts named by lookups that have not failed since.
     discovered: BTreeSet<SocketAddr>,
 }
 
@@ -28,13 +28,13 @@
         }
     }
 
-    /// Finds an answer that may still be used.
+    /// Returns the hosts of a service unless they have expired.
     pub(super) fn get(&self, service: &str, now: Instant) -> Option<Arc<Hosts>> {
         let (expires_at, hosts) = self.entries.get(service)?;
         (now < *expires_at).then(|| Arc::clone(hosts))
     }
 
-    /// Keeps an answer.
+    /// Stores a lookup response until its TTL expires.
     pub(super) fn insert(&mut self, hosts: Hosts, now: Instant) -> Arc<Hosts> {
         let expires_at = now + Duration::from_millis(hosts.ttl_ms);
         self.discovered.extend(
@@ -54,12 +54,12 @@
         self.entries.remove(service);
     }
 
-    /// Leaves a host out until an answer names it again.
+    /// Removes a host until a lookup names it again.
     pub(super) fn remove_host(&mut self, at: SocketAddr) {
         self.discovered.remove(&at);
     }
 
-    /// Gives the hosts to ask: those named, or the first ones where none is left.
+    /// Returns the hosts to send lookups to: the discovered ones, or the seeds if there are none.
     pub(super) fn candidates(&self) -> Vec<SocketAddr> {
         match self.discovered.is_empty() {
             true => self.seeds.clone(),
--- a/crates/cli/src/caller/connections.rs
+++ b/crates/cli/src/caller/connections.rs
@@ -1,4 +1,4 @@
-//! One attempt over HTTP.
+//! HTTP connections of a caller: lookups and single attempts.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -19,44 +19,45 @@
 
 use super::CallRequest;
 
-/// Largest answer taken, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Time to open a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time that a connection without requests is kept.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time beyond the deadline that a host's last word is waited for. A host that gives a request up at
-/// its deadline says whether it ran; a caller that hangs up at the same moment would miss that.
+/// Time beyond the deadline for which the caller waits for a response. A host that gives up a request
+/// at its deadline reports whether it ran; a caller that disconnects at the same moment would miss
+/// that report.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
-/// Media type of an error answer.
+/// Media type of an error response.
 const PROBLEM: &str = "application/problem+json";
 
-/// What one attempt gives.
+/// Result of one attempt.
 #[derive(Debug)]
 pub(super) enum AttemptResult {
-    /// A target's whole answer.
+    /// A target's complete response.
     Answer(StatusCode, Bytes),
-    /// A host's error answer.
+    /// A host's error response.
     Problem(Problem),
-    /// No connection: the host has not seen the request.
+    /// The connection failed, so the host has not received the request.
     NotSent,
-    /// No whole answer: the request may have run.
+    /// No complete response arrived; the request may have run.
     Incomplete,
 }
 
-/// The head fields of an attempt.
+/// Values of the request headers of an attempt.
 pub(super) struct AttemptHeaders<'a> {
     pub(super) caller: &'a Arc<str>,
     pub(super) deadline: Instant,
-    /// Key and the record of its earlier attempts.
+    /// Idempotency key and the record of its earlier attempts.
     pub(super) key: Option<(&'a str, String)>,
 }
 
-/// Connections of one caller.
+/// Connection pool of one caller.
 pub(super) struct Connections {
     client: Client<HttpConnector, Full<Bytes>>,
 }
@@ -74,7 +75,7 @@
         Self { client }
     }
 
-    /// Asks one host which hosts to use.
+    /// Looks up the hosts of a service at one host.
     pub(super) async fn hosts(
         &self,
         at: SocketAddr,
@@ -90,7 +91,7 @@
         serde_json::from_slice(&body).ok()
     }
 
-    /// Sends a request to one host.
+    /// Sends one attempt of a request to a host.
     pub(super) async fn attempt(
         &self,
         at: SocketAddr,
--- a/crates/cli/src/caller/idempotent.rs
+++ b/crates/cli/src/caller/idempotent.rs
@@ -1,4 +1,4 @@
-//! Requests that may be repeated.
+//! Requests that are idempotent.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,7 +10,7 @@
     connections::{AttemptHeaders, AttemptResult},
 };
 
-/// Tries one host after another until one answers.
+/// Tries one host after another until a target responds.
 pub(super) async fn run(caller: &Caller, request: &CallRequest, deadline: Instant) -> CallResult {
     let mut result = CallResult {
         outcome: Outcome::NotRun("no host answered a look-up".into()),
@@ -79,7 +79,7 @@
     }
 }
 
-/// Chooses a host by weight, one that was not tried yet where there is one.
+/// Chooses a host at random by weight, preferring hosts that were not tried yet.
 fn choose(caller: &Caller, hosts: &[HostWeight], tried: &[SocketAddr]) -> Option<SocketAddr> {
     let all = hosts.iter().filter_map(|host| {
         let address = host.address.parse::<SocketAddr>().ok()?;
--- a/crates/cli/src/caller/mod.rs
+++ b/crates/cli/src/caller/mod.rs
@@ -1,10 +1,10 @@
-//! A caller as services' clients should be: look-ups kept for as long as they may be, a choice of
-//! host by weight, deadlines, and retries that never run a request twice.
+//! A client library for services: cached lookups, weighted choice of hosts, deadlines, and retries
+//! that never run an at-most-once request twice.
 //!
-//! A request that may be repeated goes to another host after a failure. One that may not carries a
-//! key, and goes on with the same key to the key's owner and witness in turn, until one of them
-//! says for certain what became of it. Only a `run: no` to the latest attempt ends a key; what is
-//! tried after that is a new key.
+//! An idempotent request is retried on another host after a failure. An at-most-once request carries
+//! an idempotency key and is retried with the same key, alternating between the key's owner and its
+//! witness, until one of them reports a definite outcome. Only a `run: no` to the latest attempt ends
+//! a key; a further attempt then uses a new key.
 
 mod at_most_once;
 mod cache;
@@ -29,48 +29,49 @@
 use cache::Cache;
 use connections::Connections;
 
-/// Time that one look-up may take before another host is asked.
+/// Timeout of a lookup at one host, after which another host is tried.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Hosts that one look-up asks in turn.
+/// Maximum number of hosts that one lookup tries.
 const MAX_LOOKUP_ATTEMPTS: usize = 4;
 
-/// Longest pause before another attempt where no time was given; attempts are spread over it.
+/// Upper bound of the random backoff before a retry, which is added to the time that the host asked
+/// for, if any.
 const BACKOFF: Duration = Duration::from_millis(40);
 
-/// Who a caller is and how hard it tries.
+/// Options of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerOptions {
-    /// Name, by which hosts give fair shares.
+    /// Name of the caller; hosts divide capacity fairly between callers by name.
     pub name: Arc<str>,
-    /// Hosts to ask first; look-ups name more.
+    /// Hosts for the first lookups; lookups discover more.
     pub seeds: Vec<SocketAddr>,
-    /// Own address to call from; the system's choice where absent.
+    /// Local address to connect from; chosen by the system if absent.
     pub local_addr: Option<IpAddr>,
-    /// Attempts of a request, all keys together.
+    /// Maximum attempts per request, over all its keys.
     pub attempts: u32,
-    /// Seed of its choices.
+    /// Seed for the choice of hosts and the backoff.
     pub seed: u64,
 }
 
-/// A request.
+/// A request to a service.
 #[derive(Clone, Debug)]
 pub struct CallRequest {
-    /// Service to run it.
+    /// Service that runs the request.
     pub service: Arc<str>,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query at the service, with the leading slash.
+    /// Path and query at the service, with a leading slash.
     pub path: Arc<str>,
     /// Body.
     pub body: Bytes,
-    /// Time in which an answer is of use.
+    /// Time after which a response is no longer useful.
     pub timeout: Duration,
-    /// Whether it must run at most once, and so goes under a key.
+    /// Whether the request must run at most once and so needs an idempotency key.
     pub at_most_once: bool,
 }
 
-/// A caller; it may have many requests on their way at once.
+/// A client that can have many requests in flight at once.
 pub struct Caller {
     options: CallerOptions,
     connections: Connections,
@@ -79,7 +80,7 @@
 }
 
 impl Caller {
-    /// Opens a caller; it connects when it first calls.
+    /// Creates a caller. It connects on its first call.
     pub fn open(options: CallerOptions) -> Self {
         Self {
             connections: Connections::open(options.local_addr),
@@ -89,12 +90,12 @@
         }
     }
 
-    /// Gives the caller's name.
+    /// Returns the caller's name.
     pub fn name(&self) -> &Arc<str> {
         &self.options.name
     }
 
-    /// Runs a request, with retries, until its time is over.
+    /// Runs a request, with retries until its deadline.
     pub async fn call(&self, request: &CallRequest) -> CallResult {
         let deadline = Instant::now() + request.timeout;
         match request.at_most_once {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Finds the hosts of a service: from memory while the last answer may be used, else by asking.
+    /// Returns the hosts of a service, from the cache or by a new lookup.
     async fn look_up(&self, service: &str, deadline: Instant) -> Option<Arc<Hosts>> {
         if let Some(hosts) = self.cache().get(service, Instant::now()) {
             return Some(hosts);
@@ -119,7 +120,7 @@
         None
     }
 
-    /// Drops what is remembered of a service, so that the next request asks again.
+    /// Drops the cached hosts of a service, so that the next request does a new lookup.
     fn invalidate(&self, service: &str) {
         self.cache().remove(service);
     }
@@ -128,7 +129,7 @@
         self.cache.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Draws a number below `bound`, which is not 0.
+    /// Returns a random number below `bound`, which must not be 0.
     fn draw(&self, bound: u64) -> u64 {
         let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
         rng.random_range(0..bound)
@@ -139,14 +140,15 @@
         addresses.get(usize::try_from(self.draw(n)).ok()?).copied()
     }
 
-    /// Makes a nonce for a key. Never from the seed: two callers with one seed, or one that was
-    /// started again, would use a key for two requests, and the second would get no answer.
+    /// Returns a nonce for an idempotency key. It never depends on the seed: two callers with the same
+    /// seed, or a restarted one, would use one key for two requests, and the second would get no
+    /// response.
     fn nonce() -> String {
         let mut rng = rand::rng();
         format!("{:016x}{:016x}", rng.random::<u64>(), rng.random::<u64>())
     }
 
-    /// Waits before another attempt; `false` where that would pass the deadline.
+    /// Waits before a retry. Returns `false` without waiting if the wait would pass the deadline.
     async fn backoff(&self, asked: Option<Duration>, deadline: Instant) -> bool {
         let spread = u64::try_from(BACKOFF.as_micros()).unwrap_or(u64::MAX);
         let jitter = Duration::from_micros(self.draw(spread));
--- a/crates/cli/src/caller/outcome.rs
+++ b/crates/cli/src/caller/outcome.rs
@@ -1,45 +1,45 @@
-//! What comes of a request.
+//! Outcomes of requests.
 
 use std::{net::SocketAddr, sync::Arc};
 
 use bytes::Bytes;
 use http::StatusCode;
 
-/// A whole answer of a target.
+/// A complete response of a target.
 #[derive(Clone, Debug)]
 pub struct TargetResponse {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Body, whole.
+    /// Complete body.
     pub body: Bytes,
-    /// Host that gave it.
+    /// Host that forwarded the response.
     pub host: SocketAddr,
-    /// Key under which it ran.
+    /// Idempotency key under which the request ran.
     pub key: Option<Arc<str>>,
 }
 
-/// How a request ended for its caller.
+/// Outcome of a request, as far as its caller knows.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// With an answer.
+    /// A target responded.
     Answered(TargetResponse),
-    /// It did not run and will not.
+    /// The request did not run and never will; with the reason.
     NotRun(Arc<str>),
-    /// Nobody could tell whether it ran.
+    /// Unknown whether the request ran; with the reason.
     Unknown(Arc<str>),
-    /// It ran, and its answer is gone.
+    /// The request ran, but its response is no longer available.
     ResponseLost,
 }
 
-/// A request's end, with what is needed to check it against the targets' records.
+/// Result of a call, with the data to check it against the targets' records.
 #[derive(Clone, Debug)]
 pub struct CallResult {
-    /// The end.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Attempts that were sent.
+    /// Number of attempts that were sent.
     pub attempts: u32,
-    /// Keys that were answered `run: no`, the last one's included.
+    /// Idempotency keys that were answered `run: no`, including the last one.
     pub not_run_keys: Vec<Arc<str>>,
-    /// Key that the request ended under; none where it never got one.
+    /// Last idempotency key of the request, if it got one.
     pub key: Option<Arc<str>>,
 }
