--- a/crates/cli/src/load/mod.rs
+++ b/crates/cli/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! An open-loop load of callers.
+//! An open-loop load generator.
 //!
 //! Requests are sent when they are due, whether or not earlier ones have been answered, and their
-//! times count from that moment. A load that waited for answers would slow down with the system and
-//! hide how long callers wait.
+//! latencies count from that moment. A load that waited for responses would slow down with the system
+//! and hide the latencies that callers see.
 
 mod report;
 mod response_check;
@@ -23,35 +23,35 @@
 
 use crate::caller::{CallRequest, Caller, Outcome};
 
-/// What the requests of a load are.
+/// The requests of a load.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Services, each taking an equal part of the requests.
+    /// Services; each gets an equal share of the requests.
     pub services: Vec<Arc<str>>,
-    /// Path at the service; a key is added to it.
+    /// Path prefix at the service; a path id is appended.
     pub path: Arc<str>,
-    /// Different keys.
+    /// Number of distinct path ids.
     pub path_count: u64,
-    /// Part of the requests that may not be repeated, of 1.
+    /// Fraction of the requests that are not idempotent, from 0 to 1.
     pub write_fraction: f64,
-    /// Time in which an answer is of use.
+    /// Time after which a response is no longer useful.
     pub deadline: Duration,
 }
 
-/// How much is sent and for how long.
+/// Rate and duration of a load.
 #[derive(Clone, Debug)]
 pub struct LoadSchedule {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Time to go on for.
+    /// Duration of the load.
     pub duration: Duration,
-    /// Seed of times, services and keys.
+    /// Seed for arrival times, services and paths.
     pub seed: u64,
 }
 
-/// Sends requests from the callers in turn and waits for the last to end.
+/// Sends requests from the callers round robin and waits until all have ended.
 ///
-/// The tally is shared, so that others can read it on the way.
+/// The statistics are shared, so that they can be read while the load runs.
 pub async fn run(
     callers: &[Arc<Caller>],
     workload: &Workload,
@@ -76,13 +76,14 @@
     while running.join_next().await.is_some() {}
 }
 
-/// Draws the time to the next request; arrivals of many callers are a Poisson process.
+/// Returns a random time to the next request. Arrivals of many independent callers form a Poisson
+/// process.
 fn gap(rng: &mut SmallRng, rate: f64) -> Duration {
     let u = 1.0 - rng.random::<f64>();
     Duration::try_from_secs_f64(-u.ln() / rate).unwrap_or(Duration::from_secs(3600))
 }
 
-/// Draws a request. Its path is its own, so that an answer to another one is seen.
+/// Returns a random request. Its path is unique, so that a response to another request is detected.
 fn draw(rng: &mut SmallRng, workload: &Workload, seed: u64, number: usize) -> CallRequest {
     let service = rng.random_range(0..workload.services.len());
     let key = rng.random_range(0..workload.path_count.max(1));
--- a/crates/cli/src/load/report.rs
+++ b/crates/cli/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a load measured, as text and as JSON.
+//! Report of a load, as text and as JSON.
 
 use std::{collections::BTreeMap, fmt, sync::Arc};
 
@@ -6,38 +6,38 @@
 
 use super::{LoadSchedule, LoadStats, ServiceCounts};
 
-/// What one service's callers got.
+/// Results of one service.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct ServiceReport {
     /// Requests sent.
     pub sent: u64,
-    /// Requests with the whole answer to themselves.
+    /// Requests with their own complete response.
     pub answered: u64,
-    /// Requests answered with an error of the target.
+    /// Requests for which the target returned an error.
     pub failed: u64,
-    /// Requests with an answer to another request; must be 0.
+    /// Requests that got the response to another request; must be 0.
     pub wrong: u64,
     /// Requests that did not run (`run: no`).
     pub refused: u64,
-    /// Requests of which nobody knows whether they ran (`run: unknown`).
+    /// Requests with an unknown outcome (`run: unknown`).
     pub unknown: u64,
-    /// Requests that ran, and whose answer was gone (`run: yes`).
+    /// Requests that ran but whose response was lost (`run: yes`).
     pub gone: u64,
     /// Attempts of all requests.
     pub attempts: u64,
-    /// Time to answer of half the requests, in milliseconds.
+    /// Median latency, in milliseconds.
     pub p50_ms: f64,
-    /// Time to answer of 90% of the requests, in milliseconds.
+    /// 90th percentile of the latency, in milliseconds.
     pub p90_ms: f64,
-    /// Time to answer of 99% of the requests, in milliseconds.
+    /// 99th percentile of the latency, in milliseconds.
     pub p99_ms: f64,
-    /// Longest time to answer, in milliseconds.
+    /// Maximum latency, in milliseconds.
     pub max_ms: f64,
 }
 
 impl ServiceReport {
-    /// Sums up the counts of a service.
+    /// Summarizes the counts of a service.
     pub fn from_counts(counts: &ServiceCounts) -> Self {
         let millis = |micros: u64| micros as f64 / 1000.0;
         let at = |quantile| millis(counts.latencies.value_at_quantile(quantile));
@@ -58,24 +58,24 @@
     }
 }
 
-/// What a load measured.
+/// Report of a load.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Report {
-    /// Requests a second that were sent.
+    /// Requests sent per second.
     pub rate: f64,
-    /// Seconds it went on for.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// Seed.
+    /// Seed of the load.
     pub seed: u64,
     /// Results by service.
     pub services: BTreeMap<Arc<str>, ServiceReport>,
-    /// Reasons of requests without an answer, with their number.
+    /// Number of requests without a response, by reason.
     pub reasons: BTreeMap<Arc<str>, u64>,
 }
 
 impl Report {
-    /// Sums up a load.
+    /// Summarizes the statistics of a load.
     pub fn from_stats(schedule: &LoadSchedule, stats: &LoadStats) -> Self {
         let services = stats.services.iter();
         Self {
@@ -89,17 +89,17 @@
         }
     }
 
-    /// Tells whether a caller got an answer that was not its own.
+    /// Returns whether a caller got the response to another request.
     pub fn has_wrong(&self) -> bool {
         self.services.values().any(|service| service.wrong > 0)
     }
 }
 
-/// Reasons that are shown; details with numbers in them make many that differ.
+/// Maximum number of reasons shown. Reasons may contain numbers, so there can be many distinct ones.
 const MAX_REASONS: usize = 8;
 
 impl Report {
-    /// Shows the most frequent reasons.
+    /// Writes the most frequent reasons.
     fn show_reasons(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut reasons: Vec<_> = self.reasons.iter().collect();
         reasons.sort_by_key(|(_, number)| std::cmp::Reverse(**number));
--- a/crates/cli/src/load/response_check.rs
+++ b/crates/cli/src/load/response_check.rs
@@ -1,28 +1,28 @@
-//! Whether an answer is the whole answer to the caller's own request.
+//! Checks that a response belongs to the request it was returned for.
 
 use serde::Deserialize;
 
 use crate::caller::{CallRequest, TargetResponse};
 
-/// What an answer is to its caller.
+/// Result of checking a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResponseCheck {
-    /// The answer to this request.
+    /// The response belongs to the request.
     Matching,
-    /// The answer to another request.
+    /// The response belongs to another request.
     Mismatched,
-    /// An error of the target.
+    /// The target returned an error.
     Error,
 }
 
-/// What stand-in targets say in their answers; other targets say nothing that could be checked.
+/// Fields that fake targets echo in their responses; other targets return nothing to check.
 #[derive(Deserialize)]
 struct Echo<'a> {
     path: &'a str,
     key: &'a str,
 }
 
-/// Compares an answer with the request that it was given to.
+/// Compares a response with its request.
 pub(crate) fn check(request: &CallRequest, answered: &TargetResponse) -> ResponseCheck {
     if !answered.status.is_success() {
         return ResponseCheck::Error;
--- a/crates/cli/src/load/stats.rs
+++ b/crates/cli/src/load/stats.rs
@@ -1,4 +1,4 @@
-//! Counts of what callers got.
+//! Statistics of the results that callers got.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,10 +13,10 @@
 use super::response_check::ResponseCheck;
 use crate::caller::{CallResult, Outcome, TargetResponse};
 
-/// Longest time that is told apart, in microseconds.
+/// Maximum latency that the histogram records, in microseconds.
 const MAX_LATENCY_US: u64 = 120_000_000;
 
-/// Digits of a time that are kept.
+/// Significant digits of a recorded latency.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Counts of one service.
@@ -24,21 +24,21 @@
 pub struct ServiceCounts {
     /// Requests sent.
     pub sent: u64,
-    /// Requests with the whole answer to themselves.
+    /// Requests with their own complete response.
     pub answered: u64,
-    /// Requests answered with an error of the target.
+    /// Requests for which the target returned an error.
     pub failed: u64,
-    /// Requests with an answer to another request.
+    /// Requests that got the response to another request.
     pub wrong: u64,
-    /// Requests that did not run, and whose caller was told so.
+    /// Requests that were answered `run: no`.
     pub refused: u64,
-    /// Requests whose caller could not be told whether they ran.
+    /// Requests with an unknown outcome.
     pub unknown: u64,
-    /// Requests that ran, and whose answer was gone.
+    /// Requests that ran but whose response was lost.
     pub response_lost: u64,
     /// Attempts of all requests.
     pub attempts: u64,
-    /// Times to answer, in microseconds.
+    /// Latencies of answered requests, in microseconds.
     pub latencies: Histogram<u64>,
 }
 
@@ -53,39 +53,39 @@
             unknown: 0,
             response_lost: 0,
             attempts: 0,
-            // The bounds are constants that fit.
+            // Cannot fail: the constants are within the histogram's limits.
             latencies: Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
                 .unwrap_or_else(|_| unreachable!()),
         }
     }
 
-    /// Requests that have ended.
+    /// Returns the number of requests that have ended.
     pub fn ended(&self) -> u64 {
         self.answered + self.failed + self.wrong + self.refused + self.unknown + self.response_lost
     }
 }
 
-/// Counts of a load.
+/// Statistics of a load.
 #[derive(Clone, Debug, Default)]
 pub struct LoadStats {
     /// Counts by service.
     pub services: BTreeMap<Arc<str>, ServiceCounts>,
-    /// Keys that were answered `run: no`; none of them may be found at a target.
+    /// Idempotency keys that were answered `run: no`; no target may have run them.
     pub not_run_keys: BTreeSet<Arc<str>>,
-    /// Bytes of answers, by the host that gave them and the target that it names.
+    /// Bytes of responses, by the host that sent them and the target that they name.
     pub bytes: BTreeMap<(SocketAddr, Arc<str>), u64>,
-    /// Reasons of requests without an answer, with their number.
+    /// Number of requests without a response, by reason.
     pub reasons: BTreeMap<Arc<str>, u64>,
 }
 
-/// The part of a stand-in's answer that names the target.
+/// The field of a fake target's response that names the target.
 #[derive(Deserialize)]
 struct Named<'a> {
     target: &'a str,
 }
 
 impl LoadStats {
-    /// Counts a request that is sent.
+    /// Counts a sent request.
     pub(crate) fn sent(&mut self, service: &Arc<str>) {
         self.service_counts(service).sent += 1;
     }
@@ -132,7 +132,7 @@
         *self.reasons.entry(reason).or_default() += 1;
     }
 
-    /// Counts the bytes that came from a target over a host.
+    /// Counts the bytes of a response by host and target.
     fn count_bytes(&mut self, answered: &TargetResponse) {
         if let Ok(named) = serde_json::from_slice::<Named<'_>>(&answered.body) {
             let bytes = self
