--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: puts a configuration in force, as a whole or not at all.
+//! `apply`: applies a configuration atomically.
 
 use std::{
     sync::Arc,
@@ -17,10 +17,10 @@
     runtime::block_on,
 };
 
-/// Time between two looks at the hosts that have yet to follow.
+/// Interval at which the hosts' revisions are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Applies a directory, and waits for the hosts where that is asked.
+/// Applies the configuration in a directory, and waits for the hosts if `--wait` is given.
 pub(crate) fn apply(args: &Apply) -> Result<(), CliError> {
     if args.wait && args.list.is_none() {
         let message = "--wait needs --list IP:PORT, to know which hosts to wait for";
@@ -43,7 +43,7 @@
             CliError::from_error(exit, &error)
         })?;
         let revision = revision(&outcome)?;
-        // A revision that was there already has another apply's id.
+        // An unchanged revision was created by another apply, so its id differs.
         let id = matches!(outcome, ApplyOutcome::Applied { .. }).then_some(id);
         output::line(format_args!("{outcome}"))?;
         match args.list {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Gives the revision that an apply made, or the failure that it ended in.
+/// Returns the revision of a successful apply, or an error with the exit code.
 fn revision(outcome: &ApplyOutcome) -> Result<u64, CliError> {
     let exit = match outcome {
         ApplyOutcome::Applied { revision, .. } | ApplyOutcome::Unchanged { revision } => {
@@ -80,7 +80,7 @@
     Err(CliError::open(exit, outcome.to_string()))
 }
 
-/// Waits until every listed host follows a revision.
+/// Waits until every listed host has applied a revision.
 async fn wait_until_applied(
     list: std::net::SocketAddr,
     revision: u64,
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,11 +1,11 @@
-//! `check`: the files of a configuration.
+//! `check`: validates the files of a configuration.
 
 use dunlinrock_config::config::{self, CheckedConfig};
 use dunlinrock_schema::config::Config;
 
 use crate::{args::Check, exit::CliError, output};
 
-/// Checks a directory and prints what it holds.
+/// Checks a directory and prints a summary of its configuration.
 pub(crate) fn check(args: &Check) -> Result<(), CliError> {
     let config = read(&args.dir)?;
     output::line(format_args!(
@@ -16,11 +16,11 @@
     Ok(())
 }
 
-/// Reads a directory; prints its warnings.
+/// Reads the configuration in a directory and prints its warnings.
 ///
 /// # Errors
 ///
-/// All findings, where one is an error.
+/// Returns all findings if at least one is an error.
 pub(crate) fn read(dir: &std::path::Path) -> Result<Config, CliError> {
     let CheckedConfig { config, findings } = config::check_dir(dir);
     match config {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Says how much a configuration holds.
+/// Returns the number of entries of each kind in a configuration.
 pub(crate) fn summary(config: &Config) -> String {
     format!(
         "{} services, {} regions, {} domains, {} links, {} targets, {} drains, {} blocks",
--- a/crates/cli/src/commands/dump.rs
+++ b/crates/cli/src/commands/dump.rs
@@ -1,4 +1,4 @@
-//! `dump`: the whole state of a host.
+//! `dump`: prints the complete state of a host.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,10 +15,10 @@
     runtime::block_on,
 };
 
-/// Largest answer taken, in bytes.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 256 << 20;
 
-/// Time that a host has to answer.
+/// Timeout of a call to a host.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Prints a host's state.
@@ -36,20 +36,20 @@
     Ok(())
 }
 
-/// What a host follows.
+/// The configuration revision that a host has applied.
 pub(crate) struct HostRevision {
-    /// Its revision.
+    /// Revision number.
     pub(crate) revision: u64,
-    /// Revisions and ids of the last applies, newest first.
+    /// Revisions and ids of the most recent applies, newest first.
     applies: Vec<(u64, String)>,
 }
 
 impl HostRevision {
-    /// Whether the host follows this apply, or one after it.
+    /// Returns whether the host has applied this apply or a later one.
     ///
-    /// A store that lost what it held counts revisions from 1 again, and hosts keep the later one
-    /// that they have seen; the revision alone would look as if they followed. An apply that is
-    /// older than those listed is taken for followed.
+    /// A store that lost its data counts revisions from 1 again, while hosts keep the highest
+    /// revision that they have seen, so the revision alone could wrongly indicate success. The id is
+    /// therefore compared too. An apply older than those listed counts as applied.
     pub(crate) fn has_applied(&self, revision: u64, id: Option<&str>) -> bool {
         let listed = self.applies.iter().find(|(at, _)| *at == revision);
         let other = listed.is_some_and(|(_, listed)| id.is_some_and(|id| listed != id));
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reads what a host follows.
+/// Reads the revision that a host has applied; `None` if the host does not return a valid dump.
 pub(crate) async fn host_revision(at: SocketAddr) -> Option<HostRevision> {
     let answer = get(at, "/peer/v1/dump").await.ok()?;
     let value: Value = serde_json::from_slice(&answer.body).ok()?;
@@ -73,7 +73,7 @@
     })
 }
 
-/// Reads a path of a host.
+/// Sends a GET request to a host.
 pub(crate) async fn get(at: SocketAddr, path: &str) -> Result<Answer, CliError> {
     let away = |e: &dyn std::fmt::Display| {
         CliError::open(Exit::Unreachable, format!("no host answered at {at}: {e}"))
--- a/crates/cli/src/commands/edge.rs
+++ b/crates/cli/src/commands/edge.rs
@@ -1,4 +1,4 @@
-//! `edge`: one entry host on the users' platform.
+//! `edge`: runs one entry host on the users' platform.
 
 use std::{fs, path::Path, thread, time::Duration};
 
@@ -20,18 +20,19 @@
     runtime::{Signals, block_on},
 };
 
-/// Pause between two looks whether the settings file has changed: they may take a few seconds to be
-/// in force, and a look is a read of a few hundred bytes.
+/// Interval at which the settings file is polled for changes. New settings may take a few seconds to
+/// become active, and each poll reads only a few hundred bytes.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a host until a signal, then until its planned stop is over.
+/// Runs a host until a signal, then until its graceful shutdown has ended.
 pub(crate) fn edge(args: &Edge) -> Result<(), CliError> {
     let mut file = SettingsFile::open(&args.settings)?;
     let settings = file.settings()?;
     logs::open_lines()?;
     let feed = store::open(settings.store, settings.listen.peers.ip());
     block_on(async {
-        // Before the host starts: a signal during the start must begin a planned stop too.
+        // Installed before the host starts, so that a signal during the start causes a graceful
+        // shutdown too.
         let mut signals = Signals::open()?;
         let mut hangup = signal(SignalKind::hangup()).map_err(anyhow::Error::from)?;
         let host = Host::spawn(settings, feed, dialect::open())?;
@@ -63,28 +64,29 @@
 /// The settings file of a running host.
 struct SettingsFile<'a> {
     path: &'a Path,
-    /// Its text when it was last read.
+    /// Content when the file was last read.
     text: String,
 }
 
 impl SettingsFile<'_> {
-    /// Reads the file once, for the host's start and for the first look. Read for each, a change between
-    /// the two would pass for what the host started with, and never be taken up.
+    /// Reads the file once, for both the host's start and the first poll. With two reads, a change in
+    /// between would be taken for the settings that the host started with, and never be applied.
     fn open(path: &Path) -> anyhow::Result<SettingsFile<'_>> {
         let text =
             fs::read_to_string(path).with_context(|| format!("reading {}", path.display()))?;
         Ok(SettingsFile { path, text })
     }
 
-    /// What it says.
+    /// Parses the settings.
     fn settings(&self) -> anyhow::Result<Settings> {
         let at = || format!("settings file {}", self.path.display());
         settings::parse(&self.text).with_context(at)
     }
 
-    /// Reads the file and takes it up if its text has changed: it may be replaced without a signal.
+    /// Reads the file and applies it if its content has changed, as it may be replaced without a
+    /// signal.
     fn poll(&mut self, host: &Host) {
-        // One that is just being replaced may be missing for a moment.
+        // The file may be missing for a moment while it is being replaced.
         if let Ok(text) = fs::read_to_string(self.path)
             && text != self.text
         {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Takes the file up whether it has changed or not, as somebody asked for it.
+    /// Applies the file whether it has changed or not, since an operator asked for a reload.
     fn reload(&mut self, host: &Host) {
         match fs::read_to_string(self.path) {
             Ok(text) => self.apply(text, host),
@@ -110,5 +112,5 @@
 }
 
 fn log_reload_failure(error: &anyhow::Error) {
-    log::warn!(target: "host", event = "reload_failed", error:? = error; "the settings in use stay");
+    log::warn!(target: "host", event = "reload_failed", error:? = error; "the current settings remain active");
 }
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: one request's way through the logs of several hosts.
+//! `explain`: traces one request through the logs of several hosts.
 
 use std::{
     fs::File,
@@ -15,19 +15,19 @@
     output,
 };
 
-/// Fields that every line has, or that are shown apart.
+/// Fields that are not listed: those that every line has, and those shown in columns of their own.
 const HIDDEN_FIELDS: [&str; 8] = [
     "time", "level", "of", "event", "id", "text", "source", "held_ms",
 ];
 
-/// A line about the request.
+/// A log line about the request.
 struct Line {
     time: f64,
     source: String,
     fields: Map<String, Value>,
 }
 
-/// Prints the lines about a request in order of time, and what is missing.
+/// Prints the lines about a request in order of time, and the number of lines that are missing.
 pub(crate) fn explain(args: &Explain) -> Result<(), CliError> {
     let mut matches = Matches::default();
     for path in &args.files {
@@ -55,14 +55,14 @@
     Ok(())
 }
 
-/// What the files hold.
+/// Lines found in the files.
 #[derive(Default)]
 struct Matches {
     lines: Vec<Line>,
     read: u64,
-    /// Lines that are no log lines, such as ones that were cut.
+    /// Number of lines that are not valid log lines, such as truncated ones.
     malformed: u64,
-    /// Lines that hosts say they left out.
+    /// Number of lines that hosts report as dropped.
     dropped: u64,
 }
 
@@ -87,7 +87,7 @@
 impl Matches {
     fn add_line(&mut self, text: &str, name: &str, id: &str) {
         self.read += 1;
-        // A collector may have put the host's name or a time in front.
+        // A log collector may have added the host's name or a time in front.
         let (before, json) = text.split_at(text.find('{').unwrap_or(text.len()));
         let Ok(Value::Object(fields)) = serde_json::from_str(json.trim()) else {
             self.malformed += 1;
@@ -103,7 +103,7 @@
             return;
         }
         let number = |name| fields.get(name).and_then(Value::as_f64).unwrap_or_default();
-        // A line may be written some time after what it tells.
+        // A line may be written some time after its event.
         let time = number("time") - number("held_ms") / 1000.0;
         let source = before.split_whitespace().last().unwrap_or(name).to_owned();
         self.lines.push(Line {
--- a/crates/cli/src/commands/fake.rs
+++ b/crates/cli/src/commands/fake.rs
@@ -1,4 +1,4 @@
-//! `fake`: stand-ins for the platform, until a signal.
+//! `fake`: runs fakes of the platform until a signal.
 
 use dunlinrock_fakes::{List, ListOptions, Store, StoreOptions};
 
@@ -10,7 +10,7 @@
     runtime::{Signals, block_on},
 };
 
-/// Runs a stand-in.
+/// Runs a fake store, host list or set of targets.
 pub(crate) fn fake(args: &Fake) -> Result<(), CliError> {
     match args {
         Fake::Store(args) => {
@@ -38,7 +38,7 @@
     wait()
 }
 
-/// Waits for a signal.
+/// Waits for SIGINT or SIGTERM.
 fn wait() -> Result<(), CliError> {
     block_on(async {
         Signals::open()?.next().await;
--- a/crates/cli/src/commands/history.rs
+++ b/crates/cli/src/commands/history.rs
@@ -1,4 +1,4 @@
-//! `history`: the last applies.
+//! `history`: lists the most recent applies.
 
 use dunlinrock_coord::{pieces::Hash, wire};
 use dunlinrock_node::store::{Store, StoreError, piece_key};
@@ -12,7 +12,7 @@
     runtime::block_on,
 };
 
-/// Prints the last applies, newest first.
+/// Prints the most recent applies, newest first.
 pub(crate) fn history(args: &History) -> Result<(), CliError> {
     let entries = block_on(async {
         let root = store::read_some(&args.store).await?.root;
@@ -37,7 +37,7 @@
     Ok(())
 }
 
-/// Reads as many entries as are asked for, from the root and the pieces in which it goes on.
+/// Reads up to `count` entries from the root and the pieces that continue it.
 async fn entries(store: &Store, root: Root, count: usize) -> Result<Vec<Entry>, StoreError> {
     let mut entries = vec![root.now];
     entries.extend(root.recent);
@@ -54,10 +54,10 @@
     Ok(entries)
 }
 
-/// Days of 400 years of the Gregorian calendar.
+/// Number of days in 400 years of the Gregorian calendar.
 const DAYS_PER_ERA: u64 = 146_097;
 
-/// Writes a time since 1970 as date and time in UTC.
+/// Formats a time since 1970 as date and time in UTC.
 fn date(at_ms: u64) -> String {
     let seconds = at_ms / 1000;
     let (days, rest) = (seconds / 86_400, seconds % 86_400);
@@ -66,10 +66,10 @@
     format!("{year:04}-{month:02}-{day:02} {hour:02}:{minute:02}:{second:02} UTC")
 }
 
-/// Gives year, month and day of a day since 1970, in the Gregorian calendar.
+/// Converts days since 1970 to year, month and day of the Gregorian calendar.
 ///
-/// Counts from 1 March of year 0: with the leap day at the end of the year, months have lengths
-/// that repeat every five months, and eras of 400 years have all the same length.
+/// The calculation counts from 1 March of year 0: with the leap day at the end of the year, the
+/// lengths of months repeat every five months, and all eras of 400 years have the same length.
 fn civil(days: u64) -> (u64, u64, u64) {
     let days = days + 719_468;
     let (era, day) = (days / DAYS_PER_ERA, days % DAYS_PER_ERA);
--- a/crates/cli/src/commands/hosts.rs
+++ b/crates/cli/src/commands/hosts.rs
@@ -1,4 +1,4 @@
-//! `hosts`: the platform's list, or a look-up.
+//! `hosts`: prints the platform's host list, or the result of a lookup.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -19,7 +19,7 @@
     runtime::block_on,
 };
 
-/// Time that a call may take.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Prints the hosts.
@@ -34,7 +34,8 @@
     }
 }
 
-/// Names the listed hosts that do not follow a revision yet; those that leave do not count.
+/// Returns the names of the listed hosts that have not applied a revision yet, except for leaving
+/// hosts.
 pub(crate) async fn lagging_hosts(
     list: SocketAddr,
     revision: u64,
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! `load`: open-loop load on running hosts.
+//! `load`: puts open-loop load on running hosts.
 
 use std::{
     fs,
@@ -18,10 +18,10 @@
     runtime::block_on,
 };
 
-/// Attempts that a caller makes of one request; its deadline ends most before.
+/// Maximum attempts per request; the deadline usually ends a request earlier.
 const ATTEMPTS: u32 = 10;
 
-/// Runs a load and reports what callers got.
+/// Runs a load and prints its report.
 pub(crate) fn load(args: &Load) -> Result<(), CliError> {
     let schedule = schedule(args)?;
     let workload = Workload {
@@ -51,7 +51,7 @@
         return Err(wrong("--callers takes a number above 0"));
     }
     if !(0.0..=1.0).contains(&args.mix) {
-        return Err(wrong("--mix takes a part from 0 to 1"));
+        return Err(wrong("--mix takes a fraction from 0 to 1"));
     }
     let time = Duration::try_from_secs_f64(args.time);
     Ok(LoadSchedule {
@@ -66,7 +66,7 @@
     match sound {
         true => Ok(path.trim_end_matches('/').into()),
         false => {
-            let message = format!("--path: `{path}` is no path; write one like /courses");
+            let message = format!("--path: `{path}` is not a path such as /courses");
             Err(CliError::open(Exit::Usage, message))
         }
     }
@@ -98,19 +98,19 @@
         .map_err(|e| CliError::open(Exit::Usage, format!("cannot write {}: {e}", path.display())))
 }
 
-/// Gives the failure that a report shows.
+/// Returns an error if a response was mismatched or no request was answered.
 fn check_report(report: &Report) -> Result<(), CliError> {
     if report.has_wrong() {
         return Err(CliError::open(
             Exit::Failed,
-            "a caller got an answer that was not its own",
+            "a caller got the response to another request",
         ));
     }
     let answered = report.services.values().any(|share| share.answered > 0);
     if !answered {
         return Err(CliError::open(
             Exit::Unreachable,
-            "no request was answered; do hosts run at --at?",
+            "no request was answered; are hosts running at --at?",
         ));
     }
     Ok(())
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One file a command.
+//! The commands, one per file.
 
 mod apply;
 mod check;
--- a/crates/cli/src/commands/plan.rs
+++ b/crates/cli/src/commands/plan.rs
@@ -1,11 +1,11 @@
-//! `plan`: what an apply would change.
+//! `plan`: shows what an apply would change.
 
 use dunlinrock_config::plan as compare;
 
 use super::{check, store};
 use crate::{args::Plan, exit::CliError, output, runtime::block_on};
 
-/// Prints the difference between a directory and what is in force.
+/// Prints the difference between a directory and the active configuration.
 pub(crate) fn plan(args: &Plan) -> Result<(), CliError> {
     let new = check::read(&args.dir)?;
     let open = store::open(&args.store)?;
@@ -17,7 +17,7 @@
     output::line(format_args!("against revision {revision}:"))?;
     output::print(format_args!("{}", compare::plan(&old, &new)))?;
     output::line(format_args!(
-        "apply with --base {revision} to be told if another apply comes first"
+        "apply with --base {revision} to detect a concurrent apply"
     ))?;
     Ok(())
 }
--- a/crates/cli/src/commands/plot.rs
+++ b/crates/cli/src/commands/plot.rs
@@ -1,4 +1,4 @@
-//! `plot`: reports of `load` as a picture.
+//! `plot`: draws a chart of `load` reports.
 
 use std::{fs, path::Path};
 
@@ -14,16 +14,16 @@
     load::Report,
 };
 
-/// Size of the picture, in pixels.
+/// Size of the chart, in pixels.
 const SIZE: (u32, u32) = (960, 540);
 
-/// Times to answer of one service, by rate.
+/// Latencies of one service, by request rate.
 struct Line {
     name: String,
     points: Vec<(f64, f64)>,
 }
 
-/// Draws the 99th percentile of the time to answer over the rate, a line a service.
+/// Draws the 99th percentile of the latency over the request rate, with one line per service.
 pub(crate) fn plot(args: &Plot) -> Result<(), CliError> {
     let reports: Result<Vec<_>, _> = args.reports.iter().map(|path| read(path)).collect();
     let lines = lines(&reports?);
@@ -35,7 +35,7 @@
     let wrong =
         |e: &dyn std::fmt::Display| CliError::open(Exit::Usage, format!("{}: {e}", path.display()));
     let text = fs::read(path).map_err(|e| wrong(&e))?;
-    serde_json::from_slice(&text).map_err(|e| wrong(&format!("no report of `load`: {e}")))
+    serde_json::from_slice(&text).map_err(|e| wrong(&format!("not a report of `load`: {e}")))
 }
 
 fn lines(reports: &[Report]) -> Vec<Line> {
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: one entry host.
+//! `serve`: runs one entry host.
 
 use std::thread;
 
@@ -13,12 +13,13 @@
     runtime::{Signals, block_on},
 };
 
-/// Runs a host until a signal, then until its planned stop is over.
+/// Runs a host until a signal, then until its graceful shutdown has ended.
 pub(crate) fn serve(args: &Serve) -> Result<(), CliError> {
     let settings = settings::load(&args.settings)?;
     logs::open(&settings.log.clone().unwrap_or_default())?;
     block_on(async {
-        // Before the host starts: a signal during the start must begin a planned stop too.
+        // Installed before the host starts, so that a signal during the start causes a graceful
+        // shutdown too.
         let mut signals = Signals::open()?;
         let mut host = Host::spawn(settings.clone())?;
         loop {
--- a/crates/cli/src/commands/show.rs
+++ b/crates/cli/src/commands/show.rs
@@ -1,11 +1,11 @@
-//! `show`: the configuration in force.
+//! `show`: prints the active configuration.
 
 use anyhow::Context;
 
 use super::store;
 use crate::{args::Show, exit::CliError, output, runtime::block_on};
 
-/// Prints the configuration in force as TOML that `apply` takes.
+/// Prints the active configuration as TOML that `apply` accepts.
 pub(crate) fn show(args: &Show) -> Result<(), CliError> {
     let found = block_on(store::read_some(&args.store))??;
     let now = &found.root.now;
--- a/crates/cli/src/commands/store.rs
+++ b/crates/cli/src/commands/store.rs
@@ -1,4 +1,4 @@
-//! The store, as operators' commands use it.
+//! Access to the store for operators' commands.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     exit::{CliError, Exit},
 };
 
-/// Longest time that one call may take.
+/// Maximum timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Opens the store that the command line names.
@@ -24,7 +24,7 @@
     ))
 }
 
-/// Gives the time after which the store counts as away.
+/// Returns the time after which the store counts as unavailable.
 pub(crate) fn time(args: &args::Store) -> Result<Duration, CliError> {
     Duration::try_from_secs_f64(args.seconds)
         .ok()
@@ -32,7 +32,7 @@
         .ok_or_else(|| CliError::open(Exit::Usage, "--timeout takes a number of seconds above 0"))
 }
 
-/// Reads what is in force.
+/// Reads the active configuration; `None` if none was applied.
 pub(crate) async fn read(store: &Store) -> Result<Option<ActiveConfig>, CliError> {
     operate::read(store).await.map_err(|e| {
         let exit = match e.downcast_ref::<StoreError>() {
@@ -45,7 +45,7 @@
     })
 }
 
-/// Reads what is in force, where there is something.
+/// Reads the active configuration; returns an error if none was applied.
 pub(crate) async fn read_some(args: &args::Store) -> Result<ActiveConfig, CliError> {
     let found = read(&open(args)?).await?;
     found.ok_or_else(|| {
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -4,20 +4,20 @@
 
 use dunlinrock_config::Findings;
 
-/// How the program ends.
+/// Exit code of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// All went well.
+    /// Success.
     Ok = 0,
-    /// It failed, or a promise was broken.
+    /// The command failed, or a promise was broken.
     Failed = 1,
     /// The command line or a file is wrong.
     Usage = 2,
-    /// Another apply came first; this one did not take effect.
+    /// A conflicting apply came first; this one did not take effect.
     Conflict = 3,
     /// The store, the list or a host could not be reached; nothing was changed.
     Unreachable = 4,
-    /// The store gave no certain answer: the apply may have taken effect.
+    /// The store returned no definite result: the apply may have taken effect.
     Unknown = 5,
 }
 
@@ -32,12 +32,12 @@
 pub struct CliError {
     /// The exit code.
     pub exit: Exit,
-    /// What to print; names the thing and the fix.
+    /// Message to print; names the cause and the fix.
     pub message: String,
 }
 
 impl CliError {
-    /// An error with a code of its own.
+    /// Creates an error with an exit code and a message.
     pub fn open(exit: Exit, message: impl Into<String>) -> Self {
         Self {
             exit,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// An error of a library, with all its causes.
+    /// Creates an error from a library's error, with all its causes.
     pub fn from_error(exit: Exit, error: &(dyn Error + 'static)) -> Self {
         let mut message = error.to_string();
         let mut cause = error.source();
--- a/crates/cli/src/fake_targets.rs
+++ b/crates/cli/src/fake_targets.rs
@@ -1,20 +1,20 @@
-//! Stand-ins made from a configuration.
+//! Fake targets for the targets of a configuration.
 
 use std::{sync::Arc, time::Duration};
 
 use dunlinrock_fakes::{TargetOptions, TargetSpec, Targets, WorkTime};
 use dunlinrock_schema::config::{Config, Target};
 
-/// Spread of the times of work.
+/// Sigma of the distribution of run times.
 const SIGMA: f64 = 0.35;
 
-/// Bytes of an answer besides its filling.
+/// Approximate size of a response without its padding, in bytes.
 const ECHO_BYTES: u64 = 200;
 
-/// Binds every target of a configuration, with the slots and work that it states.
+/// Binds a fake for every target of a configuration, with the configured slots and run time.
 ///
-/// With `free`, the targets take free ports in place of their addresses, which are then written
-/// into the configuration.
+/// With `free`, the targets bind free ports instead of their configured addresses, and the new
+/// addresses are written into the configuration.
 pub(crate) fn bind(config: &mut Config, free: bool, warm: u64) -> anyhow::Result<Targets> {
     let specs = config.targets.iter().enumerate();
     let specs = specs.map(|(n, (name, target))| TargetSpec {
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,7 +1,7 @@
-//! The `dunlinrock` program: what operators and callers run.
+//! The `dunlinrock` command-line program, for operators and callers.
 //!
-//! The binary is one line over [`run`]. The module [`caller`] holds what a client of the system
-//! does, and [`load`] an open-loop load of such clients; both are of use without the program:
+//! The binary only calls [`run`]. The module [`caller`] is a client library for the system, and
+//! [`load`] an open-loop load generator that uses it; both can be used without the program:
 //!
 //! ```
 //! use dunlinrock::caller::{Caller, CallerOptions};
@@ -33,7 +33,7 @@
 use args::Command;
 use exit::{CliError, Exit};
 
-/// Runs the command of this process's arguments and gives its exit code.
+/// Runs the command given by this process's arguments and returns its exit code.
 pub fn run() -> ExitCode {
     let command = match args::parse() {
         Ok(command) => command,
@@ -65,6 +65,6 @@
         Command::Demo(args) => demo::run(&args),
         Command::Soak(args) => soak::run(&args),
         Command::Fake(args) => commands::fake(&args),
-        Command::Man | Command::Help => unreachable!("answered by the parser"),
+        Command::Man | Command::Help => unreachable!("handled by the parser"),
     }
 }
--- a/crates/cli/src/logs/async_appender.rs
+++ b/crates/cli/src/logs/async_appender.rs
@@ -1,8 +1,8 @@
-//! Structured lines on standard output, written by a thread of their own.
+//! Log appender that writes structured lines to standard output from a dedicated thread.
 //!
-//! Whoever reads the standard output may stand still. A duty that wrote there itself would stand
-//! still with it; so lines go through a bounded ring, and what the ring cannot take is counted and
-//! told once there is room.
+//! The reader of standard output may stall, and a thread that wrote there directly would block with
+//! it. Lines therefore go through a bounded queue. Lines that find the queue full are dropped and
+//! counted, and the count is logged once the writer makes progress.
 
 use std::{
     fmt::Write as _,
@@ -23,16 +23,16 @@
 use log4rs::append::Append;
 use serde_json::json;
 
-/// Lines that may wait for the writer: a few seconds of a host at its line budget.
+/// Capacity of the queue, in lines: a few seconds of a host at its line budget.
 const QUEUE_CAPACITY: usize = 4096;
 
-/// Room for a usual line, in bytes.
+/// Initial buffer capacity for a line, in bytes; fits a typical line.
 const LINE_BYTES: usize = 320;
 
-/// Bytes written at once at most; each write costs a system call.
+/// Size at which a batch of lines is written, in bytes; batching saves system calls.
 const BATCH_BYTES: usize = 32 << 10;
 
-/// Hands lines to the writer.
+/// Appender that queues lines for the writer thread.
 #[derive(Debug)]
 pub(super) struct AsyncAppender {
     queue: Mutex<SyncSender<String>>,
@@ -40,7 +40,7 @@
 }
 
 impl AsyncAppender {
-    /// Spawns the writer.
+    /// Spawns the writer thread.
     pub(super) fn spawn() -> anyhow::Result<AsyncAppender> {
         let (queue, lines) = sync_channel(QUEUE_CAPACITY);
         let dropped = Arc::new(AtomicU64::new(0));
@@ -72,7 +72,7 @@
     fn flush(&self) {}
 }
 
-/// Writes lines until standard output is closed, as many at once as wait.
+/// Writes queued lines in batches until standard output is closed.
 fn write(lines: &Receiver<String>, dropped: &AtomicU64) {
     let mut out = io::stdout().lock();
     while let Ok(first) = lines.recv() {
@@ -87,7 +87,7 @@
             let notice = json!({"time": seconds(), "level": "WARN", "of": "log", "event": "dropped", "lines": lost});
             batch.push_str(&format!("{notice}\n"));
         }
-        // With its reader gone there is nobody to tell.
+        // The reader has closed the pipe, so the failure cannot be logged either.
         if out
             .write_all(batch.as_bytes())
             .and_then(|()| out.flush())
@@ -98,9 +98,9 @@
     }
 }
 
-/// One JSON object: time, level, module, the record's fields, and its message.
+/// Formats a record as a JSON object: time, level, module, the record's fields, and its message.
 ///
-/// Written field by field: a map of values in between would be made and dropped for every line.
+/// Fields are written directly, which avoids allocating a map of values for every line.
 fn line(record: &Record<'_>) -> anyhow::Result<String> {
     let mut line = String::with_capacity(LINE_BYTES);
     write!(
@@ -119,7 +119,7 @@
     Ok(line)
 }
 
-/// Appends a field with a text.
+/// Appends a string field.
 fn field(line: &mut String, name: &str, text: &str) -> anyhow::Result<()> {
     line.push_str(",\"");
     line.push_str(name);
@@ -128,7 +128,7 @@
     Ok(())
 }
 
-/// Seconds since 1970, to the millisecond.
+/// Returns the seconds since 1970, to the millisecond.
 fn seconds() -> f64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -139,7 +139,7 @@
 struct Fields<'a>(&'a mut String);
 
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
-    /// Appends a field. Names are written in the source, and need no escape.
+    /// Appends a field. Names are literals in the source and need no escaping.
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let line = &mut *self.0;
         if let Some(text) = value.to_borrowed_str() {
--- a/crates/cli/src/logs/mod.rs
+++ b/crates/cli/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! Log records to the console.
+//! Logging to standard error or standard output.
 
 mod async_appender;
 
@@ -14,10 +14,10 @@
     encode::{Encode, Write, json::JsonEncoder},
 };
 
-/// Name of the one appender.
+/// Name of the only appender.
 const CONSOLE: &str = "console";
 
-/// Sends records to the standard error stream, as the settings say.
+/// Logs to standard error, in the format and at the level of the settings.
 pub(crate) fn open(settings: &LogSettings) -> anyhow::Result<()> {
     let encoder: Box<dyn Encode> = match settings.format {
         LogSettingsFormat::Text => Box::new(Text),
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-/// Sends records as structured lines to the standard output, without ever waiting for its reader.
+/// Logs structured lines to standard output without ever blocking on its reader.
 pub(crate) fn open_lines() -> anyhow::Result<()> {
     let lines = Box::new(async_appender::AsyncAppender::spawn()?);
     let config = Config::builder()
@@ -60,10 +60,11 @@
     }
 }
 
-/// One line a record: level, module, message, then its fields as `key=value`.
+/// Encoder that writes one line per record: time, level, module, message, and its fields as
+/// `key=value`.
 ///
-/// The pattern encoder of the library prints only fields that the pattern names, and each duty has
-/// fields of its own.
+/// The library's pattern encoder prints only fields that the pattern names, but records have
+/// different fields.
 #[derive(Debug)]
 struct Text;
 
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Output of commands.
+//! Output of commands to standard output.
 
 use std::{
     fmt::Display,
@@ -9,7 +9,7 @@
 
 /// Prints a text.
 ///
-/// A reader that has seen enough, such as `head`, closes the pipe; that is no error.
+/// A closed pipe is not an error: readers such as `head` close it when they have read enough.
 pub(crate) fn print(text: impl Display) -> Result<(), CliError> {
     let mut out = io::stdout().lock();
     match write!(out, "{text}").and_then(|()| out.flush()) {
--- a/crates/cli/src/runtime.rs
+++ b/crates/cli/src/runtime.rs
@@ -1,4 +1,4 @@
-//! A runtime for commands, and signals.
+//! The async runtime for commands, and signal handling.
 
 use std::future::Future;
 
@@ -8,7 +8,7 @@
     signal::unix::{Signal, SignalKind, signal},
 };
 
-/// Runs a future to its end on this thread.
+/// Runs a future to completion on this thread.
 pub(crate) fn block_on<T>(f: impl Future<Output = T>) -> anyhow::Result<T> {
     let rt = runtime::Builder::new_current_thread().enable_all().build();
     Ok(rt.context("starting the runtime")?.block_on(f))
@@ -21,7 +21,8 @@
 }
 
 impl Signals {
-    /// Takes the signals over; from here on they do not end the process by themselves.
+    /// Installs the signal handlers. From then on these signals do not end the process by
+    /// themselves.
     pub(crate) fn open() -> anyhow::Result<Self> {
         Ok(Self {
             interrupt: signal(SignalKind::interrupt())?,
@@ -29,7 +30,7 @@
         })
     }
 
-    /// Waits for the next one.
+    /// Waits for the next signal.
     pub(crate) async fn next(&mut self) {
         tokio::select! {
             _ = self.interrupt.recv() => {}
