--- a/crates/cli/src/args/edge.rs
+++ b/crates/cli/src/args/edge.rs
@@ -10,8 +10,8 @@
 pub struct Edge {
     /// Settings of the host, a TOML file
     ///
-    /// They give the host's name, region, failure domain and addresses, the platform's store, and
-    /// the bounds that the deployment promises. All mistakes in the file are reported together.
+    /// The file sets the host's name, region, failure domain and addresses, the platform's store,
+    /// and the bounds that the deployment promises. All errors in the file are reported together.
     #[bpaf(short, long, argument("FILE"))]
     pub settings: PathBuf,
 }
--- a/crates/cli/src/args/explain.rs
+++ b/crates/cli/src/args/explain.rs
@@ -4,11 +4,11 @@
 
 use bpaf::Bpaf;
 
-/// Which request, and where to look
+/// Which request, and which logs to read
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct Explain {
-    /// Id of the request, as its caller chose it
+    /// Id of the request, as chosen by its caller
     #[bpaf(positional("ID"))]
     pub id: String,
     /// Logs of hosts, or `-` for standard input
--- a/crates/cli/src/args/fake.rs
+++ b/crates/cli/src/args/fake.rs
@@ -6,17 +6,17 @@
 
 use super::address;
 
-/// Which stand-in to run; each runs until a signal ends it.
+/// Which fake to run; each runs until a signal ends it.
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub enum Fake {
     /// Run a key-value store
     #[bpaf(command)]
     Store(#[bpaf(external(fake_serve))] FakeServe),
-    /// Run a list of hosts
+    /// Run a host list
     #[bpaf(command)]
     List(#[bpaf(external(fake_serve))] FakeServe),
-    /// Run every target of a configuration, at its address
+    /// Run every target of a configuration at its address
     #[bpaf(command)]
     Targets(#[bpaf(external(fake_targets))] FakeTargets),
 }
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct FakeServe {
-    /// Address to serve; port 0 takes a free one
+    /// Address to listen on; port 0 selects a free port
     #[bpaf(short, long, argument::<String>("ADDR"), parse(address))]
     pub bind: SocketAddr,
 }
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct FakeTargets {
-    /// Requests until a target's cache is warm
+    /// Number of requests until a target's cache is warm
     #[bpaf(short, long, argument("COUNT"), fallback(0), display_fallback)]
     pub warm: u64,
     /// Directory of the configuration's TOML files
--- a/crates/cli/src/args/load.rs
+++ b/crates/cli/src/args/load.rs
@@ -10,40 +10,40 @@
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct Load {
-    /// Address of a host to start from, as callers reach it; may be given several times
+    /// Address of a host for the first lookups, as callers reach it; may be given several times
     #[bpaf(short, long, argument::<String>("ADDR"), parse(address), some("give --at"))]
     pub at: Vec<SocketAddr>,
     /// Service to call; may be given several times
     #[bpaf(short, long, argument::<String>("NAME"), map(Into::into), some("give --service"))]
     pub service: Vec<Arc<str>>,
-    /// Requests a second, of all callers and services together
+    /// Requests per second, over all callers and services
     ///
-    /// Requests are sent when they are due, also while earlier ones wait, and their times count
-    /// from that moment.
+    /// Requests are sent when they are due, even while earlier ones are pending, and their
+    /// latencies count from that moment.
     #[bpaf(short, long, argument("NUMBER"), fallback(100.0), display_fallback)]
     pub rate: f64,
-    /// Seconds to go on for
+    /// Duration of the load in seconds
     #[bpaf(short, long, argument("SECONDS"), fallback(10.0), display_fallback)]
     pub time: f64,
-    /// Callers, each with its own name, connections and memory of look-ups
+    /// Number of callers, each with its own name, connections and lookup cache
     #[bpaf(short, long, argument("COUNT"), fallback(20), display_fallback)]
     pub callers: usize,
-    /// Different paths that requests go to
+    /// Number of distinct request paths
     #[bpaf(short, long, argument("COUNT"), fallback(100), display_fallback)]
     pub keys: u64,
-    /// Part of the requests that may not be repeated, of 1
+    /// Fraction of the requests that are not idempotent, from 0 to 1
     #[bpaf(short, long, argument("PART"), fallback(0.2), display_fallback)]
     pub mix: f64,
-    /// Milliseconds in which an answer is of use
+    /// Deadline of a request in milliseconds
     #[bpaf(short, long, argument("MS"), fallback(2000), display_fallback)]
     pub deadline: u64,
-    /// Path at the service; a key is added to it
+    /// Path prefix at the service; a path id is appended
     #[bpaf(short, long, argument("PATH"), fallback("/load".to_owned()), display_fallback)]
     pub path: String,
-    /// Seed of times, paths and choices
+    /// Seed for arrival times, paths and choices
     #[bpaf(long, argument("NUMBER"), fallback(1), display_fallback)]
     pub seed: u64,
-    /// Write the report as JSON to this file; `-` prints it in place of the text
+    /// Write the report as JSON to this file; `-` prints it instead of the text
     #[bpaf(short, long, argument("FILE"), optional)]
     pub json: Option<PathBuf>,
 }
@@ -52,10 +52,10 @@
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct Plot {
-    /// Picture to write, SVG
+    /// SVG file to write
     #[bpaf(short, long, argument("FILE"))]
     pub output: PathBuf,
-    /// Reports, as `load --json` writes them
+    /// Reports written by `load --json`
     #[bpaf(positional("REPORT"), some("give a report"))]
     pub reports: Vec<PathBuf>,
 }
@@ -64,10 +64,10 @@
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct Demo {
-    /// Requests a second, of all callers together
+    /// Requests per second, over all callers
     #[bpaf(short, long, argument("NUMBER"), fallback(200.0), display_fallback)]
     pub rate: f64,
-    /// Seed of times, paths and choices
+    /// Seed for arrival times, paths and choices
     #[bpaf(long, argument("NUMBER"), fallback(1), display_fallback)]
     pub seed: u64,
     /// Directory of the configuration's TOML files
--- a/crates/cli/src/args/mod.rs
+++ b/crates/cli/src/args/mod.rs
@@ -1,4 +1,4 @@
-//! The command line. Each flag is defined in one place, with its short and long help.
+//! Command-line arguments. Each flag is defined in one place, with its short and long help.
 
 mod edge;
 mod explain;
@@ -26,31 +26,32 @@
 /// Width of help texts, in columns.
 const WIDTH: usize = 100;
 
-/// Exit codes, as help and man page show them.
-const CODES: &str = "Exit codes: 0 done; 1 failed, or a promise was broken; 2 wrong usage or wrong \
-files; 3 another apply came first and this one did not take effect; 4 the store, the list or a \
-host could not be reached, nothing was changed; 5 the store gave no certain answer, the apply may \
-have taken effect.";
+/// Exit codes, as shown by the help and the man page.
+const CODES: &str = "Exit codes: 0 done; 1 failed, or a promise was broken; 2 wrong usage or \
+invalid files; 3 another apply came first and this one did not take effect; 4 the store, the list \
+or a host could not be reached, nothing was changed; 5 the store returned no definite result, the \
+apply may have taken effect.";
 
 /// Steers traffic between callers and targets.
 ///
-/// Hosts answer callers' look-ups and run their requests on targets, under a configuration that
-/// operators apply as a whole. `dunlinrock COMMAND --help` explains a command; `--help --help`
-/// says more.
+/// Hosts answer callers' lookups and run their requests on targets, under a configuration that
+/// operators apply atomically. `dunlinrock COMMAND --help` explains a command; `--help --help`
+/// shows more.
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 #[bpaf(options, version, footer(CODES))]
 pub enum Command {
     /// Run one entry host
     ///
-    /// SIGTERM or SIGINT begins a planned stop: the host takes leave of callers and other hosts,
-    /// finishes what it runs, and ends. A second signal ends it at once.
+    /// SIGTERM or SIGINT begins a graceful shutdown: the host announces to callers and other hosts
+    /// that it is leaving, finishes its running requests, and exits. A second signal ends it at
+    /// once.
     #[bpaf(command)]
     Serve(#[bpaf(external(serve::serve))] Serve),
     /// Run one entry host on the users' platform
     ///
-    /// Sends straight to the targets that the platform's store announces. SIGTERM or SIGINT begins
-    /// a planned stop, SIGHUP reads the settings again.
+    /// Sends requests directly to the targets that are announced in the platform's store. SIGTERM
+    /// or SIGINT begins a graceful shutdown, SIGHUP reloads the settings.
     #[bpaf(command)]
     Edge(#[bpaf(external(edge::edge))] Edge),
     /// Check a directory of configuration files
@@ -59,47 +60,48 @@
     /// Show what an apply would change, which shifts it starts and how long they take
     #[bpaf(command)]
     Plan(#[bpaf(external(operator::plan))] Plan),
-    /// Put a configuration in force, as a whole or not at all
+    /// Apply a configuration atomically
     #[bpaf(command)]
     Apply(#[bpaf(external(operator::apply))] Apply),
-    /// Show the configuration in force
+    /// Show the active configuration
     #[bpaf(command)]
     Show(#[bpaf(external(operator::show))] Show),
-    /// List the last applies
+    /// List the most recent applies
     #[bpaf(command)]
     History(#[bpaf(external(operator::history))] History),
     /// List the hosts, or those that a caller should use
     #[bpaf(command)]
     Hosts(#[bpaf(external(operator::hosts))] Hosts),
-    /// Show the whole state of a host as JSON
+    /// Show the complete state of a host as JSON
     #[bpaf(command)]
     Dump(#[bpaf(external(operator::dump))] Dump),
-    /// Show one request's way through the logs of hosts
+    /// Trace one request through the logs of hosts
     ///
-    /// Reads the structured lines of any number of hosts, prints those about the request in order
-    /// of time with what decided, and says how many lines are missing. Lines that are cut or that
-    /// something else wrote are counted and passed over.
+    /// Reads the structured logs of any number of hosts, prints the lines about the request in
+    /// order of time with the inputs of each decision, and reports how many lines are missing.
+    /// Lines that are truncated or were written by other programs are counted and skipped.
     #[bpaf(command)]
     Explain(#[bpaf(external(explain::explain))] Explain),
-    /// Put load on running hosts and report what callers get
+    /// Put load on running hosts and report the results
     #[bpaf(command)]
     Load(#[bpaf(external(load::load))] Load),
-    /// Draw reports of `load` as a picture
+    /// Draw a chart of `load` reports
     #[bpaf(command)]
     Plot(#[bpaf(external(load::plot))] Plot),
-    /// Run a deployment with load, a drain and a planned stop in this process
+    /// Run a deployment with load, a drain and a graceful shutdown in this process
     ///
-    /// Takes about 20 seconds and uses loopback addresses only. Ends with a table; its exit code is
-    /// 1 where a promise was broken.
+    /// Takes about 20 seconds and uses loopback addresses only. Prints the results as tables; the
+    /// exit code is 1 if a promise was broken.
     #[bpaf(command)]
     Demo(#[bpaf(external(load::demo))] Demo),
-    /// Play random faults on hosts of their own processes and check the promises
+    /// Run hosts as processes, inject random faults and check the promises
     ///
-    /// Starts hosts and stand-ins on loopback addresses, injects faults that follow from the seed,
-    /// and checks what callers and targets see. Its exit code is 1 where a promise was broken.
+    /// Starts hosts and fakes of the platform on loopback addresses, injects faults that follow
+    /// from the seed, and checks what callers and targets observe. The exit code is 1 if a promise
+    /// was broken.
     #[bpaf(command)]
     Soak(#[bpaf(external(soak::soak))] Soak),
-    /// Run stand-ins for the platform
+    /// Run fakes of the platform
     #[bpaf(command)]
     Fake(#[bpaf(external(fake::fake))] Fake),
     /// Print the man page
@@ -110,16 +112,16 @@
     Help,
 }
 
-/// Gives the parser of the whole command line.
+/// Returns the parser of the command line.
 pub fn parser() -> OptionParser<Command> {
     command()
 }
 
-/// Parses this process's arguments; answers `help`, `man` and completions itself.
+/// Parses this process's arguments. Handles `help`, `man` and completions itself.
 ///
 /// # Errors
 ///
-/// The exit code, where there is nothing left to do.
+/// Returns the exit code if there is no command to run.
 pub fn parse() -> Result<Command, Exit> {
     let parsed = parser().run_inner(bpaf::Args::current_args());
     match parsed {
@@ -153,7 +155,7 @@
 /// Parses `IP:PORT`.
 #[allow(
     clippy::needless_pass_by_value,
-    reason = "the parser hands the text over"
+    reason = "the parser passes an owned string"
 )]
 fn address(text: String) -> Result<std::net::SocketAddr, String> {
     let parsed = text.parse();
--- a/crates/cli/src/args/operator.rs
+++ b/crates/cli/src/args/operator.rs
@@ -1,4 +1,4 @@
-//! Arguments of operators' commands.
+//! Arguments of the operators' commands.
 
 use std::{net::SocketAddr, path::PathBuf, sync::Arc};
 
@@ -6,7 +6,7 @@
 
 use super::address;
 
-/// Where the store is.
+/// Location of the store.
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct Store {
@@ -18,7 +18,7 @@
     /// The hosts' settings must name the same one.
     #[bpaf(long, argument("TEXT"), fallback("dunlinrock/".to_owned()), display_fallback)]
     pub prefix: String,
-    /// Seconds after which the store counts as away
+    /// Seconds after which the store counts as unavailable
     #[bpaf(long("timeout"), argument("SECONDS"), fallback(10.0), display_fallback)]
     pub seconds: f64,
 }
@@ -32,7 +32,7 @@
     pub dir: PathBuf,
 }
 
-/// What to compare with what is in force
+/// What to compare with the active configuration
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct Plan {
@@ -44,31 +44,31 @@
     pub dir: PathBuf,
 }
 
-/// What to put in force, and how
+/// What to apply, and how
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct Apply {
     /// The store:
     #[bpaf(external)]
     pub store: Store,
-    /// Id of this apply; a new one where absent
+    /// Id of this apply; generated if absent
     ///
-    /// An apply that was broken off may be tried again under its id: if it took effect, that is
-    /// what the second try finds.
+    /// An interrupted apply can be retried under its id: if the first attempt took effect, the
+    /// retry reports that.
     #[bpaf(long, argument::<String>("ID"), map(Into::into), optional)]
     pub id: Option<Arc<str>>,
     /// Your name, for the history
     #[bpaf(long, env("USER"), argument::<String>("NAME"), map(Into::into), fallback("operator".into()))]
     pub by: Arc<str>,
-    /// Revision that you have planned on
+    /// Revision that the plan was made against
     ///
-    /// The apply does not take effect where another one came since.
+    /// The apply does not take effect if another one was applied since.
     #[bpaf(long, argument("REVISION"), optional)]
     pub base: Option<u64>,
-    /// Wait until every listed host follows the new revision; needs --list
+    /// Wait until every listed host has applied the new revision; needs --list
     #[bpaf(short, long)]
     pub wait: bool,
-    /// Address of the platform's list of hosts
+    /// Address of the platform's host list
     #[bpaf(short, long, argument::<String>("ADDR"), parse(address), optional)]
     pub list: Option<SocketAddr>,
     /// Directory of the configuration's TOML files
@@ -92,7 +92,7 @@
     /// The store:
     #[bpaf(external)]
     pub store: Store,
-    /// Applies to list
+    /// Number of applies to list
     #[bpaf(short('n'), long, argument("COUNT"), fallback(20), display_fallback)]
     pub count: usize,
 }
@@ -101,27 +101,27 @@
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct Hosts {
-    /// Whom to ask, the list or a host:
+    /// Source, the list or a host:
     #[bpaf(external(hosts_from))]
     pub from: HostsFrom,
 }
 
-/// Whom `hosts` asks.
+/// Source of the hosts.
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub enum HostsFrom {
-    /// The platform's list.
+    /// The platform's host list.
     List {
-        /// Address of the platform's list of hosts
+        /// Address of the platform's host list
         #[bpaf(short, long, argument::<String>("ADDR"), parse(address))]
         list: SocketAddr,
     },
-    /// A look-up.
+    /// A lookup at a host.
     At {
         /// Address of a host, as callers reach it
         #[bpaf(short, long, argument::<String>("ADDR"), parse(address))]
         at: SocketAddr,
-        /// Client to look up for; this machine where absent
+        /// Client to look up for; this machine if absent
         #[bpaf(short, long, argument("IP"), optional)]
         client: Option<std::net::IpAddr>,
         /// Service to look up
@@ -130,7 +130,7 @@
     },
 }
 
-/// Which host to ask
+/// Which host to read
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct Dump {
--- a/crates/cli/src/args/serve.rs
+++ b/crates/cli/src/args/serve.rs
@@ -10,8 +10,8 @@
 pub struct Serve {
     /// Settings of the host, a TOML file
     ///
-    /// They give the host's name, region, failure domain and addresses, and where the platform's
-    /// store and list are. All mistakes in the file are reported together.
+    /// The file sets the host's name, region, failure domain and addresses, and the addresses of
+    /// the platform's store and host list. All errors in the file are reported together.
     #[bpaf(short, long, argument("FILE"))]
     pub settings: PathBuf,
 }
--- a/crates/cli/src/caller/connections.rs
+++ b/crates/cli/src/caller/connections.rs
@@ -28,9 +28,9 @@
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time beyond the deadline for which the caller waits for a response. A host that gives up a request
-/// at its deadline reports whether it ran; a caller that disconnects at the same moment would miss
-/// that report.
+/// Time beyond the deadline for which the caller waits for a response. A host that gives up a
+/// request at its deadline reports whether it ran; a caller that disconnects at the same moment
+/// would miss that report.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
 /// Media type of an error response.
--- a/crates/cli/src/caller/mod.rs
+++ b/crates/cli/src/caller/mod.rs
@@ -1,10 +1,10 @@
 //! A client library for services: cached lookups, weighted choice of hosts, deadlines, and retries
 //! that never run an at-most-once request twice.
 //!
-//! An idempotent request is retried on another host after a failure. An at-most-once request carries
-//! an idempotency key and is retried with the same key, alternating between the key's owner and its
-//! witness, until one of them reports a definite outcome. Only a `run: no` to the latest attempt ends
-//! a key; a further attempt then uses a new key.
+//! An idempotent request is retried on another host after a failure. An at-most-once request
+//! carries an idempotency key and is retried with the same key, alternating between the key's owner
+//! and its witness, until one of them reports a definite outcome. Only a `run: no` to the latest
+//! attempt ends a key; a further attempt then uses a new key.
 
 mod at_most_once;
 mod cache;
@@ -140,9 +140,9 @@
         addresses.get(usize::try_from(self.draw(n)).ok()?).copied()
     }
 
-    /// Returns a nonce for an idempotency key. It never depends on the seed: two callers with the same
-    /// seed, or a restarted one, would use one key for two requests, and the second would get no
-    /// response.
+    /// Returns a nonce for an idempotency key. It never depends on the seed: two callers with the
+    /// same seed, or a restarted one, would use one key for two requests, and the second would get
+    /// no response.
     fn nonce() -> String {
         let mut rng = rand::rng();
         format!("{:016x}{:016x}", rng.random::<u64>(), rng.random::<u64>())
--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -99,7 +99,7 @@
         }
         if start.elapsed() >= time {
             let message = format!(
-                "revision {revision} is in force, and these hosts do not follow it yet: {}",
+                "revision {revision} is active, but these hosts have not applied it yet: {}",
                 lagging_hosts.join(", ")
             );
             return Err(CliError::open(Exit::Failed, message));
--- a/crates/cli/src/commands/dump.rs
+++ b/crates/cli/src/commands/dump.rs
@@ -27,7 +27,7 @@
     let value = serde_json::from_slice::<Value>(&answer.body).ok();
     let Some(value) = value.filter(|_| answer.status == StatusCode::OK) else {
         let message = format!(
-            "{} gave no dump; is it the address of a host for other hosts (`peers`)?",
+            "{} returned no dump; is it the address of a host for other hosts (`peers`)?",
             args.at
         );
         return Err(CliError::open(Exit::Failed, message));
@@ -48,8 +48,8 @@
     /// Returns whether the host has applied this apply or a later one.
     ///
     /// A store that lost its data counts revisions from 1 again, while hosts keep the highest
-    /// revision that they have seen, so the revision alone could wrongly indicate success. The id is
-    /// therefore compared too. An apply older than those listed counts as applied.
+    /// revision that they have seen, so the revision alone could wrongly indicate success. The id
+    /// is therefore compared too. An apply older than those listed counts as applied.
     pub(crate) fn has_applied(&self, revision: u64, id: Option<&str>) -> bool {
         let listed = self.applies.iter().find(|(at, _)| *at == revision);
         let other = listed.is_some_and(|(_, listed)| id.is_some_and(|id| listed != id));
--- a/crates/cli/src/commands/edge.rs
+++ b/crates/cli/src/commands/edge.rs
@@ -20,8 +20,8 @@
     runtime::{Signals, block_on},
 };
 
-/// Interval at which the settings file is polled for changes. New settings may take a few seconds to
-/// become active, and each poll reads only a few hundred bytes.
+/// Interval at which the settings file is polled for changes. New settings may take a few seconds
+/// to become active, and each poll reads only a few hundred bytes.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Runs a host until a signal, then until its graceful shutdown has ended.
@@ -52,7 +52,7 @@
         tokio::select! {
             done = done_rx => match done {
                 Ok(result) => Ok(result?),
-                Err(_) => Err(CliError::open(Exit::Failed, "the planned stop died")),
+                Err(_) => Err(CliError::open(Exit::Failed, "the graceful shutdown panicked")),
             },
             () = signals.next() => {
                 Err(CliError::open(Exit::Failed, "ended at once by a second signal"))
@@ -69,8 +69,8 @@
 }
 
 impl SettingsFile<'_> {
-    /// Reads the file once, for both the host's start and the first poll. With two reads, a change in
-    /// between would be taken for the settings that the host started with, and never be applied.
+    /// Reads the file once, for both the host's start and the first poll. With two reads, a change
+    /// in between would be taken for the settings that the host started with, and never be applied.
     fn open(path: &Path) -> anyhow::Result<SettingsFile<'_>> {
         let text =
             fs::read_to_string(path).with_context(|| format!("reading {}", path.display()))?;
--- a/crates/cli/src/commands/hosts.rs
+++ b/crates/cli/src/commands/hosts.rs
@@ -58,7 +58,7 @@
 async fn listing(list: SocketAddr) -> Result<Listing, CliError> {
     let read = HostList::open(list, CALL_TIMEOUT).read().await;
     read.map_err(|e| {
-        let message = format!("the list of hosts at {list} did not answer: {e}");
+        let message = format!("the host list at {list} did not respond: {e}");
         CliError::open(Exit::Unreachable, message)
     })
 }
@@ -71,8 +71,12 @@
     let query = client.map_or_else(String::new, |ip| format!("?client={ip}"));
     let answer = dump::get(at, &format!("/v1/hosts/{service}{query}")).await?;
     if answer.status == http::StatusCode::OK {
-        return serde_json::from_slice(&answer.body)
-            .map_err(|e| CliError::open(Exit::Failed, format!("{at} gave no look-up: {e}")));
+        return serde_json::from_slice(&answer.body).map_err(|e| {
+            CliError::open(
+                Exit::Failed,
+                format!("{at} returned an invalid lookup response: {e}"),
+            )
+        });
     }
     let detail = match serde_json::from_slice::<Problem>(&answer.body) {
         Ok(problem) => problem.detail.to_string(),
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -31,7 +31,7 @@
             ended.await.map_err(anyhow::Error::from)??;
             host = Host::spawn_above(settings.clone(), earlier)?;
         }
-        log::info!("planned stop begins; a second signal ends the host at once");
+        log::info!("graceful shutdown begins; a second signal ends the host at once");
         host.start_shutdown();
         let (done_tx, done_rx) = oneshot::channel();
         thread::Builder::new()
@@ -41,7 +41,7 @@
         tokio::select! {
             done = done_rx => match done {
                 Ok(result) => Ok(result.map(|_| ())?),
-                Err(_) => Err(CliError::open(Exit::Failed, "the planned stop died")),
+                Err(_) => Err(CliError::open(Exit::Failed, "the graceful shutdown panicked")),
             },
             () = signals.next() => {
                 Err(CliError::open(Exit::Failed, "ended at once by a second signal"))
--- a/crates/cli/src/demo/deployment.rs
+++ b/crates/cli/src/demo/deployment.rs
@@ -108,8 +108,8 @@
         started
     }
 
-    /// Drains the domain that started the most requests since `earlier`. Draining an idle domain would
-    /// have no visible effect.
+    /// Drains the domain that started the most requests since `earlier`. Draining an idle domain
+    /// would have no visible effect.
     pub(super) fn drain(
         &mut self,
         earlier: &BTreeMap<Arc<str>, u64>,
--- a/crates/cli/src/load/mod.rs
+++ b/crates/cli/src/load/mod.rs
@@ -1,8 +1,8 @@
 //! An open-loop load generator.
 //!
 //! Requests are sent when they are due, whether or not earlier ones have been answered, and their
-//! latencies count from that moment. A load that waited for responses would slow down with the system
-//! and hide the latencies that callers see.
+//! latencies count from that moment. A load that waited for responses would slow down with the
+//! system and hide the latencies that callers see.
 
 mod report;
 mod response_check;
--- a/crates/cli/src/load/report.rs
+++ b/crates/cli/src/load/report.rs
@@ -95,7 +95,8 @@
     }
 }
 
-/// Maximum number of reasons shown. Reasons may contain numbers, so there can be many distinct ones.
+/// Maximum number of reasons shown. Reasons may contain numbers, so there can be many distinct
+/// ones.
 const MAX_REASONS: usize = 8;
 
 impl Report {
--- a/crates/cli/src/soak/deployment.rs
+++ b/crates/cli/src/soak/deployment.rs
@@ -1,4 +1,5 @@
-//! The deployment of a soak: hosts as processes, fakes of the platform, and the proxies between them.
+//! The deployment of a soak: hosts as processes, fakes of the platform, and the proxies between
+//! them.
 
 use std::{
     fs::File,
@@ -41,9 +42,9 @@
 /// Requests that a target runs concurrently.
 const SLOTS: u32 = 8;
 
-/// Last octet of the first host's address. Each host has its own address, so that its ports stay the
-/// same over restarts. The middle octets follow from this process's id, so that several soaks can
-/// run at the same time.
+/// Last octet of the first host's address. Each host has its own address, so that its ports stay
+/// the same over restarts. The middle octets follow from this process's id, so that several soaks
+/// can run at the same time.
 const FIRST_IP: u8 = 20;
 
 /// Ports for callers, lookups, readiness, peers and metrics. They are below the ephemeral range: an
--- a/crates/cli/src/soak/keys.rs
+++ b/crates/cli/src/soak/keys.rs
@@ -24,7 +24,8 @@
 /// Rate limit per second of the limited workspace, and its burst: a third of what it sends.
 const RATE: u32 = 30;
 
-/// Workspaces: one with a fixed key, one with a rate limit, one whose key changes with each version.
+/// Workspaces: one with a fixed key, one with a rate limit, one whose key changes with each
+/// version.
 const STEADY: &str = "steady";
 const BUSY: &str = "busy";
 const CHANGING: &str = "changing";
--- a/crates/cli/src/soak/mod.rs
+++ b/crates/cli/src/soak/mod.rs
@@ -1,9 +1,10 @@
 //! `soak`: a randomized test that injects faults into hosts under load and checks the promises.
 //!
-//! The fakes of the platform's store and targets run in this process. Each host is a separate process
-//! behind two loopback proxies, one towards its callers and one towards the store; each target is
-//! behind a proxy too. A plan follows from its seed alone. The checks compare what callers and
-//! targets observe and never measure durations, so a busy machine does not change the result.
+//! The fakes of the platform's store and targets run in this process. Each host is a separate
+//! process behind two loopback proxies, one towards its callers and one towards the store; each
+//! target is behind a proxy too. A plan follows from its seed alone. The checks compare what
+//! callers and targets observe and never measure durations, so a busy machine does not change the
+//! result.
 
 mod callers;
 mod deployment;
--- a/crates/cli/src/soak/runner.rs
+++ b/crates/cli/src/soak/runner.rs
@@ -20,8 +20,8 @@
 /// Interval at which processes and their dumps are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time limit for the deployment to recover after the last fault. It only ends a hang: hosts recover
-/// within seconds, and a busy machine may take ten times as long.
+/// Time limit for the deployment to recover after the last fault. It only ends a hang: hosts
+/// recover within seconds, and a busy machine may take ten times as long.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Limits on a host's resident memory and open descriptors, as the platform sets them.
