--- a/crates/cli/tests/apply.rs
+++ b/crates/cli/tests/apply.rs
@@ -1,4 +1,4 @@
-//! Operators' commands on the store: plan, apply, show and history.
+//! Tests of the operators' commands on the store: plan, apply, show and history.
 
 mod support;
 
@@ -46,8 +46,8 @@
 
 #[test]
 fn an_apply_that_was_overtaken_is_told_so() {
-    // Two operators plan on revision 1. One applies a drain; the other's apply must not take
-    // effect on a ground that its operator has not seen, and says what came in between.
+    // Two operators plan against revision 1 and one of them applies a drain. The other's apply must
+    // not take effect on a configuration that its operator has not seen, and must name the drain.
     let store = store();
     assert_eq!(run_with_store(&store, &["apply", &cursuri()]).code, 0);
     let dir = cursuri_with_drain();
@@ -94,9 +94,9 @@
 
 #[test]
 fn an_apply_without_a_certain_answer_says_that_it_may_have_taken_effect() {
-    // The write of the root takes effect, its answer never comes, and the store goes away. The
-    // operator must not be told that nothing happened. A second try under the same id, when the
-    // store is back, finds what became of the first.
+    // The write of the root takes effect, but its response is lost and the store becomes
+    // unavailable. The command must not report that nothing happened. A retry under the same id
+    // finds the outcome once the store is available again.
     let store = store();
     store.withhold_responses(Some("dunlinrock/root"));
     let at = store.addr().to_string();
@@ -149,7 +149,7 @@
 
 #[test]
 fn a_reader_that_has_seen_enough_is_no_error() {
-    // `dunlinrock show ... | head` closes the pipe while the program still writes.
+    // `dunlinrock show ... | head` closes the pipe while the program is still writing.
     let store = store();
     assert_eq!(run_with_store(&store, &["apply", &cursuri()]).code, 0);
     let at = store.addr().to_string();
--- a/crates/cli/tests/causes.rs
+++ b/crates/cli/tests/causes.rs
@@ -1,4 +1,4 @@
-//! Causes of failed requests, found in the logs of the host alone, as an engineer on call would.
+//! Tests that the cause of a failed request can be found from the host's logs alone.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use http::StatusCode;
 use support::{edge::Deployment, program::run};
 
-/// A host whose log is collected.
+/// A host process whose log is collected.
 struct LoggedHost {
     deployment: Deployment,
     log: JoinHandle<String>,
@@ -36,7 +36,7 @@
         answer.expect("an answer").0
     }
 
-    /// Stops the host, and tells what `explain` prints of each request.
+    /// Stops the host and returns the output of `explain` for each request.
     fn explain(self, ids: &[&str]) -> Vec<String> {
         self.deployment.stop();
         let text = self.log.join().unwrap();
@@ -53,8 +53,8 @@
     }
 }
 
-/// A caller is refused although targets are free: its target sheds. The log shows that the target had
-/// free slots when it was asked, that it turned the request away, and which rule then refused.
+/// A request is refused although targets have free slots, because its target sheds. The log must
+/// show that the target had free slots, that it shed the request, and which rule then refused it.
 #[tokio::test]
 async fn a_refusal_with_free_targets_is_traced_to_the_target_that_sheds() {
     let logged = LoggedHost::open(17401).await;
@@ -81,8 +81,8 @@
     );
 }
 
-/// A caller gets 502 for a request that may run once: the target ran it and closed the connection. The
-/// log shows that it was sent, to whom, and that nobody can say whether it ran.
+/// An at-most-once request gets 502, because the target ran it and closed the connection. The log
+/// must show that it was sent, to which target, and that its outcome is unknown.
 #[tokio::test]
 async fn an_answer_that_was_lost_is_traced_to_the_target_that_closed() {
     let logged = LoggedHost::open(17411).await;
@@ -108,8 +108,8 @@
     );
 }
 
-/// A caller's time is over: its target is slow. The log shows that the target had free slots and the
-/// whole time of the caller, so that neither a queue nor the host took it.
+/// A request exceeds its deadline because its target is slow. The log must show that the target had
+/// free slots and got the full time, so that neither a queue nor the host caused the delay.
 #[tokio::test]
 async fn a_late_answer_is_traced_to_the_target_that_is_slow() {
     const LEFT: Duration = Duration::from_millis(300);
@@ -134,8 +134,8 @@
     );
 }
 
-/// Load: far more requests a second than the budget of lines on those that end well. The lines of
-/// requests that fail are all there, those of their sends too.
+/// The request rate far exceeds the budget of log lines for successful requests. All lines of
+/// failed requests must still be written, including those of their sends.
 #[tokio::test]
 async fn a_request_that_failed_keeps_its_lines_when_others_lose_theirs() {
     const REQUESTS: usize = 1200;
@@ -161,8 +161,8 @@
     }
 }
 
-/// Load: far more requests a second that no target is asked for than lines are written for. A request
-/// that a target turned away keeps its lines.
+/// The rate of requests that are refused before any target is tried far exceeds the budget of log
+/// lines. A request that a target shed must keep its lines.
 #[tokio::test]
 async fn a_flood_of_refusals_leaves_the_lines_of_a_request_that_was_sent() {
     const REFUSALS: usize = 3000;
--- a/crates/cli/tests/documents.rs
+++ b/crates/cli/tests/documents.rs
@@ -1,4 +1,5 @@
-//! The pages, held against the program: what they name exists, and what exists is named.
+//! Tests that the documentation matches the program: names in pages exist, and commands, events and
+//! metrics are documented.
 
 mod support;
 
@@ -12,13 +13,13 @@
 use dunlinrock_node::metrics::COUNTERS;
 use support::program::{program, run};
 
-/// Name of the program, as pages write it before a command.
+/// Name of the program with a space, as it precedes a command in a page.
 const NAME: &str = "dunlinrock ";
 
-/// How a page calls the program through cargo.
+/// Prefix of a call of the program through cargo in a page.
 const THROUGH_CARGO: &str = "cargo run --release -- ";
 
-/// Folders whose files pages name by their path from the root.
+/// Directories whose files are named in pages by their path from the root.
 const FOLDERS: [&str; 6] = [
     ".ci/",
     "crates/",
@@ -28,7 +29,7 @@
     "scripts/",
 ];
 
-/// A page and its text.
+/// A page of the documentation.
 struct Page {
     path: PathBuf,
     text: String,
@@ -38,7 +39,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Every file under `dir` with this ending; built files and hidden folders are left out.
+/// Returns every file under `dir` with this ending, except in `target` and hidden directories.
 fn files(dir: &Path, ending: &str) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for entry in fs::read_dir(dir).unwrap() {
@@ -65,7 +66,8 @@
     pages
 }
 
-/// Pages for users: the two at the root and those of `docs/` that speak of the program.
+/// Returns whether a page is for users: two pages at the root, and those directly in `docs/` and
+/// `docs/operators`.
 fn is_for_users(page: &Page) -> bool {
     let path = page.path.strip_prefix(root()).unwrap();
     let folder = path.parent().unwrap();
@@ -75,7 +77,7 @@
         || folder == Path::new("docs/operators")
 }
 
-/// Code of a page: indented lines, with continued ones joined, and what stands in backticks.
+/// Returns the code of a page: indented lines, with continued lines joined, and text in backticks.
 fn code(text: &str) -> Vec<String> {
     let joined = text.replace("\\\n", " ");
     let blocks = joined.lines().filter(|line| line.starts_with("    "));
@@ -86,7 +88,7 @@
     found
 }
 
-/// Arguments of each call of the program in a page.
+/// Returns the arguments of each call of the program in a page.
 fn calls(text: &str) -> Vec<Vec<String>> {
     let mut found = Vec::new();
     for line in code(text) {
@@ -102,7 +104,8 @@
     found
 }
 
-/// Commands that a help text lists: lower case, where flags start with `-` and arguments are capitals.
+/// Returns the commands listed in a help text. They are in lower case, while flags start with `-`
+/// and arguments are in upper case.
 fn commands(help: &str) -> BTreeSet<String> {
     let items = help.lines().filter_map(|line| line.strip_prefix("    "));
     items
@@ -112,7 +115,7 @@
         .collect()
 }
 
-/// Flags that a help text lists.
+/// Returns the flags listed in a help text.
 fn flags(help: &str) -> BTreeSet<String> {
     let lines = help.lines().filter(|line| line.starts_with("    "));
     lines
@@ -123,7 +126,7 @@
         .collect()
 }
 
-/// Help of a command; the user's name does not show in it.
+/// Returns the help of a command, without `USER` in the environment, whose value it would show.
 fn help(command: &[&str]) -> String {
     let args = [command, &["--help"]].concat();
     let output = program(&args).env_remove("USER").output().unwrap();
@@ -131,7 +134,7 @@
     String::from_utf8(output.stdout).unwrap()
 }
 
-/// What is wrong with a call that a page shows.
+/// Returns the error in a call that a page shows, if any.
 fn fault(call: &[String], known: &BTreeSet<String>) -> Option<String> {
     let first = call.first()?;
     if first.starts_with("--") {
@@ -214,7 +217,8 @@
     assert!(!known.is_empty() && missing.is_empty(), "{missing:?}");
 }
 
-/// `docs/COMMANDS.md` holds every command's help, and so every flag; `UPDATE=1` writes it anew.
+/// `docs/COMMANDS.md` contains the help of every command, and so every flag. `UPDATE=1` regenerates
+/// it.
 #[test]
 fn the_page_of_commands_is_what_the_program_says() {
     let mut text = String::from(
@@ -239,7 +243,7 @@
     assert_eq!(fs::read_to_string(&path).unwrap(), text);
 }
 
-/// Texts that stand right behind one of these words in the sources of a folder.
+/// Returns the string literals that directly follow one of `words` in the sources of a directory.
 fn written_behind(folder: &str, words: &[&str]) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for path in files(&root().join(folder), ".rs") {
@@ -258,12 +262,12 @@
     names
 }
 
-/// Names given to timers and gauges in the node's sources.
+/// Returns the names of timers and gauges in the node's sources.
 fn times_and_gauges() -> BTreeSet<String> {
     written_behind("crates/node/src", &["metrics.time(", "metrics.gauge("])
 }
 
-/// Names of an edge host's metrics.
+/// Returns the names of an edge host's metrics.
 fn edge_metrics() -> BTreeSet<String> {
     let calls = [
         "meters.time(",
@@ -272,7 +276,7 @@
         "meters.gauge(",
     ];
     let mut names = written_behind("crates/edge/src", &calls);
-    // Names that are put together, as the page writes them.
+    // This name is composed at run time; the page writes it with a placeholder.
     names.insert("workspace.NAME.requests".to_owned());
     names.extend(Outcome::ALL.iter().map(|outcome| outcome.name().to_owned()));
     names
@@ -281,7 +285,7 @@
         .collect()
 }
 
-/// First cells of a page's tables that stand in backticks.
+/// Returns the first cells of a page's table rows, if they are in backticks.
 fn rows(page: &Page) -> BTreeSet<String> {
     let rows = page
         .text
--- a/crates/cli/tests/edge.rs
+++ b/crates/cli/tests/edge.rs
@@ -1,4 +1,4 @@
-//! The program `edge`, as a process, between stand-ins of the platform.
+//! Tests of the command `edge`, as a process between fakes of the platform.
 
 mod support;
 
@@ -13,8 +13,8 @@
     program::program,
 };
 
-/// Nobody reads the host's log: its pipe is full after a few hundred lines. The host serves on, and a
-/// planned stop ends in order.
+/// The host's log is not read, so its pipe is full after a few hundred lines. The host must keep
+/// serving, and a graceful shutdown must exit with code 0.
 #[tokio::test]
 async fn a_log_that_nobody_reads_holds_nobody_up() {
     const PORT: u16 = 17301;
@@ -34,7 +34,8 @@
     assert_eq!(deployment.child.wait().unwrap().code(), Some(0));
 }
 
-/// A settings file with a mistake: the program says which key and how to mend it, and does not start.
+/// With an invalid value in the settings file the program must not start, and must name the key and
+/// a valid example.
 #[test]
 fn a_mistake_in_the_settings_is_told_with_its_mend() {
     let dir = tempfile::tempdir().unwrap();
@@ -52,13 +53,14 @@
     );
 }
 
-/// Every line of the log is a JSON object of its own, whatever the texts in it hold.
+/// Every line of the log must be a JSON object, even if ids and paths contain quotes or
+/// backslashes.
 #[tokio::test]
 async fn every_line_of_the_log_is_an_object_with_its_event() {
     const PORT: u16 = 17321;
     let mut deployment = Deployment::open(PORT);
     deployment.until_serves(PORT, "fi\"rst").await;
-    // The line of a send that may not be repeated is written at once.
+    // The line for sending a request that is not idempotent is written at once.
     let once = deployment.get(PORT, "/once/0", "once").await;
     assert_eq!(once.expect("an answer").0, StatusCode::OK);
     deployment
@@ -88,9 +90,9 @@
     }
 }
 
-/// The settings file is replaced time and again without a signal: by one with another bound, by
-/// one with a mistake, by a sound one, by one with another name. The host takes up what it can, says
-/// what waits for its next start, and keeps what it has where the file is wrong.
+/// The settings file is replaced several times without a signal: with another bound, an invalid
+/// value, a valid one, and another name. The host must apply what it can, report which settings
+/// take effect at the next start, and keep its settings if the file is invalid.
 #[tokio::test]
 async fn a_changed_settings_file_is_taken_up_without_a_signal() {
     const PORT: u16 = 17331;
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: from a request's id to its cause, through the logs of several hosts.
+//! Tests of `explain`: tracing a request by its id through the logs of several hosts.
 
 mod support;
 
@@ -6,15 +6,15 @@
 
 use support::program::run;
 
-/// A log with these lines.
+/// Writes a log file with these lines and returns its path.
 fn log(dir: &tempfile::TempDir, name: &str, lines: &[&str]) -> String {
     let path: PathBuf = dir.path().join(name);
     fs::write(&path, lines.join("\n")).unwrap();
     path.display().to_string()
 }
 
-/// A caller was refused at one host and came back through another, which sent the request. Their
-/// logs are read together, one of them cut in mid-line.
+/// A request was refused by one host and sent by another. Their logs are read together, and the
+/// last line of one of them is truncated.
 #[test]
 fn a_request_is_followed_through_the_logs_of_several_hosts_in_order_of_time() {
     let dir = tempfile::tempdir().unwrap();
@@ -62,8 +62,8 @@
     );
 }
 
-/// A request was sent twice and failed. The line of the first send was written only at the end; it is
-/// shown where it belongs, before what followed from it.
+/// The line of a request's send was written only when the request had failed. It must be shown at
+/// the time of the send, before the events that followed.
 #[test]
 fn a_line_that_was_held_stands_at_the_time_of_what_it_tells() {
     let dir = tempfile::tempdir().unwrap();
--- a/crates/cli/tests/planned_stop.rs
+++ b/crates/cli/tests/planned_stop.rs
@@ -1,4 +1,5 @@
-//! SIGTERM on a host under load, with every part a process of its own but the platform.
+//! Test of a graceful shutdown by SIGTERM under load, with hosts as processes and fakes of the
+//! platform in the test.
 
 mod support;
 
@@ -23,10 +24,10 @@
     program::{Running, example, run, unused_addr},
 };
 
-/// Requests that are answered before the host is stopped.
+/// Number of requests that are answered before the host is stopped.
 const BEFORE: u64 = 200;
 
-/// A deployment of three hosts, one a region.
+/// A deployment for three hosts, one in each region.
 struct Deployment {
     dir: tempfile::TempDir,
     store: Store,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Starts a host and gives its address for callers.
+    /// Starts a host and returns its address for callers.
     fn serve(&self, name: &str, domain: &str) -> (Running, SocketAddr) {
         let region = &self.config.domains[domain].region;
         let (callers, peers) = (unused_addr(), unused_addr());
@@ -96,7 +97,7 @@
     Targets::bind(specs.collect()).unwrap()
 }
 
-/// Waits until a look-up at `at` names as many hosts as there are.
+/// Waits until a lookup at `at` returns `hosts` hosts.
 fn wait_until_listed(at: SocketAddr, hosts: usize) {
     loop {
         let found = run(&["hosts", "--at", &at.to_string(), "catalogue"]);
@@ -121,9 +122,9 @@
 
 #[test]
 fn a_host_that_is_stopped_under_load_loses_no_request() {
-    // An operator sends SIGTERM to one of three hosts while callers search and reserve. Callers
-    // with old look-ups still come to it, and keys name it as owner or witness. Every request must
-    // be answered, none may run twice, and the process must end by itself.
+    // One of three hosts gets SIGTERM under load. Callers with cached lookups still send requests
+    // to it, and idempotency keys name it as owner or witness. Every request must be answered, none
+    // may run twice, and the process must exit by itself.
     let deployment = Deployment::open();
     let (one, a) = deployment.serve("h1", "bucharest-a");
     let (mut two, b) = deployment.serve("h2", "cluj-a");
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,4 +1,6 @@
-//! A short soak with fixed seeds: hosts as processes, faults from outside, every promise kept.
+//! Tests of the command `soak`: a short run with fixed seeds must keep every promise.
+//!
+//! A seed that breaks a promise is to be added here with its cause; none has so far.
 
 mod support;
 
@@ -19,7 +21,6 @@
     );
 }
 
-/// A seed that once broke a promise would stand here with a line on its cause; none has so far.
 #[test]
 fn a_soak_without_hosts_is_refused_with_the_reason() {
     let out = run(&["soak", "--hosts", "0"]);
--- a/crates/cli/tests/support/edge.rs
+++ b/crates/cli/tests/support/edge.rs
@@ -1,4 +1,4 @@
-//! The program `edge` as a process, between stand-ins of the platform.
+//! A host process of the command `edge`, with fakes of the platform.
 
 use std::{
     fs,
@@ -22,13 +22,13 @@
 
 const LOCAL: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-/// Ports of this test's host, on an address of its own.
+/// Loopback address of these tests' hosts, not used otherwise, so that their fixed ports are free.
 const HOST: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 41, 7, 9));
 
 /// Host name of the route.
 const NAME: &str = "shop";
 
-/// A hang guard; no call takes so long.
+/// Timeout that only ends a hang; no call takes that long.
 const LONG: Duration = Duration::from_secs(60);
 
 pub(crate) struct Deployment {
@@ -44,14 +44,14 @@
 
 impl Drop for Deployment {
     fn drop(&mut self) {
-        // It has ended where the test went well.
+        // Errors are ignored: the process has already exited if the test passed.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
 impl Deployment {
-    /// Starts a host whose standard output nobody reads.
+    /// Starts a host whose standard output is a pipe that is not read.
     pub(crate) fn open(port: u16) -> Deployment {
         let store = Store::bind(SocketAddr::new(LOCAL, 0)).unwrap();
         let ledger = Ledger::default();
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Changes the text of the settings file; whole, as a replaced file is.
+    /// Edits the settings file and replaces it atomically.
     pub(crate) fn edit(&self, from: &str, to: &str) {
         let text = fs::read_to_string(&self.path).unwrap();
         assert!(text.contains(from), "{from} stands in {text}");
@@ -101,7 +101,7 @@
         fs::rename(beside, &self.path).unwrap();
     }
 
-    /// Asks for a planned stop.
+    /// Starts a graceful shutdown by SIGTERM.
     pub(crate) fn stop(&self) {
         let id = i32::try_from(self.child.id()).unwrap();
         kill(Pid::from_raw(id), Signal::SIGTERM).unwrap();
@@ -116,7 +116,7 @@
         self.get_within(port, path, id, LONG).await
     }
 
-    /// The same, by a caller that waits for a time only.
+    /// Sends a request whose caller states `left` as its deadline.
     pub(crate) async fn get_within(
         &self,
         port: u16,
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Scripted hosts, and runs of the built program.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Support for tests: scripted hosts, host processes, and runs of the built program.
+#![allow(dead_code, reason = "each test binary uses only some helpers")]
 
 pub(crate) mod edge;
 pub(crate) mod program;
@@ -7,7 +7,7 @@
 
 use std::future::Future;
 
-/// Runs a test's body on a runtime of its own.
+/// Runs a test's body on its own runtime.
 pub(crate) fn block_on<T>(f: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/cli/tests/support/program.rs
+++ b/crates/cli/tests/support/program.rs
@@ -9,7 +9,7 @@
 
 use dunlinrock_fakes::{Store, StoreOptions};
 
-/// What a run printed and how it ended.
+/// Output and exit code of a run.
 #[derive(Debug)]
 pub(crate) struct CommandOutput {
     pub(crate) code: i32,
@@ -17,14 +17,14 @@
     pub(crate) err: String,
 }
 
-/// The program with arguments.
+/// Returns a command that runs the program with arguments.
 pub(crate) fn program(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_dunlinrock"));
     command.args(args).env("USER", "ana");
     command
 }
 
-/// Runs the program to its end.
+/// Runs the program until it exits.
 pub(crate) fn run(args: &[&str]) -> CommandOutput {
     let output = program(args).output().unwrap();
     CommandOutput {
@@ -34,7 +34,7 @@
     }
 }
 
-/// A program that runs on; ended with the test.
+/// A running program, killed on drop.
 pub(crate) struct Running(Child);
 
 impl Running {
@@ -51,7 +51,7 @@
         assert!(sent.success());
     }
 
-    /// Waits for the end and gives the exit code.
+    /// Waits until the program exits and returns its exit code.
     pub(crate) fn wait(&mut self) -> Option<i32> {
         self.0.wait().unwrap().code()
     }
@@ -64,36 +64,36 @@
     }
 }
 
-/// An example's directory.
+/// Returns the directory of an example.
 pub(crate) fn example(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../examples")
         .join(name)
 }
 
-/// An address that nobody serves at the moment.
+/// Returns an address on which no process is listening.
 pub(crate) fn unused_addr() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap().to_string()
 }
 
-/// A store on a free port.
+/// Starts a fake store on a free port.
 pub(crate) fn store() -> Store {
     Store::bind("127.0.0.1:0", StoreOptions::default()).unwrap()
 }
 
-/// Runs a command on a store with the Cursuri example.
+/// Runs a command with `--store` set to a store's address.
 pub(crate) fn run_with_store(store: &Store, args: &[&str]) -> CommandOutput {
     let at = store.addr().to_string();
     run(&[&args[..1], &["--store", &at], &args[1..]].concat())
 }
 
-/// Directory of the Cursuri example.
+/// Returns the directory of the Cursuri example as an argument.
 pub(crate) fn cursuri() -> String {
     example("cursuri").display().to_string()
 }
 
-/// A copy of the Cursuri example with one more file.
+/// Copies the Cursuri example and adds a file.
 pub(crate) fn cursuri_with(name: &str, text: &str) -> tempfile::TempDir {
     let dir = tempfile::tempdir().unwrap();
     for entry in fs::read_dir(example("cursuri")).unwrap() {
@@ -104,7 +104,7 @@
     dir
 }
 
-/// A copy of the Cursuri example with a drain.
+/// Copies the Cursuri example and adds a drain.
 pub(crate) fn cursuri_with_drain() -> tempfile::TempDir {
     cursuri_with(
         "drains.toml",
@@ -112,7 +112,7 @@
     )
 }
 
-/// A path as an argument.
+/// Returns a path as an argument.
 pub(crate) fn path_arg(path: &Path) -> String {
     path.display().to_string()
 }
--- a/crates/cli/tests/support/scripted_host.rs
+++ b/crates/cli/tests/support/scripted_host.rs
@@ -1,4 +1,4 @@
-//! A host that answers as a test says, and notes what it was asked.
+//! A host that responds as scripted by a test and records the requests.
 
 use std::{
     convert::Infallible,
@@ -13,7 +13,7 @@
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
 use hyper_util::rt::TokioIo;
 
-/// A request as the host saw it.
+/// A request received by the host.
 #[derive(Clone, Debug)]
 pub(crate) struct RecordedRequest {
     pub(crate) method: Method,
@@ -31,19 +31,19 @@
     }
 }
 
-/// What the host does with a request.
+/// Reaction of the host to a request.
 pub(crate) enum ScriptedResponse {
-    /// Answers.
+    /// Sends a response with a status, content type and body.
     Reply(u16, &'static str, Vec<u8>),
     /// Closes the connection.
     Close,
-    /// Never answers.
+    /// Never responds.
     Silence,
-    /// Gives an error answer once the time that the request states is over.
+    /// Sends an error response once the request's deadline has passed.
     Late(Vec<u8>),
 }
 
-/// A scripted host; lives as long as the runtime it was opened on.
+/// A scripted host. It serves as long as the runtime that it was started on.
 #[derive(Clone)]
 pub(crate) struct ScriptedHost {
     pub(crate) addr: SocketAddr,
@@ -51,7 +51,7 @@
 }
 
 impl ScriptedHost {
-    /// Serves on a free port of the runtime at hand.
+    /// Starts a host on a free port, on the current runtime.
     pub(crate) async fn open(
         script: impl Fn(&RecordedRequest) -> ScriptedResponse + Send + Sync + 'static,
     ) -> Self {
@@ -73,13 +73,13 @@
         host
     }
 
-    /// Requests seen that were no look-ups.
+    /// Returns the received requests, except lookups.
     pub(crate) fn calls(&self) -> Vec<RecordedRequest> {
         let seen = self.seen.lock().unwrap();
         seen.iter().filter(|s| !s.is_lookup()).cloned().collect()
     }
 
-    /// Look-ups seen.
+    /// Returns the number of received lookups.
     pub(crate) fn lookups(&self) -> usize {
         let seen = self.seen.lock().unwrap();
         seen.iter().filter(|s| s.is_lookup()).count()
@@ -121,18 +121,18 @@
     }
 }
 
-/// An answer of a target.
+/// A successful response of a target.
 pub(crate) fn target_response(body: &str) -> ScriptedResponse {
     ScriptedResponse::Reply(200, "application/json", body.into())
 }
 
-/// An error answer of a host.
+/// An error response of a host.
 pub(crate) fn problem(run: Run, retry_after_ms: Option<u64>) -> ScriptedResponse {
     let body = body(run, retry_after_ms);
     ScriptedResponse::Reply(503, "application/problem+json", body)
 }
 
-/// The body of an error answer.
+/// The body of an error response.
 pub(crate) fn problem_body(run: Run) -> Vec<u8> {
     body(run, None)
 }
@@ -150,7 +150,7 @@
     serde_json::to_vec(&problem).unwrap()
 }
 
-/// An answer to a look-up.
+/// A response to a lookup.
 pub(crate) fn hosts(
     hosts: &[SocketAddr],
     bound: Option<(SocketAddr, SocketAddr)>,
