--- a/crates/cli/src/caller/at_most_once.rs
+++ b/crates/cli/src/caller/at_most_once.rs
@@ -17,8 +17,8 @@
     text: Arc<str>,
     owner: SocketAddr,
     witness: SocketAddr,
-    /// Attempts that a host may have received. Each attempt states them: a host may answer `run:
-    /// no` only if it knows whether another host may have received the key.
+    /// Attempts that a host may have received. Each attempt states them, because a host may answer
+    /// `run: no` only if it knows whether another host may have received the key.
     sent: PriorAttempts,
     /// Whether the next attempt goes to the witness rather than the owner.
     at_witness: bool,
