--- a/crates/cli/src/load/report.rs
+++ b/crates/cli/src/load/report.rs
@@ -1,109 +1,110 @@
-//! What a load measured, as text and as JSON.
+//! Report of a load, as text and as JSON.
 
 use std::{collections::BTreeMap, fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-use super::{Pace, Tally, Totals};
+use super::{LoadSchedule, LoadStats, ServiceCounts};
 
-/// What one service's callers got.
+/// Results of one service.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Share {
+pub struct ServiceReport {
     /// Requests sent.
     pub sent: u64,
-    /// Requests with the whole answer to themselves.
+    /// Requests with their own complete response.
     pub answered: u64,
-    /// Requests answered with an error of the target.
+    /// Requests for which the target returned an error.
     pub failed: u64,
-    /// Requests with an answer to another request; must be 0.
+    /// Requests that got the response to another request; must be 0.
     pub wrong: u64,
     /// Requests that did not run (`run: no`).
     pub refused: u64,
-    /// Requests of which nobody knows whether they ran (`run: unknown`).
+    /// Requests with an unknown outcome (`run: unknown`).
     pub unknown: u64,
-    /// Requests that ran, and whose answer was gone (`run: yes`).
+    /// Requests that ran but whose response was lost (`run: yes`).
     pub gone: u64,
     /// Attempts of all requests.
     pub attempts: u64,
-    /// Time to answer of half the requests, in milliseconds.
+    /// Median latency, in milliseconds.
     pub p50_ms: f64,
-    /// Time to answer of 90% of the requests, in milliseconds.
+    /// 90th percentile of the latency, in milliseconds.
     pub p90_ms: f64,
-    /// Time to answer of 99% of the requests, in milliseconds.
+    /// 99th percentile of the latency, in milliseconds.
     pub p99_ms: f64,
-    /// Longest time to answer, in milliseconds.
+    /// Maximum latency, in milliseconds.
     pub max_ms: f64,
 }
 
-impl Share {
-    /// Sums up the counts of a service.
-    pub fn of(totals: &Totals) -> Self {
+impl ServiceReport {
+    /// Summarizes the counts of a service.
+    pub fn from_counts(counts: &ServiceCounts) -> Self {
         let millis = |micros: u64| micros as f64 / 1000.0;
-        let at = |quantile| millis(totals.times.value_at_quantile(quantile));
+        let at = |quantile| millis(counts.latencies.value_at_quantile(quantile));
         Self {
-            sent: totals.sent,
-            answered: totals.answered,
-            failed: totals.failed,
-            wrong: totals.wrong,
-            refused: totals.refused,
-            unknown: totals.unknown,
-            gone: totals.gone,
-            attempts: totals.attempts,
+            sent: counts.sent,
+            answered: counts.answered,
+            failed: counts.failed,
+            wrong: counts.wrong,
+            refused: counts.refused,
+            unknown: counts.unknown,
+            gone: counts.response_lost,
+            attempts: counts.attempts,
             p50_ms: at(0.5),
             p90_ms: at(0.9),
             p99_ms: at(0.99),
-            max_ms: millis(totals.times.max()),
+            max_ms: millis(counts.latencies.max()),
         }
     }
 }
 
-/// What a load measured.
+/// Report of a load.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Report {
-    /// Requests a second that were sent.
+    /// Requests sent per second.
     pub rate: f64,
-    /// Seconds it went on for.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// Seed.
+    /// Seed of the load.
     pub seed: u64,
     /// Results by service.
-    pub services: BTreeMap<Arc<str>, Share>,
-    /// Reasons of requests without an answer, with their number.
+    pub services: BTreeMap<Arc<str>, ServiceReport>,
+    /// Number of requests without a response, by reason.
     pub reasons: BTreeMap<Arc<str>, u64>,
 }
 
 impl Report {
-    /// Sums up a load.
-    pub fn of(pace: &Pace, tally: &Tally) -> Self {
-        let services = tally.services.iter();
+    /// Summarizes the statistics of a load.
+    pub fn from_stats(schedule: &LoadSchedule, stats: &LoadStats) -> Self {
+        let services = stats.services.iter();
         Self {
-            rate: pace.rate,
-            seconds: pace.time.as_secs_f64(),
-            seed: pace.seed,
+            rate: schedule.rate,
+            seconds: schedule.duration.as_secs_f64(),
+            seed: schedule.seed,
             services: services
-                .map(|(name, totals)| (Arc::clone(name), Share::of(totals)))
+                .map(|(name, counts)| (Arc::clone(name), ServiceReport::from_counts(counts)))
                 .collect(),
-            reasons: tally.reasons.clone(),
+            reasons: stats.reasons.clone(),
         }
     }
 
-    /// Tells whether a caller got an answer that was not its own.
+    /// Returns whether a caller got the response to another request.
     pub fn has_wrong(&self) -> bool {
-        self.services.values().any(|share| share.wrong > 0)
+        self.services.values().any(|service| service.wrong > 0)
     }
 }
 
-/// Reasons that are shown; details with numbers in them make many that differ.
-const SHOWN: usize = 8;
+/// Maximum number of reasons shown. Reasons may contain numbers, so there can be many distinct
+/// ones.
+const MAX_REASONS: usize = 8;
 
 impl Report {
-    /// Shows the most frequent reasons.
+    /// Writes the most frequent reasons.
     fn show_reasons(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut reasons: Vec<_> = self.reasons.iter().collect();
         reasons.sort_by_key(|(_, number)| std::cmp::Reverse(**number));
-        let shown = reasons.len().min(SHOWN);
+        let shown = reasons.len().min(MAX_REASONS);
         for (reason, number) in &reasons[..shown] {
             writeln!(f, "{number} without an answer: {reason}")?;
         }
@@ -135,21 +136,21 @@
             "p99 ms",
             "max ms"
         )?;
-        for (name, share) in &self.services {
+        for (name, service) in &self.services {
             writeln!(
                 f,
                 "{:<14}{:>8}{:>9}{:>8}{:>7}{:>9}{:>9}{:>9.1}{:>9.1}{:>9.1}{:>9.1}",
                 name,
-                share.sent,
-                share.answered,
-                share.failed,
-                share.wrong,
-                share.refused,
-                share.unknown + share.gone,
-                share.p50_ms,
-                share.p90_ms,
-                share.p99_ms,
-                share.max_ms
+                service.sent,
+                service.answered,
+                service.failed,
+                service.wrong,
+                service.refused,
+                service.unknown + service.gone,
+                service.p50_ms,
+                service.p90_ms,
+                service.p99_ms,
+                service.max_ms
             )?;
         }
         self.show_reasons(f)
