--- a/crates/edge/tests/histories.rs
+++ b/crates/edge/tests/histories.rs
@@ -199,7 +199,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against replicas that differ from the store for good, so that callers are sent to a
+    /// Guards against replicas that differ permanently from the store, so that callers are sent to a
     /// host or target that is gone, or never to one that is back. Readers follow the store, find
     /// its history compacted, and defer removals after an outage. Hosts poll any reachable source,
     /// which may be ahead in some items and behind in others. After the store is quiet and each
--- a/crates/edge/tests/large_configuration.rs
+++ b/crates/edge/tests/large_configuration.rs
@@ -6,7 +6,8 @@
 //! leave. Each version was sent in full to each host, in part over links of 10 Mbit/s that carried
 //! the answers to eight followers. A response that was incomplete after 650 ms was aborted and
 //! requested again elsewhere, until all links were full of copies. Byte counters and log lines
-//! about aborted responses told this cause from dead hosts and from a lack of processor time.
+//! about aborted responses distinguished this cause from dead hosts and from a lack of processor
+//! time.
 
 mod support;
 
