--- a/crates/cli/src/caller/mod.rs
+++ b/crates/cli/src/caller/mod.rs
@@ -1,16 +1,16 @@
-//! A caller as services' clients should be: look-ups kept for as long as they may be, a choice of
-//! host by weight, deadlines, and retries that never run a request twice.
+//! A client library for services: cached lookups, weighted choice of hosts, deadlines, and retries
+//! that never run an at-most-once request twice.
 //!
-//! A request that may be repeated goes to another host after a failure. One that may not carries a
-//! key, and goes on with the same key to the key's owner and witness in turn, until one of them
-//! says for certain what became of it. Only a `run: no` to the latest attempt ends a key; what is
-//! tried after that is a new key.
+//! An idempotent request is retried on another host after a failure. An at-most-once request
+//! carries an idempotency key and is retried with the same key, alternating between the key's owner
+//! and its witness, until one of them reports a definite outcome. Only a `run: no` to the latest
+//! attempt ends a key; a further attempt then uses a new key.
 
+mod at_most_once;
 mod cache;
-mod keyed;
-mod link;
+mod connections;
+mod idempotent;
 mod outcome;
-mod plain;
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -24,111 +24,112 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use tokio::time::Instant;
 
-pub use outcome::{Answered, Done, Outcome};
+pub use outcome::{CallResult, Outcome, TargetResponse};
 
 use cache::Cache;
-use link::Link;
+use connections::Connections;
 
-/// Time that one look-up may take before another host is asked.
-const LOOKUP_TIME: Duration = Duration::from_millis(1000);
+/// Timeout of a lookup at one host, after which another host is tried.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Hosts that one look-up asks in turn.
-const LOOKUP_TRIES: usize = 4;
+/// Maximum number of hosts that one lookup tries.
+const MAX_LOOKUP_ATTEMPTS: usize = 4;
 
-/// Longest pause before another attempt where no time was given; attempts are spread over it.
-const PAUSE: Duration = Duration::from_millis(40);
+/// Upper bound of the random backoff before a retry, which is added to the time that the host asked
+/// for, if any.
+const BACKOFF: Duration = Duration::from_millis(40);
 
-/// Who a caller is and how hard it tries.
+/// Options of a caller.
 #[derive(Clone, Debug)]
-pub struct Rules {
-    /// Name, by which hosts give fair shares.
+pub struct CallerOptions {
+    /// Name of the caller; hosts divide capacity fairly between callers by name.
     pub name: Arc<str>,
-    /// Hosts to ask first; look-ups name more.
-    pub starts: Vec<SocketAddr>,
-    /// Own address to call from; the system's choice where absent.
-    pub from: Option<IpAddr>,
-    /// Attempts of a request, all keys together.
+    /// Hosts for the first lookups; lookups discover more.
+    pub seeds: Vec<SocketAddr>,
+    /// Local address to connect from; chosen by the system if absent.
+    pub local_addr: Option<IpAddr>,
+    /// Maximum attempts per request, over all its keys.
     pub attempts: u32,
-    /// Seed of its choices.
+    /// Seed for the choice of hosts and the backoff.
     pub seed: u64,
 }
 
-/// A request.
+/// A request to a service.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Service to run it.
+pub struct CallRequest {
+    /// Service that runs the request.
     pub service: Arc<str>,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query at the service, with the leading slash.
+    /// Path and query at the service, with a leading slash.
     pub path: Arc<str>,
     /// Body.
     pub body: Bytes,
-    /// Time in which an answer is of use.
-    pub time: Duration,
-    /// Whether it must run at most once, and so goes under a key.
-    pub keyed: bool,
+    /// Time after which a response is no longer useful.
+    pub timeout: Duration,
+    /// Whether the request must run at most once and so needs an idempotency key.
+    pub at_most_once: bool,
 }
 
-/// A caller; it may have many requests on their way at once.
+/// A client that can have many requests in flight at once.
 pub struct Caller {
-    rules: Rules,
-    link: Link,
+    options: CallerOptions,
+    connections: Connections,
     cache: Mutex<Cache>,
     rng: Mutex<SmallRng>,
 }
 
 impl Caller {
-    /// Opens a caller; it connects when it first calls.
-    pub fn open(rules: Rules) -> Self {
+    /// Creates a caller. It connects on its first call.
+    pub fn open(options: CallerOptions) -> Self {
         Self {
-            link: Link::open(rules.from),
-            cache: Mutex::new(Cache::open(&rules.starts)),
-            rng: Mutex::new(SmallRng::seed_from_u64(rules.seed)),
-            rules,
+            connections: Connections::open(options.local_addr),
+            cache: Mutex::new(Cache::open(&options.seeds)),
+            rng: Mutex::new(SmallRng::seed_from_u64(options.seed)),
+            options,
         }
     }
 
-    /// Gives the caller's name.
+    /// Returns the caller's name.
     pub fn name(&self) -> &Arc<str> {
-        &self.rules.name
+        &self.options.name
     }
 
-    /// Runs a request, with retries, until its time is over.
-    pub async fn call(&self, ask: &Ask) -> Done {
-        let deadline = Instant::now() + ask.time;
-        match ask.keyed {
-            true => keyed::run(self, ask, deadline).await,
-            false => plain::run(self, ask, deadline).await,
+    /// Runs a request, with retries until its deadline.
+    pub async fn call(&self, request: &CallRequest) -> CallResult {
+        let deadline = Instant::now() + request.timeout;
+        match request.at_most_once {
+            true => at_most_once::run(self, request, deadline).await,
+            false => idempotent::run(self, request, deadline).await,
         }
     }
 
-    /// Finds the hosts of a service: from memory while the last answer may be used, else by asking.
+    /// Returns the hosts of a service, from the cache or by a new lookup.
     async fn look_up(&self, service: &str, deadline: Instant) -> Option<Arc<Hosts>> {
-        if let Some(hosts) = self.cache().find(service, Instant::now()) {
+        if let Some(hosts) = self.cache().get(service, Instant::now()) {
             return Some(hosts);
         }
-        for _ in 0..LOOKUP_TRIES {
-            let at = self.pick(&self.cache().known())?;
-            let time = LOOKUP_TIME.min(deadline.saturating_duration_since(Instant::now()));
-            match self.link.hosts(at, service, time).await {
-                Some(hosts) => return Some(self.cache().keep(hosts, Instant::now())),
-                None => self.cache().doubt(at),
+        for _ in 0..MAX_LOOKUP_ATTEMPTS {
+            let at = self.pick(&self.cache().candidates())?;
+            let time = LOOKUP_TIMEOUT.min(deadline.saturating_duration_since(Instant::now()));
+            match self.connections.hosts(at, service, time).await {
+                Some(hosts) => return Some(self.cache().insert(hosts, Instant::now())),
+                None => self.cache().remove_host(at),
             }
         }
         None
     }
 
-    /// Drops what is remembered of a service, so that the next request asks again.
-    fn forget(&self, service: &str) {
-        self.cache().forget(service);
+    /// Drops the cached hosts of a service, so that the next request does a new lookup.
+    fn invalidate(&self, service: &str) {
+        self.cache().remove(service);
     }
 
     fn cache(&self) -> std::sync::MutexGuard<'_, Cache> {
         self.cache.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Draws a number below `bound`, which is not 0.
+    /// Returns a random number below `bound`, which must not be 0.
     fn draw(&self, bound: u64) -> u64 {
         let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
         rng.random_range(0..bound)
@@ -139,16 +140,17 @@
         addresses.get(usize::try_from(self.draw(n)).ok()?).copied()
     }
 
-    /// Makes a nonce for a key. Never from the seed: two callers with one seed, or one that was
-    /// started again, would use a key for two requests, and the second would get no answer.
+    /// Returns a nonce for an idempotency key. It never depends on the seed: two callers with the
+    /// same seed, or a restarted one, would use one key for two requests, and the second would get
+    /// no response.
     fn nonce() -> String {
         let mut rng = rand::rng();
         format!("{:016x}{:016x}", rng.random::<u64>(), rng.random::<u64>())
     }
 
-    /// Waits before another attempt; `false` where that would pass the deadline.
-    async fn pause(&self, asked: Option<Duration>, deadline: Instant) -> bool {
-        let spread = u64::try_from(PAUSE.as_micros()).unwrap_or(u64::MAX);
+    /// Waits before a retry. Returns `false` without waiting if the wait would pass the deadline.
+    async fn backoff(&self, asked: Option<Duration>, deadline: Instant) -> bool {
+        let spread = u64::try_from(BACKOFF.as_micros()).unwrap_or(u64::MAX);
         let jitter = Duration::from_micros(self.draw(spread));
         let until = Instant::now() + asked.unwrap_or_default() + jitter;
         if until >= deadline {
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,27 +1,27 @@
-//! `check`: the files of a configuration.
+//! `check`: validates the files of a configuration.
 
 use dunlinrock_config::config::{self, CheckedConfig};
 use dunlinrock_schema::config::Config;
 
-use crate::{args::Check, exit::Failure, out};
+use crate::{args::Check, exit::CliError, output};
 
-/// Checks a directory and prints what it holds.
-pub(crate) fn check(args: &Check) -> Result<(), Failure> {
+/// Checks a directory and prints a summary of its configuration.
+pub(crate) fn check(args: &Check) -> Result<(), CliError> {
     let config = read(&args.dir)?;
-    out::line(format_args!(
+    output::line(format_args!(
         "{}: sound, {}",
         args.dir.display(),
-        sizes(&config)
+        summary(&config)
     ))?;
     Ok(())
 }
 
-/// Reads a directory; prints its warnings.
+/// Reads the configuration in a directory and prints its warnings.
 ///
 /// # Errors
 ///
-/// All findings, where one is an error.
-pub(crate) fn read(dir: &std::path::Path) -> Result<Config, Failure> {
+/// Returns all findings if at least one is an error.
+pub(crate) fn read(dir: &std::path::Path) -> Result<Config, CliError> {
     let CheckedConfig { config, findings } = config::check_dir(dir);
     match config {
         Some(config) => {
@@ -32,8 +32,8 @@
     }
 }
 
-/// Says how much a configuration holds.
-pub(crate) fn sizes(config: &Config) -> String {
+/// Returns the number of entries of each kind in a configuration.
+pub(crate) fn summary(config: &Config) -> String {
     format!(
         "{} services, {} regions, {} domains, {} links, {} targets, {} drains, {} blocks",
         config.services.len(),
--- a/crates/cli/src/commands/fake.rs
+++ b/crates/cli/src/commands/fake.rs
@@ -1,37 +1,36 @@
-//! `fake`: stand-ins for the platform, until a signal.
+//! `fake`: runs fakes of the platform until a signal.
 
 use dunlinrock_fakes::{List, ListOptions, Store, StoreOptions};
 
 use super::check;
 use crate::{
     args::{Fake, FakeTargets},
-    exit::Failure,
-    out,
-    rt::{Signals, block_on},
-    stand,
+    exit::CliError,
+    fake_targets, output,
+    runtime::{Signals, block_on},
 };
 
-/// Runs a stand-in.
-pub(crate) fn fake(args: &Fake) -> Result<(), Failure> {
+/// Runs a fake store, host list or set of targets.
+pub(crate) fn fake(args: &Fake) -> Result<(), CliError> {
     match args {
         Fake::Store(args) => {
             let store = Store::bind(&args.bind.to_string(), StoreOptions::default())?;
-            out::line(format_args!("store on {}", store.addr()))?;
+            output::line(format_args!("store on {}", store.addr()))?;
             wait()
         }
         Fake::List(args) => {
             let list = List::bind(&args.bind.to_string(), ListOptions::default())?;
-            out::line(format_args!("list of hosts on {}", list.addr()))?;
+            output::line(format_args!("list of hosts on {}", list.addr()))?;
             wait()
         }
         Fake::Targets(args) => targets(args),
     }
 }
 
-fn targets(args: &FakeTargets) -> Result<(), Failure> {
+fn targets(args: &FakeTargets) -> Result<(), CliError> {
     let mut config = check::read(&args.dir)?;
-    let targets = stand::bind(&mut config, false, args.warm)?;
-    out::line(format_args!(
+    let targets = fake_targets::bind(&mut config, false, args.warm)?;
+    output::line(format_args!(
         "{} targets of {}",
         targets.iter().count(),
         args.dir.display()
@@ -39,8 +38,8 @@
     wait()
 }
 
-/// Waits for a signal.
-fn wait() -> Result<(), Failure> {
+/// Waits for SIGINT or SIGTERM.
+fn wait() -> Result<(), CliError> {
     block_on(async {
         Signals::open()?.next().await;
         Ok(())
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: one entry host.
+//! `serve`: runs one entry host.
 
 use std::thread;
 
@@ -8,17 +8,18 @@
 
 use crate::{
     args::Serve,
-    exit::{Exit, Failure},
+    exit::{CliError, Exit},
     logs,
-    rt::{Signals, block_on},
+    runtime::{Signals, block_on},
 };
 
-/// Runs a host until a signal, then until its planned stop is over.
-pub(crate) fn serve(args: &Serve) -> Result<(), Failure> {
+/// Runs a host until a signal, then until its graceful shutdown has ended.
+pub(crate) fn serve(args: &Serve) -> Result<(), CliError> {
     let settings = settings::load(&args.settings)?;
     logs::open(&settings.log.clone().unwrap_or_default())?;
     block_on(async {
-        // Before the host starts: a signal during the start must begin a planned stop too.
+        // Installed before the host starts, so that a signal during the start causes a graceful
+        // shutdown too.
         let mut signals = Signals::open()?;
         let mut host = Host::spawn(settings.clone())?;
         loop {
@@ -30,20 +31,20 @@
             ended.await.map_err(anyhow::Error::from)??;
             host = Host::spawn_above(settings.clone(), earlier)?;
         }
-        log::info!("planned stop begins; a second signal ends the host at once");
+        log::info!("graceful shutdown begins; a second signal ends the host at once");
         host.start_shutdown();
-        let (tell, ended) = oneshot::channel();
+        let (done_tx, done_rx) = oneshot::channel();
         thread::Builder::new()
             .name("stop".to_owned())
-            .spawn(move || tell.send(host.wait()))
+            .spawn(move || done_tx.send(host.wait()))
             .map_err(anyhow::Error::from)?;
         tokio::select! {
-            ended = ended => match ended {
-                Ok(ended) => Ok(ended.map(|_| ())?),
-                Err(_) => Err(Failure::open(Exit::Failed, "the planned stop died")),
+            done = done_rx => match done {
+                Ok(result) => Ok(result.map(|_| ())?),
+                Err(_) => Err(CliError::open(Exit::Failed, "the graceful shutdown panicked")),
             },
             () = signals.next() => {
-                Err(Failure::open(Exit::Failed, "ended at once by a second signal"))
+                Err(CliError::open(Exit::Failed, "ended at once by a second signal"))
             }
         }
     })?
--- a/crates/cli/src/demo/callers.rs
+++ b/crates/cli/src/demo/callers.rs
@@ -1,4 +1,4 @@
-//! The demo's callers, some near each region.
+//! The demo's callers, a few near each region.
 
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -7,40 +7,40 @@
 
 use dunlinrock_schema::config::Config;
 
-use super::stage::Stage;
-use crate::caller::{Caller, Rules};
+use super::deployment::DemoDeployment;
+use crate::caller::{Caller, CallerOptions};
 
-/// Callers near each region.
+/// Number of callers near each region.
 const CALLERS: u64 = 8;
 
-/// Attempts that a caller makes of one request; its deadline ends most before.
+/// Maximum attempts per request; the deadline usually ends a request earlier.
 const ATTEMPTS: u32 = 10;
 
-/// Opens the callers; those of one region follow those of another.
-pub(super) fn open(stage: &Stage, seed: u64) -> Vec<Arc<Caller>> {
-    let starts: Vec<SocketAddr> = stage
+/// Creates the callers, alternating between regions.
+pub(super) fn open(deployment: &DemoDeployment, seed: u64) -> Vec<Arc<Caller>> {
+    let seeds: Vec<SocketAddr> = deployment
         .hosts
         .iter()
         .map(dunlinrock_node::Host::callers_addr)
         .collect();
-    let regions = || stage.config.regions.keys();
+    let regions = || deployment.config.regions.keys();
     let mut callers = Vec::new();
     for n in 0..CALLERS {
         for region in regions() {
-            let rules = Rules {
+            let options = CallerOptions {
                 name: format!("{region}-{n}").into(),
-                starts: starts.clone(),
-                from: address(&stage.config, region),
+                seeds: seeds.clone(),
+                local_addr: address(&deployment.config, region),
                 attempts: ATTEMPTS,
                 seed: seed.wrapping_mul(1_000_003) + u64::try_from(callers.len()).unwrap_or(0),
             };
-            callers.push(Arc::new(Caller::open(rules)));
+            callers.push(Arc::new(Caller::open(options)));
         }
     }
     callers
 }
 
-/// Finds a loopback address that the configuration places near a region: the first one of the
+/// Returns a loopback address that the configuration places near a region: the first address of the
 /// region's smallest loopback block.
 fn address(config: &Config, region: &str) -> Option<IpAddr> {
     let near = config.blocks.iter().filter(|(_, at)| ***at == *region);
--- a/crates/cli/src/stand.rs
+++ b/crates/cli/src/fake_targets.rs
@@ -1,20 +1,20 @@
-//! Stand-ins made from a configuration.
+//! Fake targets for the targets of a configuration.
 
 use std::{sync::Arc, time::Duration};
 
 use dunlinrock_fakes::{TargetOptions, TargetSpec, Targets, WorkTime};
 use dunlinrock_schema::config::{Config, Target};
 
-/// Spread of the times of work.
+/// Sigma of the distribution of run times.
 const SIGMA: f64 = 0.35;
 
-/// Bytes of an answer besides its filling.
-const ECHO: u64 = 200;
+/// Approximate size of a response without its padding, in bytes.
+const ECHO_BYTES: u64 = 200;
 
-/// Binds every target of a configuration, with the slots and work that it states.
+/// Binds a fake for every target of a configuration, with the configured slots and run time.
 ///
-/// With `free`, the targets take free ports in place of their addresses, which are then written
-/// into the configuration.
+/// With `free`, the targets bind free ports instead of their configured addresses, and the new
+/// addresses are written into the configuration.
 pub(crate) fn bind(config: &mut Config, free: bool, warm: u64) -> anyhow::Result<Targets> {
     let specs = config.targets.iter().enumerate();
     let specs = specs.map(|(n, (name, target))| TargetSpec {
@@ -23,7 +23,7 @@
             true => "127.0.0.1:0".into(),
             false => Arc::clone(&target.address),
         },
-        options: rules(config, target, warm, n),
+        options: target_options(config, target, warm, n),
     });
     let targets = Targets::bind(specs.collect())?;
     for target in targets.iter() {
@@ -34,7 +34,7 @@
     Ok(targets)
 }
 
-fn rules(config: &Config, target: &Target, warm: u64, number: usize) -> TargetOptions {
+fn target_options(config: &Config, target: &Target, warm: u64, number: usize) -> TargetOptions {
     let service = config.services.get(&target.service);
     let work = service.map_or(10, |s| s.work_ms.get());
     let answer = service.map_or(1024, |s| s.answer_bytes.get());
@@ -48,7 +48,7 @@
             slow_factor: 1.0,
         },
         warmup_requests: warm,
-        padding_bytes: usize::try_from(answer.saturating_sub(ECHO)).unwrap_or_default(),
+        padding_bytes: usize::try_from(answer.saturating_sub(ECHO_BYTES)).unwrap_or_default(),
         seed: u64::try_from(number).unwrap_or_default(),
         ..TargetOptions::default()
     }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,15 +1,15 @@
-//! The `dunlinrock` program: what operators and callers run.
+//! The `dunlinrock` command-line program, for operators and callers.
 //!
-//! The binary is one line over [`run`]. The module [`caller`] holds what a client of the system
-//! does, and [`load`] an open-loop load of such clients; both are of use without the program:
+//! The binary only calls [`run`]. The module [`caller`] is a client library for the system, and
+//! [`load`] an open-loop load generator that uses it; both can be used without the program:
 //!
 //! ```
-//! use dunlinrock::caller::{Caller, Rules};
+//! use dunlinrock::caller::{Caller, CallerOptions};
 //!
-//! let caller = Caller::open(Rules {
+//! let caller = Caller::open(CallerOptions {
 //!     name: "county-office".into(),
-//!     starts: vec!["127.0.0.1:17101".parse().unwrap()],
-//!     from: None,
+//!     seeds: vec!["127.0.0.1:17101".parse().unwrap()],
+//!     local_addr: None,
 //!     attempts: 4,
 //!     seed: 1,
 //! });
@@ -21,25 +21,25 @@
 mod commands;
 mod demo;
 pub mod exit;
+mod fake_targets;
 pub mod load;
 mod logs;
-mod out;
-mod rt;
+mod output;
+mod runtime;
 mod soak;
-mod stand;
 
 use std::process::ExitCode;
 
 use args::Command;
-use exit::{Exit, Failure};
+use exit::{CliError, Exit};
 
-/// Runs the command of this process's arguments and gives its exit code.
+/// Runs the command given by this process's arguments and returns its exit code.
 pub fn run() -> ExitCode {
     let command = match args::parse() {
         Ok(command) => command,
         Err(exit) => return exit.into(),
     };
-    match obey(command) {
+    match dispatch(command) {
         Ok(()) => Exit::Ok.into(),
         Err(failure) => {
             eprintln!("{}", failure.message.trim_end());
@@ -48,7 +48,7 @@
     }
 }
 
-fn obey(command: Command) -> Result<(), Failure> {
+fn dispatch(command: Command) -> Result<(), CliError> {
     match command {
         Command::Serve(args) => commands::serve(&args),
         Command::Edge(args) => commands::edge(&args),
@@ -65,6 +65,6 @@
         Command::Demo(args) => demo::run(&args),
         Command::Soak(args) => soak::run(&args),
         Command::Fake(args) => commands::fake(&args),
-        Command::Man | Command::Help => unreachable!("answered by the parser"),
+        Command::Man | Command::Help => unreachable!("handled by the parser"),
     }
 }
--- a/crates/cli/src/soak/callers.rs
+++ b/crates/cli/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a soak: they keep their connections, and check what they get.
+//! Callers of a soak: HTTP clients with persistent connections that check each response.
 
 use std::{
     collections::BTreeSet,
@@ -23,55 +23,56 @@
 use tokio::net::TcpStream;
 
 use super::{
-    fleet::NAME,
+    deployment::NAME,
     keys::{Key, SharedKeys},
 };
 
-/// Callers at the same time.
+/// Number of concurrent callers.
 const CALLERS: u64 = 12;
 
 /// Pause between two requests of a caller.
 const PAUSE: Duration = Duration::from_millis(15);
 
-/// Time that a caller grants, as it says in its requests.
+/// Deadline that a caller states in its requests.
 const DEADLINE: Duration = Duration::from_secs(3);
 
-/// How long a caller waits beyond that before it closes the connection. It is no bound on the
-/// answer: a caller that leaves judges nothing.
-const WAIT: Duration = Duration::from_secs(5);
+/// Time after which a caller closes the connection. It does not limit the response time: the
+/// caller checks nothing after a timeout.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How many connections of callers a host's faults may have cut.
+/// Counts of the injected faults that may close a host's connections to its callers.
 #[derive(Debug, Default)]
-pub(super) struct Calm {
-    /// Faults that are at work on the host or its connections.
+pub(super) struct HostFaults {
+    /// Faults that are active on the host or its connections.
     pub(super) active: AtomicU32,
-    /// Faults that began.
-    pub(super) begun: AtomicU32,
+    /// Faults started so far.
+    pub(super) started: AtomicU32,
 }
 
-impl Calm {
-    /// Number that stays the same while no fault begins, if none is at work.
-    fn mark(&self) -> Option<u32> {
-        let begun = self.begun.load(Ordering::SeqCst);
-        (self.active.load(Ordering::SeqCst) == 0).then_some(begun)
+impl HostFaults {
+    /// Returns the number of started faults if none is active. Two equal values mean that no fault
+    /// was active in between.
+    fn quiet_epoch(&self) -> Option<u32> {
+        let started = self.started.load(Ordering::SeqCst);
+        (self.active.load(Ordering::SeqCst) == 0).then_some(started)
     }
 }
 
-/// What callers saw.
+/// Results of all callers' requests.
 #[derive(Debug, Default)]
-pub(super) struct Seen {
+pub(super) struct Observations {
     pub(super) answered: AtomicU32,
     pub(super) failed: AtomicU32,
-    /// Requests that were told that they have not run.
+    /// Requests whose response says that they have not run.
     pub(super) refused: Mutex<BTreeSet<String>>,
-    /// Requests that may run once.
+    /// Requests that may run at most once.
     pub(super) once: Mutex<BTreeSet<String>>,
-    pub(super) breaks: Mutex<Vec<String>>,
+    pub(super) violations: Mutex<Vec<String>>,
 }
 
-impl Seen {
-    pub(super) fn broke(&self, text: String) {
-        lock(&self.breaks).push(text);
+impl Observations {
+    pub(super) fn record_violation(&self, text: String) {
+        lock(&self.violations).push(text);
     }
 }
 
@@ -82,8 +83,8 @@
 /// Callers that run until they are stopped.
 #[derive(Debug)]
 pub(super) struct Callers {
-    pub(super) seen: Arc<Seen>,
-    pub(super) calm: Arc<Vec<Calm>>,
+    pub(super) observations: Arc<Observations>,
+    pub(super) host_faults: Arc<Vec<HostFaults>>,
     stop: Arc<AtomicBool>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
@@ -94,11 +95,11 @@
     hosts: Vec<SocketAddr>,
     ledger: RunLog,
     keys: SharedKeys,
-    seen: Arc<Seen>,
-    calm: Arc<Vec<Calm>>,
+    observations: Arc<Observations>,
+    host_faults: Arc<Vec<HostFaults>>,
     rng: StdRng,
-    /// The kept connection and the host behind it.
-    link: Option<(usize, SendRequest<Full<Bytes>>)>,
+    /// The open connection and the index of its host.
+    connection: Option<(usize, SendRequest<Full<Bytes>>)>,
 }
 
 impl Callers {
@@ -108,8 +109,9 @@
         keys: &SharedKeys,
         seed: u64,
     ) -> Callers {
-        let seen = Arc::new(Seen::default());
-        let calm: Arc<Vec<Calm>> = Arc::new(hosts.iter().map(|_| Calm::default()).collect());
+        let observations = Arc::new(Observations::default());
+        let host_faults: Arc<Vec<HostFaults>> =
+            Arc::new(hosts.iter().map(|_| HostFaults::default()).collect());
         let stop = Arc::new(AtomicBool::new(false));
         let spawn = |name| {
             let mut caller = Caller {
@@ -117,10 +119,10 @@
                 hosts: hosts.to_vec(),
                 ledger: ledger.clone(),
                 keys: Arc::clone(keys),
-                seen: Arc::clone(&seen),
-                calm: Arc::clone(&calm),
+                observations: Arc::clone(&observations),
+                host_faults: Arc::clone(&host_faults),
                 rng: StdRng::seed_from_u64(seed ^ name),
-                link: None,
+                connection: None,
             };
             let stop = Arc::clone(&stop);
             tokio::spawn(async move {
@@ -134,26 +136,27 @@
         };
         let tasks = (0..CALLERS).map(spawn).collect();
         Callers {
-            seen,
-            calm,
+            observations,
+            host_faults,
             stop,
             tasks,
         }
     }
 
-    /// Lets every caller end its request, and stops.
+    /// Stops the callers after their current requests.
     pub(super) async fn stop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks.drain(..) {
             if let Err(e) = task.await {
-                self.seen.broke(format!("a caller died: {e}"));
+                self.observations
+                    .record_violation(format!("a caller task failed: {e}"));
             }
         }
     }
 }
 
 impl Caller {
-    /// Sends one request and checks what comes back.
+    /// Sends one request and checks the response.
     async fn call(&mut self, number: u64) {
         let (id, object) = (
             Arc::<str>::from(format!("c{}-{number}", self.name)),
@@ -162,12 +165,12 @@
         let is_once = self.rng.random_range(0..3) == 0;
         let path = format!("/{}/{object}", if is_once { "once" } else { "read" });
         if is_once {
-            lock(&self.seen.once).insert(id.to_string());
+            lock(&self.observations.once).insert(id.to_string());
         }
         let Some((host, mut sender)) = self.connect().await else {
             return;
         };
-        let before = self.calm[host].mark();
+        let before = self.host_faults[host].quiet_epoch();
         let key = self.keys.draw(&id, &mut self.rng);
         let sent = sender.send_request(request(&id, &path, is_once, object, &key));
         let answer = async {
@@ -175,20 +178,20 @@
             let (head, body) = response.into_parts();
             Ok::<_, hyper::Error>((head, body.collect().await?.to_bytes()))
         };
-        match tokio::time::timeout(WAIT, answer).await {
+        match tokio::time::timeout(RESPONSE_TIMEOUT, answer).await {
             Ok(Ok((head, body))) => {
-                self.link = Some((host, sender));
-                self.judge(&id, &path, &key, &head, &body);
+                self.connection = Some((host, sender));
+                self.check_response(&id, &path, &key, &head, &body);
             }
-            Ok(Err(e)) => self.cut(&id, host, before, &e),
-            // The caller leaves; what it would have got is not judged.
+            Ok(Err(e)) => self.check_disconnect(&id, host, before, &e),
+            // The caller closes the connection, so there is no response to check.
             Err(_) => self.count(false),
         }
     }
 
-    /// The kept connection, or a new one to any host.
+    /// Returns the open connection, or opens one to a random host.
     async fn connect(&mut self) -> Option<(usize, SendRequest<Full<Bytes>>)> {
-        if let Some((host, mut sender)) = self.link.take()
+        if let Some((host, mut sender)) = self.connection.take()
             && sender.ready().await.is_ok()
         {
             return Some((host, sender));
@@ -198,53 +201,55 @@
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(async move {
             if let Err(e) = connection.await {
-                log::debug!(error:% = e; "a caller's connection ended");
+                log::debug!(error:% = e; "caller connection closed with an error");
             }
         });
         Some((host, sender))
     }
 
-    fn judge(&self, id: &str, path: &str, key: &Key, head: &Parts, body: &[u8]) {
+    fn check_response(&self, id: &str, path: &str, key: &Key, head: &Parts, body: &[u8]) {
         let (status, headers) = (head.status, &head.headers);
         self.count(status.is_success());
         if status.is_success() {
             let own = body == format!("{id} {path}").as_bytes();
             if !own || !headers.contains_key(dialect::open().signature) {
                 let text = String::from_utf8_lossy(body);
-                self.seen
-                    .broke(format!("{id} got another's answer, or a part: {text}"));
+                self.observations.record_violation(format!(
+                    "{id} got a mismatched or truncated response: {text}"
+                ));
             }
-        } else if is_promise(status, key) {
-            lock(&self.seen.refused).insert(id.to_owned());
+        } else if confirms_not_run(status, key) {
+            lock(&self.observations.refused).insert(id.to_owned());
         } else if status.is_client_error() {
-            self.seen
-                .broke(format!("{id}, a proper request, got {status}"));
+            self.observations
+                .record_violation(format!("{id} is a valid request and got {status}"));
         }
     }
 
-    /// The connection ended without an answer. From a host that nothing was done to, that must not
-    /// happen to a request that a target ran.
-    fn cut(&self, id: &str, host: usize, before: Option<u32>, error: &hyper::Error) {
+    /// Handles a connection that closed without a response. On a host without an active fault this
+    /// must not happen to a request that a target ran.
+    fn check_disconnect(&self, id: &str, host: usize, before: Option<u32>, error: &hyper::Error) {
         self.count(false);
-        let calm = before.is_some() && self.calm[host].mark() == before;
-        if calm && self.ledger.runs(id) > 0 {
-            self.seen
-                .broke(format!("{id} ran and got no answer from h{host}: {error}"));
+        let undisturbed = before.is_some() && self.host_faults[host].quiet_epoch() == before;
+        if undisturbed && self.ledger.runs(id) > 0 {
+            self.observations.record_violation(format!(
+                "{id} ran and got no response from h{host}: {error}"
+            ));
         }
     }
 
     fn count(&self, is_good: bool) {
         let count = if is_good {
-            &self.seen.answered
+            &self.observations.answered
         } else {
-            &self.seen.failed
+            &self.observations.failed
         };
         count.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Whether an answer says that the request has not run and never will.
-fn is_promise(status: StatusCode, key: &Key) -> bool {
+/// Returns whether a response says that the request has not run and never will.
+fn confirms_not_run(status: StatusCode, key: &Key) -> bool {
     let is_unknown = status == StatusCode::UNAUTHORIZED && key.may_be_unknown();
     is_unknown || [408, 421, 429, 503].contains(&status.as_u16())
 }
@@ -263,7 +268,7 @@
     } else {
         http::Method::GET
     };
-    // The path is made here, of a word and a number.
+    // Always valid: the path consists of a fixed word and a number.
     *request.uri_mut() = path.parse().unwrap_or_default();
     *request.headers_mut() = standin::caller_headers(NAME, id, object, DEADLINE, Some(&key.text));
     request
--- /dev/null
+++ b/crates/cli/src/soak/runner.rs
@@ -0,0 +1,311 @@
+//! Runs a fault plan and checks the promises during and after it.
+
+use std::{
+    collections::BTreeMap,
+    fmt, fs,
+    sync::atomic::Ordering,
+    time::{Duration, Instant},
+};
+
+use anyhow::Context;
+use nix::sys::signal::Signal;
+
+use super::{
+    callers::{Callers, lock},
+    deployment::Deployment,
+    faults,
+    plan::{Fault, Plan},
+};
+
+/// Interval at which processes and their dumps are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Time limit for the deployment to recover after the last fault. It only ends a hang: hosts
+/// recover within seconds, and a busy machine may take ten times as long.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(120);
+
+/// Limits on a host's resident memory and open descriptors, as the platform sets them.
+const MAX_MEMORY_BYTES: u64 = 260 << 20;
+const MAX_DESCRIPTORS: usize = 4100;
+
+/// Size of a memory page, in bytes.
+const PAGE_BYTES: u64 = 4096;
+
+/// Result of a plan.
+#[derive(Debug)]
+pub(super) struct SoakResult {
+    pub(super) violations: Vec<String>,
+    answered: u32,
+    failed: u32,
+    refused: usize,
+    ran: usize,
+}
+
+impl fmt::Display for SoakResult {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "{} answered, {} failed, {} of them refused, {} ran; ",
+            self.answered, self.failed, self.refused, self.ran
+        )?;
+        if self.violations.is_empty() {
+            return f.write_str("every promise kept");
+        }
+        write!(f, "{} promises broke:", self.violations.len())?;
+        self.violations
+            .iter()
+            .take(20)
+            .try_for_each(|text| write!(f, "\n  {text}"))
+    }
+}
+
+/// State of a running plan.
+struct Runner {
+    deployment: Deployment,
+    callers: Callers,
+    /// Active faults and their end times.
+    active_faults: Vec<(Instant, Fault)>,
+    /// Hosts that were killed or asked to stop since their last start.
+    killed: Vec<bool>,
+    stopped: Vec<bool>,
+    /// Highest configuration version seen at each start of a host.
+    versions: BTreeMap<(usize, u32), u64>,
+    /// Leaving targets: their id, and their request count at the time when no host listed them.
+    leaving: BTreeMap<usize, (String, Option<u32>)>,
+}
+
+/// Runs a plan and returns its result.
+pub(super) async fn run(deployment: Deployment, plan: &Plan) -> anyhow::Result<SoakResult> {
+    let hosts: Vec<_> = deployment
+        .hosts
+        .iter()
+        .map(|host| host.callers.address)
+        .collect();
+    let mut runner = Runner {
+        callers: Callers::spawn(&hosts, &deployment.ledger, &deployment.keys, plan.seed),
+        killed: vec![false; hosts.len()],
+        stopped: vec![false; hosts.len()],
+        deployment,
+        active_faults: Vec::new(),
+        versions: BTreeMap::new(),
+        leaving: BTreeMap::new(),
+    };
+    runner.wait_recovered("at the start").await?;
+    for step in &plan.steps {
+        runner.monitor_for(step.pause).await?;
+        runner.begin(step.fault, step.lasts)?;
+    }
+    while !runner.active_faults.is_empty() {
+        runner.monitor_for(POLL_INTERVAL).await?;
+    }
+    runner.wait_recovered("after the last fault").await?;
+    runner.callers.stop().await;
+    runner.stop_all().await?;
+    Ok(runner.result())
+}
+
+impl Runner {
+    fn record_violation(&self, text: String) {
+        self.callers.observations.record_violation(text);
+    }
+
+    fn begin(&mut self, fault: Fault, lasts: Duration) -> anyhow::Result<()> {
+        // Two overlapping instances of a fault would both end with the first.
+        if self.active_faults.iter().any(|(_, other)| *other == fault) {
+            return Ok(());
+        }
+        match fault {
+            Fault::Kill(host) => self.killed[host] = true,
+            Fault::Stop(host) => self.stopped[host] = true,
+            Fault::TargetLeaves(n) => {
+                let id = self.deployment.targets[n].target.options().id;
+                self.leaving.insert(n, (id, None));
+            }
+            _ => {}
+        }
+        faults::begin(&mut self.deployment, &self.callers.host_faults, fault)?;
+        self.active_faults.push((Instant::now() + lasts, fault));
+        Ok(())
+    }
+
+    /// Checks the hosts repeatedly for a time and ends the faults that are due.
+    async fn monitor_for(&mut self, time: Duration) -> anyhow::Result<()> {
+        let end = Instant::now() + time;
+        loop {
+            self.end_due()?;
+            self.check_hosts().await?;
+            let left = end.saturating_duration_since(Instant::now());
+            if left.is_zero() {
+                return Ok(());
+            }
+            tokio::time::sleep(left.min(POLL_INTERVAL)).await;
+        }
+    }
+
+    fn end_due(&mut self) -> anyhow::Result<()> {
+        let now = Instant::now();
+        let (due, active_faults) = self
+            .active_faults
+            .drain(..)
+            .partition(|(end, _)| *end <= now);
+        self.active_faults = active_faults;
+        let due: Vec<(Instant, Fault)> = due;
+        for (_, fault) in due {
+            if let Fault::TargetLeaves(n) = fault {
+                self.check_leaving(n);
+            }
+            faults::end(&mut self.deployment, &self.callers.host_faults, fault)?;
+        }
+        Ok(())
+    }
+
+    /// Checks each process and its dump once.
+    async fn check_hosts(&mut self) -> anyhow::Result<()> {
+        let mut lists = Vec::new();
+        for n in 0..self.deployment.hosts.len() {
+            self.check_exit(n)?;
+            self.check_resources(n)?;
+            let dump = self.deployment.hosts[n].dump().await;
+            if let Some(dump) = &dump {
+                self.check_version(n, dump["version"].as_u64().unwrap_or_default());
+            }
+            lists.push(dump.map(|dump| dump["targets"].to_string()));
+        }
+        for (n, (id, arrivals)) in &mut self.leaving {
+            let quoted = format!("\"{id}\"");
+            let gone = lists
+                .iter()
+                .all(|l| l.as_ref().is_some_and(|l| !l.contains(&quoted)));
+            if gone && arrivals.is_none() {
+                *arrivals = Some(self.deployment.targets[*n].target.arrivals());
+            }
+        }
+        Ok(())
+    }
+
+    /// Checks that a process exits only after it was killed or signalled to stop.
+    fn check_exit(&mut self, n: usize) -> anyhow::Result<()> {
+        let Some(code) = self.deployment.hosts[n].try_wait()? else {
+            return Ok(());
+        };
+        let (killed, stopped) = (self.killed[n], self.stopped[n]);
+        let in_order = stopped && code == Some(0);
+        if !(killed || in_order) {
+            self.record_violation(format!("h{n} exited unexpectedly with {code:?}"));
+        }
+        if stopped || !killed {
+            self.deployment.hosts[n].ensure_running()?;
+        }
+        (self.killed[n], self.stopped[n]) = (false, false);
+        Ok(())
+    }
+
+    fn check_resources(&self, n: usize) -> anyhow::Result<()> {
+        let Some(id) = self.deployment.hosts[n].id() else {
+            return Ok(());
+        };
+        // A process that has just exited has no entries in /proc.
+        let Ok(text) = fs::read_to_string(format!("/proc/{id}/statm")) else {
+            return Ok(());
+        };
+        let pages = text.split_whitespace().nth(1).context("resident memory")?;
+        let memory = pages.parse::<u64>().context("resident memory")? * PAGE_BYTES;
+        let files = fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
+        if memory > MAX_MEMORY_BYTES || files > MAX_DESCRIPTORS {
+            self.record_violation(format!("h{n} holds {memory} bytes and {files} descriptors"));
+        }
+        Ok(())
+    }
+
+    /// Checks that a process never returns to an older configuration.
+    fn check_version(&mut self, n: usize, version: u64) {
+        let start = (n, self.deployment.hosts[n].start_count);
+        let held = self.versions.entry(start).or_default();
+        if version < *held {
+            let text = format!("h{n} returned from version {held} to {version}");
+            self.callers.observations.record_violation(text);
+        }
+        *held = version.max(*held);
+    }
+
+    /// Checks that a leaving target received no request after every host stopped listing it.
+    fn check_leaving(&mut self, n: usize) {
+        let Some((id, Some(before))) = self.leaving.remove(&n) else {
+            return;
+        };
+        let target = &self.deployment.targets[n].target;
+        // A later incarnation at this address has its own request count.
+        let late = target.arrivals() - before;
+        if target.options().id == id && late > 0 {
+            self.record_violation(format!("{id} got {late} requests after no host listed it"));
+        }
+    }
+
+    /// Waits until every host is ready and has applied the latest configuration.
+    async fn wait_recovered(&mut self, when: &str) -> anyhow::Result<()> {
+        let end = Instant::now() + RECOVERY_TIMEOUT;
+        loop {
+            self.monitor_for(POLL_INTERVAL).await?;
+            let mut recovered = true;
+            for host in &mut self.deployment.hosts {
+                host.ensure_running()?;
+                let dump = host.dump().await.unwrap_or_default();
+                recovered &= dump["ready"] == true && dump["version"] == self.deployment.version;
+            }
+            if recovered {
+                return Ok(());
+            }
+            if Instant::now() > end {
+                self.record_violation(format!("the hosts did not recover {when}"));
+                return Ok(());
+            }
+        }
+    }
+
+    /// Stops every host by SIGTERM; each must exit with code 0.
+    async fn stop_all(&mut self) -> anyhow::Result<()> {
+        for host in &self.deployment.hosts {
+            host.signal(Signal::SIGTERM)?;
+        }
+        for n in 0..self.deployment.hosts.len() {
+            let code = loop {
+                if let Some(code) = self.deployment.hosts[n].try_wait()? {
+                    break code;
+                }
+                tokio::time::sleep(POLL_INTERVAL).await;
+            };
+            if code != Some(0) {
+                self.record_violation(format!("h{n} stopped with {code:?}"));
+            }
+        }
+        Ok(())
+    }
+
+    fn result(&self) -> SoakResult {
+        let (observations, ledger) = (&self.callers.observations, &self.deployment.ledger);
+        let refused = lock(&observations.refused);
+        for id in refused.iter().filter(|id| ledger.runs(id) > 0) {
+            self.record_violation(format!("{id} was answered as not run, and ran"));
+        }
+        for id in lock(&observations.once)
+            .iter()
+            .filter(|id| ledger.runs(id) > 1)
+        {
+            self.record_violation(format!("{id} ran {} times", ledger.runs(id)));
+        }
+        for text in self.deployment.keys.violations(ledger) {
+            self.record_violation(text);
+        }
+        let answered = observations.answered.load(Ordering::Relaxed);
+        if answered == 0 {
+            self.record_violation("no request was answered".to_owned());
+        }
+        SoakResult {
+            violations: lock(&observations.violations).clone(),
+            answered,
+            failed: observations.failed.load(Ordering::Relaxed),
+            refused: refused.len(),
+            ran: ledger.count(),
+        }
+    }
+}
