--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -12,8 +12,8 @@
 //! assert_eq!(
 //!     findings.to_string(),
 //!     "services.toml:1:11: `services.catalogue` lacks the key `deadline_ms`; add `deadline_ms = \
-//!      NUMBER` (Time in which a request is answered where its caller gives no deadline, in \
-//!      milliseconds)\n\
+//!      NUMBER` (Default deadline of a request, in milliseconds from its arrival; used if the \
+//!      caller sets none)\n\
 //!      services.toml:2:1: unknown key `deadline`; did you mean `deadline_ms`?\n\
 //!      services.toml:3:17: `share` is 2.0; give a number from 0.001 to 1\n"
 //! );
