--- a/crates/admit/src/fair_queue/queue.rs
+++ b/crates/admit/src/fair_queue/queue.rs
@@ -40,7 +40,7 @@
 
 /// Rate of a queue's clock while requests wait.
 ///
-/// The jump of the clock when the queue runs empty counts too. Without it only long-lived queues
+/// The jump of the clock when the queue becomes empty counts too. Without it only long-lived queues
 /// would be measured, and callers would be refused because of waits that do not occur.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClockRate {
@@ -79,7 +79,7 @@
     list: VecDeque<Entry>,
     /// Rank of the request that was started last.
     clock: u64,
-    /// Highest rank assigned so far, to which the clock jumps when the queue has run empty.
+    /// Highest rank assigned so far, to which the clock jumps when the queue becomes empty.
     max_rank: u64,
     seq: u64,
     total: u64,
--- a/crates/admit/src/pool/overload.rs
+++ b/crates/admit/src/pool/overload.rs
@@ -1,19 +1,22 @@
 //! Distinguishes a burst from a sustained overload.
 //!
-//! A short burst is worth a longer queue, because the capacity of the next moment will serve it. A
-//! sustained overload is not: a long queue then adds its length to each response time, and the
+//! In a short burst a longer queue helps, because slots become free soon enough to serve it. In a
+//! sustained overload it does not: the queueing delay is added to each response time, and the
 //! number of responses stays the same.
 
 use std::time::Duration;
 
 /// Time without long waits after which an overload is over. At twice the capacity, a short queue of
-/// a small pool runs empty by chance several times a second; that must not count as the end.
+/// a small pool is empty by chance several times a second; that must not count as the end.
 const OVERLOAD_END: Duration = Duration::from_millis(500);
 
-/// Period during which requests met long waits.
+/// Latest period in which requests met long waits: expected queueing delays above
+/// `PoolConfig::overload_wait`.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Overload {
+    /// Time of the first long wait of the period.
     since: Duration,
+    /// Time of the latest long wait.
     last: Duration,
 }
 
--- a/crates/admit/tests/ranks.rs
+++ b/crates/admit/tests/ranks.rs
@@ -82,7 +82,7 @@
 }
 
 /// Overload of 1.5 times the capacity, half of it of high priority. High priority must be answered
-/// in time more often than when all are refused alike, and all requests together about as often.
+/// in time more often than without priorities, and all requests together about as often.
 #[rstest]
 fn under_overload_low_priority_requests_are_refused_first(#[values(1, 2, 3)] seed: u64) {
     let [high, low] = simulate(Strategy::ByPriority, 1.5, 0.5, seed);
