--- a/crates/steer/src/blocks/builder.rs
+++ b/crates/steer/src/blocks/builder.rs
@@ -1,4 +1,4 @@
-//! Builds a table of blocks.
+//! Builds the lookup table from CIDR blocks of client addresses to names.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,7 +7,7 @@
 
 use super::{Blocks, NO_NAME, NameIndex, table::Table};
 
-/// Error: more names than a table can distinguish.
+/// Error: the blocks have more distinct names than a table can index.
 #[derive(Debug, Error)]
 #[error(
     "more than {} names of regions or sites; a table of blocks cannot hold more",
@@ -15,7 +15,7 @@
 )]
 pub struct TooManyNames;
 
-/// Builder of a table of blocks; blocks can be added a few at a time.
+/// Builder of a [`Blocks`] table; blocks can be added a few at a time.
 #[derive(Debug)]
 pub struct BlocksBuilder {
     names: Vec<Arc<str>>,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Adds a block. If a block is added again, its last name counts.
+    /// Adds a CIDR block with its name, or replaces the name if the block was added before.
     ///
     /// # Errors
     ///
@@ -69,12 +69,12 @@
     pub fn finish(self) -> Blocks {
         let count = self.v4.len() + self.v6.len();
         let v4 = self.v4.into_iter().map(|((start, prefix), index)| {
-            let rest = u32::MAX.checked_shr(u32::from(prefix)).unwrap_or(0);
-            (start, start | rest, index)
+            let hostmask = u32::MAX.checked_shr(u32::from(prefix)).unwrap_or(0);
+            (start, start | hostmask, index)
         });
         let v6 = self.v6.into_iter().map(|((start, prefix), index)| {
-            let rest = u128::MAX.checked_shr(u32::from(prefix)).unwrap_or(0);
-            (start, start | rest, index)
+            let hostmask = u128::MAX.checked_shr(u32::from(prefix)).unwrap_or(0);
+            (start, start | hostmask, index)
         });
         Blocks {
             v4: Table::open(flatten(v4, |last| last.checked_add(1))),
@@ -85,33 +85,35 @@
     }
 }
 
-/// Flattens nested blocks, sorted with the outer before the inner, into consecutive ranges.
+/// Flattens nested blocks, sorted with the outer before the inner, into consecutive ranges, each
+/// given by its first address and the name of the innermost block that covers it.
 fn flatten<A: Copy + Ord>(
     blocks: impl Iterator<Item = (A, A, NameIndex)>,
-    after: impl Fn(A) -> Option<A>,
+    successor: impl Fn(A) -> Option<A>,
 ) -> Vec<(A, NameIndex)> {
     let mut ranges = Vec::new();
     // Blocks that cover the current address, the outermost first, each with its last address.
     let mut open: Vec<(A, NameIndex)> = Vec::new();
     for (start, last, index) in blocks {
-        close_blocks(&mut open, &mut ranges, |end| end < start, &after);
+        close_blocks(&mut open, &mut ranges, |end| end < start, &successor);
         ranges.push((start, index));
         open.push((last, index));
     }
-    close_blocks(&mut open, &mut ranges, |_| true, &after);
+    close_blocks(&mut open, &mut ranges, |_| true, &successor);
     ranges
 }
 
-/// Closes the innermost blocks that have ended; the enclosing block continues after them.
+/// Removes the innermost blocks that have ended from `open`, and starts a range of the enclosing
+/// block after each.
 fn close_blocks<A: Copy + Ord>(
     open: &mut Vec<(A, NameIndex)>,
     ranges: &mut Vec<(A, NameIndex)>,
     ended: impl Fn(A) -> bool,
-    after: impl Fn(A) -> Option<A>,
+    successor: impl Fn(A) -> Option<A>,
 ) {
     while let Some((last, _)) = open.pop_if(|(last, _)| ended(*last)) {
         let enclosing = open.last().map_or(NO_NAME, |(_, index)| *index);
-        if let Some(next) = after(last) {
+        if let Some(next) = successor(last) {
             ranges.push((next, enclosing));
         }
     }
--- a/crates/steer/src/divide/adaptive.rs
+++ b/crates/steer/src/divide/adaptive.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Returns the index of the dominant resource; the first if the user uses both alike.
+    /// Returns the index of the dominant resource; the first if the user uses both equally.
     fn group(&self) -> usize {
         usize::from(self.uses[0] < 1.0)
     }
--- a/crates/steer/src/grants/grantor.rs
+++ b/crates/steer/src/grants/grantor.rs
@@ -11,7 +11,7 @@
 };
 use crate::divide::{Demand, dominant};
 
-/// Fraction of a need below which a grant is not worth a message.
+/// Fraction of a need below which a grant is too small to send.
 const EPSILON: f64 = 1e-6;
 
 /// A resource that grants consume.
--- a/crates/steer/src/spill/mod.rs
+++ b/crates/steer/src/spill/mod.rs
@@ -1,10 +1,10 @@
-//! Computes the capacity that a host needs in other regions, and the share limits that follow from
-//! its grants.
+//! Computes the capacity that a host needs in other regions, and the limits that the capacity
+//! granted to it sets on the shares of its traffic.
 //!
 //! The desired split may give a region more traffic than it has capacity for. If the share moved
 //! there regardless, its requests would be refused one by one while the capacity of the previous
-//! region stays idle. A host therefore requests capacity one window ahead of its shares, and a
-//! share moves only as far as grants cover it.
+//! region stays idle. A host therefore requests grants for the shares that it may reach within the
+//! next window of the cap, and a share moves only as far as grants cover it.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -15,21 +15,21 @@
     hash,
 };
 
-/// Factor of the square root of the rate that is requested on top of the rate. Requests arrive
-/// unevenly, and a bucket filled at the mean rate alone would refuse some. A rate of a few requests
-/// per second needs twice its mean, one of hundreds a tenth more; a fixed fraction would be too
-/// little for the one and too much for the other.
+/// Burst margin of a requested rate, as a multiple of the square root of the mean rate. Requests
+/// arrive unevenly, and a token bucket filled at the mean rate alone would refuse some. A mean of a
+/// few requests per second has to be doubled, one of hundreds needs a tenth more; a fixed fraction
+/// would be too little for the one and too much for the other.
 pub const BURST_MARGIN: f64 = 1.5;
 
-/// Fraction of the burst margin that a share leaves unused in its grants. With the whole margin,
-/// each rise of the measured rate since the request would move the share back a little; with none,
-/// requests are refused wherever grants are scarce.
+/// Fraction of the burst margin of the granted rate that is kept free when a share is limited. With
+/// the full margin, each rise of the measured rate since the request would move the share back a
+/// little; with none, requests are refused wherever grants are scarce.
 pub const KEPT_MARGIN: f64 = 0.5;
 
 /// Measured traffic of one flow at this host: one service's callers in one region.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Traffic {
-    /// Requests per second that this host receives.
+    /// Requests per second that this host receives for the flow.
     pub rate: f64,
     /// Mean size of a request, in bytes.
     pub request_bytes: f64,
@@ -42,8 +42,8 @@
 
 /// Returns the capacity that a host in `region` needs, by serving region.
 ///
-/// The host's own region is included for the callers of other regions, since the host then takes
-/// traffic from elsewhere too.
+/// Callers of other regions need a grant in the host's own region too, since their traffic adds to
+/// that of the region's own callers.
 pub fn needs(
     desired_splits: &DesiredSplits,
     split: &TrafficSplit,
@@ -62,8 +62,8 @@
     mean + BURST_MARGIN * mean.sqrt()
 }
 
-/// Returns the mean rate that a granted rate covers while few requests are refused.
-fn usable(granted: f64) -> f64 {
+/// Returns the mean rate that a granted rate covers with [`KEPT_MARGIN`] of the burst margin free.
+fn usable_rate(granted: f64) -> f64 {
     if !granted.is_finite() {
         return granted;
     }
@@ -72,7 +72,7 @@
     (root / 2.0).powi(2)
 }
 
-/// Returns the needs at their mean rates.
+/// Returns the needs at their mean rates, without the burst margin.
 fn mean_needs(
     desired_splits: &DesiredSplits,
     split: &TrafficSplit,
@@ -82,12 +82,12 @@
     let table = split.table();
     let mut needs: BTreeMap<Arc<str>, Vec<Need>> = BTreeMap::new();
     for (service, callers, desired, traffic) in active_flows(desired_splits, traffic) {
-        for (serving, share) in wanted_shares(desired, find_split(&table, service, callers)) {
+        for (serving, share) in max_shares(desired, find_split(&table, service, callers)) {
             if is_local(region, callers, &serving) || share * traffic.rate <= 0.0 {
                 continue;
             }
             let list = needs.entry(serving).or_default();
-            add(list, service, share * traffic.rate, &traffic);
+            add_need(list, service, share * traffic.rate, &traffic);
         }
     }
     needs
@@ -112,15 +112,15 @@
             continue;
         }
         let current = find_split(&table, service, callers);
-        // Traffic that stays with a region that cannot serve is certainly refused. It is then
-        // better to use the full grant and refuse an occasional request for lack of capacity.
+        // All traffic that stays with a region that cannot serve is refused. Using the full grant
+        // then refuses fewer requests, although some exceed the granted rate.
         let not_eligible = |region: &Arc<str>| !desired.eligible.contains(region);
         let has_unservable = current.is_some_and(|shares| shares.keys().any(not_eligible));
         let mut out = RegionShares::new();
-        for (serving, share) in wanted_shares(desired, current) {
+        for (serving, share) in max_shares(desired, current) {
             let limit = if is_local(region, callers, &serving) {
-                let now_share = current.and_then(|shares| shares.get(&serving)).copied();
-                now_share.unwrap_or(0.0) + grantor.spare_rate(service, now) / traffic.rate
+                let current_share = current.and_then(|shares| shares.get(&serving)).copied();
+                current_share.unwrap_or(0.0) + grantor.spare_rate(service, now) / traffic.rate
             } else {
                 let list = needs.get(&serving);
                 let need = list.and_then(|list| list.iter().find(|n| n.service == *service));
@@ -130,7 +130,7 @@
                     let rate = if has_unservable {
                         granted
                     } else {
-                        usable(granted)
+                        usable_rate(granted)
                     };
                     share * rate / need.rate
                 })
@@ -143,9 +143,9 @@
     limits
 }
 
-/// Number of hosts of a region that one host requests grants from. With all hosts, requests and
-/// grants would grow with the square of the fleet; eight keep the capacity of a few when one or two
-/// of them fail.
+/// Maximum number of hosts of a region that one host requests grants from. With all hosts, the
+/// number of requests and grants would grow with the square of the fleet; with eight, the grants of
+/// several hosts remain when one or two of them fail.
 pub const MAX_GRANTORS: usize = 8;
 
 /// Chooses the hosts of a region that the host `own` requests grants from: all hosts if there are
@@ -162,8 +162,8 @@
     hosts.into_iter().map(|(_, host)| host).collect()
 }
 
-/// Whether a host in `region` may send requests of `callers` to `serving` without a grant: only
-/// those of its own region's callers to its own region.
+/// Returns whether a host in `region` may send requests of `callers` to `serving` without a grant:
+/// only those of its own region's callers to its own region.
 pub fn is_local(region: &str, callers: &str, serving: &str) -> bool {
     region == callers && region == serving
 }
@@ -188,9 +188,10 @@
     table.get(service)?.get(callers)
 }
 
-/// Returns the shares that a flow may have within a window: the current share, or up to the cap
-/// more towards the desired one. Regions that cannot serve are left out.
-fn wanted_shares<'a>(
+/// Returns the largest share that each region may get of a flow within one window: the current
+/// share, or, if the desired one is larger, an increase towards it by at most the cap. Regions that
+/// cannot serve are left out.
+fn max_shares<'a>(
     desired: &'a DesiredSplit,
     current: Option<&'a RegionShares>,
 ) -> impl Iterator<Item = (Arc<str>, f64)> + 'a {
@@ -200,13 +201,13 @@
             .and_then(|shares| shares.get(region))
             .copied()
             .unwrap_or(0.0);
-        let wanted = share.max(desired_share.min(share + desired.cap));
-        (wanted > 0.0).then(|| (region.clone(), wanted))
+        let max_share = share.max(desired_share.min(share + desired.cap));
+        (max_share > 0.0).then(|| (region.clone(), max_share))
     })
 }
 
 /// Adds a rate to a service's need; sizes are averaged over all callers.
-fn add(list: &mut Vec<Need>, service: &Arc<str>, rate: f64, traffic: &Traffic) {
+fn add_need(list: &mut Vec<Need>, service: &Arc<str>, rate: f64, traffic: &Traffic) {
     let Some(need) = list.iter_mut().find(|need| need.service == *service) else {
         list.push(Need {
             service: service.clone(),
