--- a/crates/config/src/config/references.rs
+++ b/crates/config/src/config/references.rs
@@ -1,10 +1,12 @@
-//! Validation of references between entries.
+//! Validation of references between configuration entries, such as the region of a failure domain.
 
 use dunlinrock_schema::config::DrainKind;
 
 use super::draft::Draft;
 use crate::{Findings, check::suggest};
 
+/// Reports references to names that no entry defines. Does nothing unless all files were parsed,
+/// since the names in the others are unknown.
 pub(super) fn check(draft: &Draft, findings: &mut Findings) {
     if !draft.all_parsed {
         return;
@@ -52,18 +54,19 @@
     }
 }
 
-/// Checks the regions that spreads refer to, both of callers and of targets.
+/// Checks the regions that the `spread` tables of services name: those of the callers, and those
+/// that serve them.
 fn check_spreads(draft: &Draft, findings: &mut Findings) {
     for (service, service_config) in &draft.config.services {
         for (callers, shares) in &service_config.spread {
             let path = ["services", service, "spread", callers];
             if !draft.defines("regions", callers) {
-                unknown(draft, "regions", callers, draft.key(&path), findings);
+                report_undefined(draft, "regions", callers, draft.key(&path), findings);
             }
             for region in shares.keys() {
                 if !draft.defines("regions", region) {
                     let path = ["services", service, "spread", callers, region];
-                    unknown(draft, "regions", region, draft.key(&path), findings);
+                    report_undefined(draft, "regions", region, draft.key(&path), findings);
                 }
             }
         }
@@ -78,11 +81,11 @@
     findings: &mut Findings,
 ) {
     if !draft.defines(section, name) {
-        unknown(draft, section, name, draft.value(path), findings);
+        report_undefined(draft, section, name, draft.value(path), findings);
     }
 }
 
-fn unknown(
+fn report_undefined(
     draft: &Draft,
     section: &str,
     name: &str,
