--- a/crates/edge/src/control/announce.rs
+++ b/crates/edge/src/control/announce.rs
@@ -9,7 +9,7 @@
     model::{HostEntry, LeaseId, PlatformStoreError},
 };
 
-/// Lease of the announcement: look-ups name a host for at most this long after it dies.
+/// Lease of the announcement: lookups name a host for at most this long after it fails.
 const LEASE_TTL: Duration = Duration::from_secs(4);
 
 /// How much earlier than the store this host considers its lease expired.
--- a/crates/edge/src/control/changes.rs
+++ b/crates/edge/src/control/changes.rs
@@ -25,7 +25,7 @@
 /// Path of the dump.
 const DUMP_PATH: &str = "/peer/v1/dump";
 
-/// Largest response, in bytes: all items of a large deployment.
+/// Maximum size of a response, in bytes: all items of a large deployment.
 pub(super) const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// How long a response is held while nothing changes. Each response is also a sign of life and
@@ -48,11 +48,11 @@
 /// How much longer the asking host waits: a round trip between regions, and a busy processor.
 const RESPONSE_SLACK: Duration = Duration::from_millis(400);
 
-/// Longest pause within a response: a packet lost between regions is retransmitted within 300 ms,
+/// Maximum pause within a response: a packet lost between regions is retransmitted within 300 ms,
 /// and a host that has used up its share of a processor continues within as much.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Longest time of a response that makes progress. The full version of a large configuration, 130
+/// Maximum time of a response that makes progress. The full version of a large configuration, 130
 /// KB, takes 0.8 s while eight hosts share a link of 10 Mbit/s; one that takes five seconds comes
 /// too late to become active in time, and another source or the store may be faster.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/edge/src/control/follow.rs
+++ b/crates/edge/src/control/follow.rs
@@ -24,7 +24,7 @@
 /// response, which costs one call instead of ten.
 pub const READER_POLL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Longest wait for changes at the store. Heartbeats need not change anything there, and while
+/// Maximum wait for changes at the store. Heartbeats need not change anything there, and while
 /// nothing changes a reader's replica is as old as this wait. With a longer one, the hosts below
 /// would take a quiet store for an unavailable one and read all of it themselves, again and again:
 /// this takes a second on a narrow link, during which callers' responses and the next version wait.
@@ -37,7 +37,7 @@
 /// Backoff after a failed call, doubled with each further one up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Longest backoff after failed calls: a store that is available again is noticed within it.
+/// Maximum backoff after failed calls: a store that is available again is noticed within it.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// How long a host that did not answer is skipped. Asked again at once, it would delay every round
--- a/crates/edge/src/control/mod.rs
+++ b/crates/edge/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! Control thread: follows the store, announces this host, and serves other hosts and look-ups.
+//! Control thread: follows the store, announces this host, and serves other hosts and lookups.
 
 mod announce;
 mod changes;
@@ -32,7 +32,7 @@
 const READY_FRACTION: f64 = 0.1;
 const METRICS_FRACTION: f64 = 0.1;
 
-/// Largest request head, in bytes.
+/// Maximum size of a request head, in bytes.
 const MAX_HEADER_BYTES: usize = 16 << 10;
 
 /// Timeout for reading a request head.
@@ -41,7 +41,7 @@
 /// Bound listeners of the control thread.
 #[derive(Debug)]
 pub struct Listeners {
-    /// Look-ups.
+    /// Lookups.
     pub lookup: TcpListener,
     /// Other hosts.
     pub peers: TcpListener,
--- a/crates/edge/src/control/tokens.rs
+++ b/crates/edge/src/control/tokens.rs
@@ -16,7 +16,7 @@
 /// Path of token requests.
 const PATH: &str = "/peer/v1/tokens";
 
-/// Largest response, in bytes: one call covers all workspaces with waiting requests.
+/// Maximum size of a response, in bytes: one call covers all workspaces with waiting requests.
 pub(crate) const MAX_TOKEN_BYTES: usize = 1 << 20;
 
 /// A grant on the wire.
@@ -67,7 +67,7 @@
     let grants = messages
         .into_iter()
         .map(|(name, GrantMessage { count, retry_after })| {
-            // Never more than was requested, whatever the other side says.
+            // Uses at most the requested count, even if the response grants more.
             let want = wanted.wants.get(&name).copied().unwrap_or_default();
             let count = count.min(want);
             (name, TokenGrant { count, retry_after })
--- a/crates/edge/src/control/tree.rs
+++ b/crates/edge/src/control/tree.rs
@@ -11,11 +11,11 @@
 
 use crate::model::HostEntry;
 
-/// Number of hosts that read the store, and of heads of a region. With a single one, its death
+/// Number of hosts that read the store, and of heads of a region. With a single one, its failure
 /// would send all its followers to the store at once.
 pub const STORE_READERS: usize = 2;
 
-/// Largest number of followers of one host, apart from those whose own source has failed. A region
+/// Maximum number of followers of one host, apart from those whose own source has failed. A region
 /// of a hundred hosts is then two levels below its heads.
 pub const FAN_OUT: usize = 8;
 
--- a/crates/edge/src/front/accept.rs
+++ b/crates/edge/src/front/accept.rs
@@ -19,7 +19,7 @@
 /// Interval at which the connection gauges are reported.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Shortest wait in the listen queue that is taken into account. Two checks may lie up to this far
+/// Minimum wait in the listen queue that is taken into account. Two checks may lie up to this far
 /// apart, so shorter waits cannot be told from zero.
 const MIN_QUEUE_WAIT: Duration = Duration::from_millis(250);
 
--- a/crates/edge/src/front/access.rs
+++ b/crates/edge/src/front/access.rs
@@ -11,8 +11,8 @@
     replica::View,
 };
 
-/// Greatest age of the replica at which an unknown key is rejected as unknown. A key that was just
-/// added is known at most this late.
+/// Maximum age of the replica at which an unknown API key is rejected as unknown. A newly added key
+/// is therefore rejected for at most this long; beyond it, the replica counts as stale.
 const MAX_UNKNOWN_KEY_AGE: Duration = Duration::from_millis(1600);
 
 /// The route and workspace that a request is authorized for.
@@ -21,8 +21,8 @@
     pub(super) route: Arc<Route>,
     /// Workspace of the caller, if it is authenticated.
     pub(super) workspace: Option<Arc<Workspace>>,
-    /// Whether the configuration has workspaces, so that callers' credentials are checked here and
-    /// not shown to targets.
+    /// Whether callers are identified by API keys, which is so if the configuration has workspaces.
+    /// Their credentials are then checked here and not forwarded to targets.
     pub(super) requires_key: bool,
 }
 
@@ -49,39 +49,40 @@
     }
 }
 
-/// Freshness of the replica. Must be read before the view that it is used with: a view that is read
-/// first may be replaced, and its successor confirmed, in between.
+/// Freshness of the API keys in this host's replica of the store. Must be read before the view that
+/// it is used with: otherwise a newer view could be confirmed in between, and the older view would
+/// count as fresh.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KeyFreshness {
     /// Time since the store last confirmed the replica.
     age: Duration,
-    /// Whether the known keys are fresh enough to serve callers by.
+    /// Whether the replica is recent enough to authenticate callers with its keys.
     is_fresh: bool,
 }
 
-/// Why a request is denied access.
+/// Reason why a request is denied access.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub(super) enum AccessError {
-    /// No configuration is known.
+    /// This host has no configuration yet.
     #[error("no configuration is known yet")]
     NoConfig,
     /// No route matches.
     #[error("no route")]
     NoRoute,
-    /// Keys may have been revoked or added since the replica was confirmed.
+    /// The replica is too old: keys may have been revoked or added since the store confirmed it.
     #[error("what is known of keys is {} ms old", age.as_millis())]
     StaleKeys {
         /// Age of the replica.
         age: Duration,
     },
-    /// The caller sent no key.
+    /// The caller sent no API key.
     #[error("no key")]
     MissingKey,
-    /// The caller sent something other than a key.
+    /// The caller's credentials contain no API key, or several.
     #[error("unreadable credentials")]
     MalformedKey,
-    /// No workspace has this key.
+    /// The API key belongs to no workspace.
     #[error("unknown key, by version {version}")]
     UnknownKey {
         /// Version of the configuration.
@@ -90,7 +91,7 @@
 }
 
 impl Front {
-    /// Returns the current freshness of the replica.
+    /// Returns the current freshness of the API keys.
     pub(super) fn key_freshness(&self) -> KeyFreshness {
         KeyFreshness {
             is_fresh: self.shared.keys_are_fresh(),
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Determines the access of a request under a view.
+    /// Authenticates and authorizes a request under a view.
     pub(super) fn authorize(
         &self,
         view: &View,
@@ -108,7 +109,7 @@
         credentials: Credentials,
     ) -> Result<Access, AccessError> {
         let config = view.config.as_ref().ok_or(AccessError::NoConfig)?;
-        let route = select::route(view, headers, uri).ok_or(AccessError::NoRoute)?;
+        let route = select::find_route(view, headers, uri).ok_or(AccessError::NoRoute)?;
         let requires_key = !config.workspaces.is_empty();
         let workspace = match credentials {
             _ if !requires_key => None,
@@ -129,7 +130,8 @@
     }
 }
 
-/// Returns the error for an unknown key: it may have been added since the replica was confirmed.
+/// Returns the error for an unknown API key: [`AccessError::StaleKeys`] if the key may have been
+/// added since the store confirmed the replica.
 fn unknown_key(version: u64, freshness: KeyFreshness) -> AccessError {
     if freshness.age > MAX_UNKNOWN_KEY_AGE {
         return AccessError::StaleKeys { age: freshness.age };
--- a/crates/edge/src/front/attempt.rs
+++ b/crates/edge/src/front/attempt.rs
@@ -104,8 +104,8 @@
         result
     }
 
-    /// Returns what a timeout says about the target: nothing, unless the attempt had as much time
-    /// as a healthy target needs.
+    /// Returns what a timeout indicates about the target: nothing, unless the attempt had as much
+    /// time as a healthy target needs.
     ///
     /// Without this, targets that run many times slower would never be ejected, and the requests
     /// whose affinity key prefers them would time out one after the other.
@@ -238,7 +238,7 @@
         echoed.is_some_and(|id| id.as_bytes() == outbound.id.as_bytes())
     }
 
-    /// Classifies a response, and returns what it says about the target.
+    /// Classifies a response, and returns what it indicates about the target.
     fn classify(
         &self,
         handle: &TargetHandle,
--- a/crates/edge/src/front/caller_stream.rs
+++ b/crates/edge/src/front/caller_stream.rs
@@ -3,8 +3,8 @@
 //!
 //! A caller that sends further requests before the first is answered leaves bytes unread, and
 //! behind unread bytes the HTTP library does not see the end of the connection: targets would keep
-//! working for a caller that is gone. So the bytes are read ahead into a bounded buffer, and the
-//! end behind them is seen.
+//! working for a caller that has disconnected. So the bytes are read ahead into a bounded buffer,
+//! and the end behind them is seen.
 
 use std::{
     cell::RefCell,
--- a/crates/edge/src/front/connection.rs
+++ b/crates/edge/src/front/connection.rs
@@ -28,8 +28,9 @@
 /// Unanswered probes after which a connection counts as broken.
 const PROBES: u32 = 2;
 
-/// Largest response accepted, in bytes. Responses are buffered completely before they are passed
-/// on, so that a truncated one never looks complete; memory bounds how large that may be.
+/// Maximum size of an accepted response, in bytes. Responses are buffered completely before they
+/// are passed on, so that a truncated one never looks complete; memory bounds how large that may
+/// be.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// How long a connection is kept idle if the target does not say.
@@ -120,7 +121,7 @@
         self.was_used && self.sender.is_ready() && Instant::now() < self.reusable_until
     }
 
-    /// Whether the connection was used before, so that its end says nothing about the target.
+    /// Whether the connection was used before, so that its end is no evidence about the target.
     pub(super) fn is_used(&self) -> bool {
         self.was_used
     }
--- a/crates/edge/src/front/idle.rs
+++ b/crates/edge/src/front/idle.rs
@@ -9,7 +9,7 @@
 pub(super) struct ConnectionCounter {
     open: Cell<u32>,
     idle: Cell<u32>,
-    /// Largest number of idle ones, over all targets.
+    /// Maximum number of idle ones, over all targets.
     max_idle: u32,
 }
 
--- a/crates/edge/src/front/mod.rs
+++ b/crates/edge/src/front/mod.rs
@@ -63,7 +63,7 @@
     idle: Duration::from_secs(15),
 };
 
-/// Smallest buffer that the HTTP library accepts.
+/// Minimum size of a buffer that the HTTP library accepts.
 const MIN_BUFFER: usize = 8 << 10;
 
 /// Timeout for the request on a connection that is accepted at the connection limit. The request is
@@ -71,7 +71,7 @@
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Delay between the start of a graceful shutdown and the first closed connection. Until then
-/// callers are served as before: look-ups that name this host have mostly expired by then, and
+/// callers are served as before: lookups that name this host have mostly expired by then, and
 /// callers that were disconnected earlier would reconnect to it.
 const CLOSE_DELAY: Duration = Duration::from_millis(1000);
 
@@ -91,7 +91,7 @@
 /// side that closes first.
 const IDLE_SLACK: Duration = Duration::from_secs(2);
 
-/// Longest interval between two checks whether a connection is idle.
+/// Maximum interval between two checks whether a connection is idle.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Interval between two checks whether the last request has ended.
@@ -110,7 +110,7 @@
     failure_rates: RefCell<BTreeMap<Arc<str>, FailureRate>>,
     /// Load shedding by priority, for each service.
     shedders: RefCell<BTreeMap<Arc<str>, PriorityShedder>>,
-    /// Shortest time in which a connection to a target of a region was opened: an estimate of the
+    /// Minimum time in which a connection to a target of a region was opened: an estimate of the
     /// round-trip time.
     region_rtts: RefCell<BTreeMap<Arc<str>, Duration>>,
     request_log: RequestLog,
--- a/crates/edge/src/front/pipeline.rs
+++ b/crates/edge/src/front/pipeline.rs
@@ -15,11 +15,11 @@
     Front, caller_stream::CallerStream, request::CallerGone, response::RequestEnd, select,
 };
 
-/// Largest number of requests of one connection that are started early: callers send a few at once,
+/// Maximum number of requests of one connection that are started early: callers send a few at once,
 /// and one that sends more must not take all slots.
 const MAX_PIPELINED: usize = 8;
 
-/// Largest number of header fields of a request that is started early; one with more waits for its
+/// Maximum number of header fields of a request that is started early; one with more waits for its
 /// turn.
 const MAX_PIPELINED_FIELDS: usize = 32;
 
@@ -30,7 +30,7 @@
 }
 
 /// A request that was started early. If it is dropped before its turn, it is cancelled: its caller
-/// is gone.
+/// has disconnected.
 #[derive(Debug)]
 struct PipelinedRequest {
     method: Method,
@@ -142,7 +142,7 @@
     /// sends it again if the connection ends before it is answered.
     fn may_start_early(&self, head: &Parts) -> bool {
         let view = self.shared.view.load();
-        let route = select::route(&view, &head.headers, &head.uri);
+        let route = select::find_route(&view, &head.headers, &head.uri);
         route.is_some_and(|route| route.repeatable)
     }
 }
--- a/crates/edge/src/front/request.rs
+++ b/crates/edge/src/front/request.rs
@@ -31,11 +31,11 @@
     trace::Outcome,
 };
 
-/// Shortest `Retry-After` of a refusal for lack of capacity: a slot of a target becomes free within
+/// Minimum `Retry-After` of a refusal for lack of capacity: a slot of a target becomes free within
 /// this time.
 pub(super) const MIN_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Longest `Retry-After`: beyond it, callers with short deadlines would not come back at all.
+/// Maximum `Retry-After`: beyond it, callers with short deadlines would not come back at all.
 pub(super) const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// `Retry-After` while this host cannot serve and another may.
@@ -49,7 +49,7 @@
 /// more work than slots, a late response makes the next one late as well.
 const MAX_WAIT_OBJECTIVES: f64 = 2.5;
 
-/// Shortest remaining time with which another attempt is useful.
+/// Minimum remaining time with which another attempt is useful.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(50);
 
 /// The caller closed its connection.
@@ -233,7 +233,7 @@
         end
     }
 
-    /// Returns the remaining time that the caller gives, at most the route's timeout.
+    /// Returns the remaining time that the caller's header states, at most the route's timeout.
     fn remaining_time(&self, headers: &HeaderMap, route: &Route) -> Duration {
         let left = headers.get(&self.shared.dialect.time_left);
         let left = left.and_then(|v| v.to_str().ok()?.trim().parse::<u64>().ok());
@@ -241,8 +241,8 @@
             .min(route.timeout)
     }
 
-    /// Reserves memory for a body of the length that its head gives, or of the greatest allowed
-    /// length.
+    /// Reserves memory for a body of the length that its headers state, or else of the maximum
+    /// allowed length.
     fn reserve_body(&self, body: Option<&Incoming>, max_bytes: usize) -> Option<BodyPermit<'_>> {
         let bytes = body.map_or(0, |body| {
             body.size_hint().upper().unwrap_or(max_bytes as u64)
--- a/crates/edge/src/front/select.rs
+++ b/crates/edge/src/front/select.rs
@@ -1,4 +1,5 @@
-//! Selects the target of one attempt, from the view and from this host's own observations.
+//! Selects the target of one attempt, from the current view and from what this host itself has
+//! measured (load, round-trip times, failures).
 
 use std::{collections::BTreeSet, rc::Rc, sync::Arc, time::Duration};
 
@@ -18,17 +19,19 @@
     replica::{KnownTarget, View},
 };
 
-/// Time after the start of the process in which a host sends single requests to cold targets. Hosts
-/// that start together know only of themselves at first, and each would take the whole rate for
-/// itself; within this time their entries are in the store and have been read back.
+/// Time after the start of the process during which this host sends at most one request per second
+/// to a cold target. Hosts that start together know only of themselves at first, and each would use
+/// the full cold-start rate; within this time their entries are in the store and have been read
+/// back.
 const START_CAUTION_TIME: Duration = Duration::from_secs(3);
 
-/// Why no target can take a request now.
+/// Reason why no target can be selected now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NoTarget {
     /// No target is known in the regions that may run the request.
     Absent,
-    /// All remaining targets are cold and have used up this host's part of their rate.
+    /// All remaining targets are cold (they started recently or had no requests for a while), and
+    /// this host has used up its share of their cold-start rate.
     Cold,
 }
 
@@ -38,23 +41,26 @@
     pub(super) handle: Rc<TargetHandle>,
     /// Region of the target.
     pub(super) region: Arc<str>,
+    /// Place of the target in the affinity ranking; 0 is the preferred target.
     pub(super) rank: usize,
+    /// Estimated number of requests that the target ran or queued when it was selected.
     pub(super) busy: u32,
-    /// Last change of the view that it was selected by.
+    /// Number of the last change in the view that the selection used.
     pub(super) change: u64,
 }
 
-/// Hashes an affinity key together with its route, since a run on one route does not warm a target
-/// for another.
-pub(super) fn affinity_hash(route: &Route, name: Option<&str>) -> u64 {
-    match name {
-        Some(name) => mix64(hash_str(name) ^ mix64(hash_str(&route.prefix))),
+/// Hashes an affinity key together with its route, since a request on one route does not warm a
+/// target for another. Without a key, the hash is random.
+pub(super) fn affinity_hash(route: &Route, key: Option<&str>) -> u64 {
+    match key {
+        Some(key) => mix64(hash_str(key) ^ mix64(hash_str(&route.prefix))),
         None => rand::random(),
     }
 }
 
-/// Picks the service of a route for an affinity hash. Keys keep their service while the weights
-/// stay, and a change of weights moves only the difference.
+/// Picks the service of a route for an affinity hash, in proportion to the services' weights. A key
+/// keeps its service while the weights are unchanged; a change of weights moves only as many keys
+/// as the weights differ by.
 pub(super) fn pick_service(route: &Route, affinity_hash: u64) -> Option<&Arc<str>> {
     let total: f64 = route.parts.iter().map(|p| p.weight).sum();
     let mut offset = to_unit_f64(mix64(affinity_hash)) * total;
@@ -137,6 +143,7 @@
         }
     }
 
+    /// Whether this host's share of a cold target's rate allows one more request now.
     fn admits_cold(
         &self,
         view: &View,
@@ -149,11 +156,11 @@
             .as_ref()
             .and_then(|c| c.services.get(service))
             .map(|s| s.rate);
-        let rules = ColdStartLimits {
+        let limits = ColdStartLimits {
             rate: rate.unwrap_or_default(),
             ..self.shared.reloadable.load().cold
         };
-        let host_rate = rules.host_rate(self.name_hash, &view.sharer_hashes, handle.id_hash);
+        let host_rate = limits.host_rate(self.name_hash, &view.sharer_hashes, handle.id_hash);
         let host_rate = if now < START_CAUTION_TIME {
             host_rate.min(1)
         } else {
@@ -170,10 +177,10 @@
     candidates: &[Candidate],
     rate_limited: &[usize],
 ) -> Option<Choice> {
-    let rules = affinity::AffinityConfig::default();
+    let config = affinity::AffinityConfig::default();
     let choice = match route.sticky {
-        true => affinity::choose_affine(hash, candidates, &rules)?,
-        false => affinity::choose_least_loaded(hash, candidates, &rules)?,
+        true => affinity::choose_affine(hash, candidates, &config)?,
+        false => affinity::choose_least_loaded(hash, candidates, &config)?,
     };
     // If no healthy candidate is left, the choice may fall on a rate-limited one.
     (!rate_limited.contains(&choice.index)).then_some(choice)
@@ -183,8 +190,12 @@
     access.allows(&known.region) && !excluded.contains(&known.target.id)
 }
 
-/// Returns the route of a request.
-pub(super) fn route<'a>(view: &'a View, headers: &HeaderMap, uri: &Uri) -> Option<&'a Arc<Route>> {
+/// Returns the route that matches the request's host name and path.
+pub(super) fn find_route<'a>(
+    view: &'a View,
+    headers: &HeaderMap,
+    uri: &Uri,
+) -> Option<&'a Arc<Route>> {
     let host = headers.get(header::HOST).and_then(|v| v.to_str().ok());
     let host = host.or_else(|| uri.host()).unwrap_or_default();
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
--- a/crates/edge/src/front/targets.rs
+++ b/crates/edge/src/front/targets.rs
@@ -1,4 +1,4 @@
-//! What this host knows about each target from its own exchanges.
+//! State of each target as this host observes it in its own exchanges with the target.
 
 use std::{
     cell::{Cell, RefCell},
@@ -139,8 +139,8 @@
     /// Returns the handle of a target's current process.
     ///
     /// A target that restarted under its id has lost its requests, is healthy and has no warm keys.
-    /// So nothing of its old handle applies, and idempotent requests in flight at the old process
-    /// are retried elsewhere at once.
+    /// So the state in its old handle is discarded, and idempotent requests in flight at the old
+    /// process are retried elsewhere at once.
     pub(super) fn get(&self, target: &Arc<Target>) -> Rc<TargetHandle> {
         let mut handles = self.handles.borrow_mut();
         let handle = handles
--- a/crates/edge/src/front/tokens.rs
+++ b/crates/edge/src/front/tokens.rs
@@ -35,7 +35,7 @@
 /// lists differ for a moment.
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Shortest and longest time for which a limit share that is exhausted is not asked again: other
+/// Minimum and maximum time for which no tokens of an exhausted limit share are requested: other
 /// hosts ask for its next token as well.
 const MIN_EXHAUSTED_TIME: Duration = Duration::from_millis(150);
 const MAX_EXHAUSTED_TIME: Duration = Duration::from_secs(1);
@@ -59,8 +59,8 @@
     owners: BTreeMap<SocketAddr, TokenOwner>,
 }
 
-/// An owner of limit shares, as this host asks it. One call is in flight at a time and carries all
-/// tokens wanted by then, so a slow host is asked less often instead of more.
+/// This host's state of its token requests to one owner of limit shares. One call is in flight at a
+/// time and carries all tokens wanted by then, so a slow host is asked less often instead of more.
 #[derive(Debug, Default)]
 struct TokenOwner {
     in_flight: bool,
--- a/crates/edge/src/host/freshness.rs
+++ b/crates/edge/src/host/freshness.rs
@@ -54,7 +54,7 @@
     (sent + held.min(took)).saturating_sub(age)
 }
 
-/// Returns the greatest age of the replica with which callers are served by their keys, if a
+/// Returns the maximum age of the replica with which callers are served by their keys, if a
 /// revoked key may be accepted for at most `revoke`.
 pub fn max_key_age(revoke: Duration) -> Duration {
     revoke.saturating_sub(COMPACTION_SILENCE + CLOCK_SLACK)
--- a/crates/edge/src/limits/owners.rs
+++ b/crates/edge/src/limits/owners.rs
@@ -15,7 +15,7 @@
 /// change; asked earlier, it would answer that it is not the owner.
 pub const SETTLE_DELAY: Duration = Duration::from_secs(1);
 
-/// Greatest age of a host's replica with which it grants tokens.
+/// Maximum age of a host's replica with which it grants tokens.
 pub const MAX_GRANT_AGE: Duration = Duration::from_millis(3500);
 
 /// A store that is about to compact its history sends no changes for a second.
--- a/crates/edge/src/lookup/mod.rs
+++ b/crates/edge/src/lookup/mod.rs
@@ -1,4 +1,4 @@
-//! Serves look-ups, which tell callers which hosts to use, and the readiness check.
+//! Serves lookups, which tell callers which hosts to use, and the readiness check.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -7,14 +7,14 @@
 
 use crate::{host::Shared, model::LookupQuery};
 
-/// Largest number of hosts in one response.
+/// Maximum number of hosts in one response.
 const MAX_HOSTS: usize = 64;
 
 /// How long callers may cache a response. A host that stops or dies is used for this long after
-/// that is known; with a shorter time callers would make more look-ups than requests.
+/// that is known; with a shorter time callers would make more lookups than requests.
 const TTL: Duration = Duration::from_secs(2);
 
-/// Serves look-ups.
+/// Serves lookups.
 pub(crate) fn router(shared: &Arc<Shared>) -> Router {
     let (path, shared) = (shared.dialect.lookup_path, Arc::clone(shared));
     Router::new().get(path, move |request: Request| {
--- a/crates/edge/src/model/config.rs
+++ b/crates/edge/src/model/config.rs
@@ -48,13 +48,13 @@
     pub repeatable: bool,
     /// Whether a target that recently handled a request's affinity key answers faster.
     pub sticky: bool,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time that a caller is kept waiting.
     pub timeout: Duration,
     /// Response time that counts as good.
     pub objective: Duration,
     /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Largest number of targets that one request may be sent to.
+    /// Maximum number of targets that one request may be sent to.
     pub attempts: u32,
     /// Services that share the requests; never empty.
     pub parts: Vec<WeightedService>,
@@ -90,9 +90,9 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Limits {
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body: usize,
     /// Idle timeout of a connection.
     pub idle: Duration,
--- a/crates/edge/src/model/dialect.rs
+++ b/crates/edge/src/model/dialect.rs
@@ -7,7 +7,7 @@
 
 use super::KeyDigest;
 
-/// Query of a look-up.
+/// Query of a lookup.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LookupQuery {
     /// Region of the caller.
@@ -45,7 +45,7 @@
     pub time_left: HeaderName,
     /// Header that names the only target that may run a request.
     pub expected_target: HeaderName,
-    /// Response header that says that the request did not run.
+    /// Response header that states that the request did not run.
     pub not_run: HeaderName,
     /// Header by which a target signs its responses.
     pub signature: HeaderName,
@@ -55,7 +55,7 @@
     pub challenge: &'static str,
     /// Reads the credentials of a caller.
     pub parse_credentials: fn(&HeaderMap) -> Credentials,
-    /// Header that tells a target the request's workspace.
+    /// Header that carries the request's workspace to the target.
     pub workspace: HeaderName,
     /// Reads the affinity key of a request.
     pub affinity_key: fn(&HeaderMap) -> Option<&str>,
@@ -63,10 +63,10 @@
     pub parse_load: fn(&HeaderMap) -> Option<ReportedLoad>,
     /// Path of the readiness check.
     pub ready_path: &'static str,
-    /// Path of look-ups.
+    /// Path of lookups.
     pub lookup_path: &'static str,
-    /// Reads the query of a look-up.
+    /// Reads the query of a lookup.
     pub parse_lookup: fn(&Uri) -> Option<LookupQuery>,
-    /// Returns the body and the content type of a look-up's response.
+    /// Returns the body and the content type of a lookup's response.
     pub encode_lookup: fn(&[SocketAddr], Duration) -> (Bytes, &'static str),
 }
--- a/crates/edge/src/model/packed.rs
+++ b/crates/edge/src/model/packed.rs
@@ -7,7 +7,7 @@
 use flate2::{Compression, read::DeflateDecoder, write::DeflateEncoder};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// Largest size of an unpacked value, in bytes: a broken message must not exhaust a host's memory.
+/// Maximum size of an unpacked value, in bytes: a broken message must not exhaust a host's memory.
 const MAX_UNPACKED_BYTES: u64 = 16 << 20;
 
 /// A packed value. Clones share its bytes.
--- a/crates/edge/src/settings/mod.rs
+++ b/crates/edge/src/settings/mod.rs
@@ -11,17 +11,17 @@
 /// Limit on open files if the settings do not give one: the usual default of systems.
 const DEFAULT_DESCRIPTORS: i64 = 4096;
 
-/// Smallest limit on open files with which a host can serve: its listeners, timers and the store
+/// Minimum limit on open files with which a host can serve: its listeners, timers and the store
 /// take about 30.
 const MIN_DESCRIPTORS: i64 = 64;
 
 /// Memory limit of the process if the settings do not give one, in millions of bytes.
 const DEFAULT_MEMORY_MB: f64 = 256.0;
 
-/// Smallest memory limit with which a host can serve: an idle one takes about 12 million bytes.
+/// Minimum memory limit with which a host can serve: an idle one takes about 12 million bytes.
 const MIN_MEMORY_MB: f64 = 16.0;
 
-/// Smallest time in which a revoked key must stop working. The replica of a host in touch with the
+/// Minimum time in which a revoked key must stop working. The replica of a host in touch with the
 /// store is up to a second old; with less than this the host would refuse callers all the time.
 const MIN_REVOKE: Duration = Duration::from_secs(2);
 
@@ -30,7 +30,7 @@
 pub struct Listen {
     /// Callers' requests.
     pub callers: SocketAddr,
-    /// Look-ups.
+    /// Lookups.
     pub lookup: SocketAddr,
     /// Readiness check.
     pub ready: Option<SocketAddr>,
@@ -49,7 +49,7 @@
     pub seeds: Vec<SocketAddr>,
     /// Grace period: the time between the request to stop and the end of the process.
     pub grace: Duration,
-    /// Longest time for which callers may cache a look-up.
+    /// Maximum time for which callers may cache a lookup.
     pub ttl: Duration,
     /// Retry budget, over all hosts.
     pub budget: RetryLimits,
--- a/crates/edge/src/trace/mod.rs
+++ b/crates/edge/src/trace/mod.rs
@@ -19,7 +19,7 @@
     replica::View,
 };
 
-/// Largest number of names in one line; a failure domain has a few dozen targets.
+/// Maximum number of names in one line; a failure domain has a few dozen targets.
 const MAX_NAMES: usize = 40;
 
 /// Logs how a new view differs from the previous one.
