--- a/crates/node/src/call/body.rs
+++ b/crates/node/src/call/body.rs
@@ -1,4 +1,5 @@
-//! Reads the body of a request within limits of size and time, and its timeout field.
+//! Reads the body of a request, limited in size and time, and the header field with the caller's
+//! timeout.
 
 use std::time::Duration;
 
@@ -20,7 +21,7 @@
 }
 
 impl BodyLimits {
-    /// Returns the limits of the settings.
+    /// Creates the limits from the host's settings.
     pub fn open(limits: &LimitSettings) -> BodyLimits {
         let bytes = usize::try_from(limits.body_bytes.get()).unwrap_or(usize::MAX);
         BodyLimits {
@@ -30,14 +31,15 @@
     }
 }
 
-/// Reads a complete body, or returns the reason why it was refused. Nothing has run at that point.
+/// Reads a complete body, or returns the reason why the request is refused. The request has not run
+/// at that point, so the error says `run: no`.
 pub async fn read_body(body: Body, limits: BodyLimits) -> Result<Bytes, CallError> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    let whole = Limited::new(body, limits.bytes).collect();
-    match tokio::time::timeout(limits.time, whole).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+    let collected = Limited::new(body, limits.bytes).collect();
+    match tokio::time::timeout(limits.time, collected).await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(CallError::not_run(
             ProblemKind::TooLarge,
             format!("the body is larger than {} bytes", limits.bytes),
@@ -53,8 +55,8 @@
     }
 }
 
-/// Returns the time limit from the caller's header field, or `default` if there is none; at most
-/// `max`.
+/// Returns the timeout that the caller set in the header field [`wire::TIMEOUT`], or `default` if
+/// there is none; at most `max`.
 pub fn timeout_field(
     headers: &HeaderMap,
     default: Duration,
--- a/crates/node/src/duties/callers/call.rs
+++ b/crates/node/src/duties/callers/call.rs
@@ -1,4 +1,4 @@
-//! `ANY /v1/call/{service}/{path}`: runs a request on a target.
+//! Handles `/v1/call/{service}/{path}` (any method): runs a caller's request on a target.
 
 use std::{net::IpAddr, sync::Arc, time::Duration};
 
@@ -25,10 +25,10 @@
 
 pub(super) async fn answer(shared: &Arc<Shared>, clients: &Clients, request: Request) -> Response {
     shared.metrics.increment(Counter::Calls);
-    let since = Instant::now();
+    let started_at = Instant::now();
     let id: Arc<str> = format!("{:x}-{:x}", shared.me.incarnation, shared.ticket()).into();
     let result = run(shared, clients, request, &id).await;
-    shared.metrics.time("call.time", since.elapsed());
+    shared.metrics.time("call.time", started_at.elapsed());
     match result {
         Ok(answer) => {
             shared.metrics.increment(Counter::Answered);
@@ -69,7 +69,7 @@
     request: Request,
     id: &Arc<str>,
 ) -> Result<Answer, CallError> {
-    let arrival = Instant::now();
+    let received_at = Instant::now();
     let view = shared.view.load_full();
     if !view.ready {
         return Err(not_ready(&request));
@@ -79,7 +79,7 @@
         let detail = format!("no service {name} in revision {}", view.revision);
         return Err(CallError::not_run(ProblemKind::UnknownService, detail));
     };
-    let time = time(&request, service)?;
+    let timeout = timeout(&request, service)?;
     let address = peer(&request).map(|address| address.ip());
     let address = address.ok_or_else(|| malformed("the connection has no address"))?;
     let (name, path): (Arc<str>, Arc<str>) = (name.into(), path.into());
@@ -95,12 +95,12 @@
         address,
         service,
         region: &shared.me.region,
-        deadline: arrival + time,
+        deadline: received_at + timeout,
     })?;
     if call.repeatable {
         return dispatch(shared, clients, &call).await;
     }
-    let key = key(&call)?;
+    let key = idempotency_key(&call)?;
     let me = shared.me.incarnation;
     if key.owner.incarnation == me || key.witness.incarnation == me {
         run_keyed(shared, clients, &call, key).await
@@ -109,8 +109,8 @@
     }
 }
 
-/// Returns the error of a host that is not ready. Such a host does not know about earlier attempts
-/// of a key, so a keyed request gets `run: unknown`.
+/// Returns the error of a host that is not ready. Such a host cannot know whether an earlier
+/// attempt with the same idempotency key ran, so a request with a key gets `run: unknown`.
 fn not_ready(request: &Request) -> CallError {
     let detail = "this host holds no configuration yet, or is catching up";
     let error = match request.headers().contains_key(wire::KEY) {
@@ -126,11 +126,11 @@
 
 /// Returns the service and the path for the target, including the query.
 fn split_path(request: &Request) -> Result<(&str, &str), CallError> {
-    let whole = request
+    let path_and_query = request
         .uri()
         .path_and_query()
         .map_or("", |path| path.as_str());
-    let rest = whole.strip_prefix(PREFIX).unwrap_or_default();
+    let rest = path_and_query.strip_prefix(PREFIX).unwrap_or_default();
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (service, path) = rest.split_at(end);
     match (service, path) {
@@ -145,12 +145,14 @@
     }
 }
 
-fn time(request: &Request, service: &Service) -> Result<Duration, CallError> {
+/// Returns the caller's timeout for the request, within the service's limits.
+fn timeout(request: &Request, service: &Service) -> Result<Duration, CallError> {
     let default = Duration::from_millis(service.deadline_ms.get());
     let max = Duration::from_millis(service.longest_ms.get());
     timeout_field(request.headers(), default, max)
 }
 
+/// Parts of a caller's request from which the [`Call`] is created.
 struct CallParts<'a> {
     id: &'a Arc<str>,
     name: Arc<str>,
@@ -177,10 +179,10 @@
         region,
         deadline,
     } = parts;
-    let caller = caller(headers, service, address)?;
-    let plain = path.split('?').next().unwrap_or_default();
-    let kind = plain.split('/').nth(1).unwrap_or_default();
-    let kind = hash(&[method.as_str().as_bytes(), kind.as_bytes()]);
+    let caller = caller_hash(headers, service, address)?;
+    let path_only = path.split('?').next().unwrap_or_default();
+    let first_segment = path_only.split('/').nth(1).unwrap_or_default();
+    let kind = hash(&[method.as_str().as_bytes(), first_segment.as_bytes()]);
     let fingerprint = hash(&[method.as_str().as_bytes(), path.as_bytes(), &body]);
     Ok(Call {
         request: Arc::clone(id),
@@ -189,7 +191,7 @@
         region: Arc::clone(region),
         client: address,
         caller,
-        topic: hash(&[plain.as_bytes()]),
+        topic: hash(&[path_only.as_bytes()]),
         kind,
         fingerprint,
         identity: hash(&[&caller.to_be_bytes(), &fingerprint.to_be_bytes()]),
@@ -197,8 +199,8 @@
             .repeatable
             .iter()
             .any(|name| **name == *method.as_str()),
-        key: field(headers, wire::KEY)?,
-        attempts: field(headers, wire::ATTEMPTS)?,
+        key: header_text(headers, wire::KEY)?,
+        attempts: header_text(headers, wire::ATTEMPTS)?,
         hops: 0,
         service: name,
         method,
@@ -207,15 +209,17 @@
     })
 }
 
-fn caller(headers: &HeaderMap, service: &Service, address: IpAddr) -> Result<u64, CallError> {
-    let named = field(headers, &service.caller_header)?;
+/// Returns the hash of the caller's name from the service's caller header, or else of its address.
+fn caller_hash(headers: &HeaderMap, service: &Service, address: IpAddr) -> Result<u64, CallError> {
+    let named = header_text(headers, &service.caller_header)?;
     Ok(match named {
         Some(name) => hash(&[name.as_bytes()]),
         None => hash(&[address.to_string().as_bytes()]),
     })
 }
 
-fn field(headers: &HeaderMap, name: &str) -> Result<Option<Arc<str>>, CallError> {
+/// Returns the value of a header field, if the request has it.
+fn header_text(headers: &HeaderMap, name: &str) -> Result<Option<Arc<str>>, CallError> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -225,7 +229,8 @@
     }
 }
 
-fn key(call: &Call) -> Result<Key, CallError> {
+/// Returns the idempotency key of a request, which is required unless its method is idempotent.
+fn idempotency_key(call: &Call) -> Result<Key, CallError> {
     let Some(text) = &call.key else {
         let detail = format!(
             "{} requests of {} run at most once and need the field {}: the binding of a look-up, a dot, a nonce",
--- a/crates/node/src/duties/callers/lookup.rs
+++ b/crates/node/src/duties/callers/lookup.rs
@@ -1,7 +1,7 @@
 //! `GET /v1/hosts/{service}`: returns the hosts that a caller should use now.
 //!
-//! Answers are composed when a view is published. A look-up only finds the caller's region and
-//! sends one of them, without a lock or a computation, so that look-ups are always served, also
+//! Answers are composed when a view is published. A lookup only finds the caller's region and
+//! sends one of them, without a lock or a computation, so that lookups are always served, also
 //! under saturation.
 
 use std::net::IpAddr;
@@ -65,7 +65,7 @@
     CallError::not_run(ProblemKind::UnknownService, detail)
 }
 
-/// Returns the client that the look-up is for: `?client=IP`, for clients that ask on behalf of
+/// Returns the client that the lookup is for: `?client=IP`, for clients that ask on behalf of
 /// others, or the address of the connection.
 fn client(request: &Request) -> Result<IpAddr, CallError> {
     let asked = request.uri().query().and_then(|query| {
--- a/crates/node/src/duties/callers/mod.rs
+++ b/crates/node/src/duties/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Serves callers: look-ups and calls. The pools that this host owns run on the same thread.
+//! Serves callers: lookups and calls. The pools that this host owns run on the same thread.
 
 mod call;
 mod lookup;
--- a/crates/node/src/duties/control/active_config.rs
+++ b/crates/node/src/duties/control/active_config.rs
@@ -1,7 +1,7 @@
 //! The active configuration, built from the pieces that the follower holds.
 //!
 //! Client blocks are kept apart from the rest: 760,000 of them as strings in a map would take half
-//! of the memory that a host may use, so they are read from their pieces directly into the look-up
+//! of the memory that a host may use, so they are read from their pieces directly into the lookup
 //! table. A change that affects no block keeps the table.
 
 use std::sync::Arc;
--- a/crates/node/src/duties/control/input.rs
+++ b/crates/node/src/duties/control/input.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use tokio::sync::oneshot;
 
-/// Input of the worker. The comment of each variant tells what happens if the channel is full.
+/// Input of the worker. The comment of each variant states what happens if the channel is full.
 #[derive(Debug)]
 pub enum Input {
     /// A control message of another host. Full channel: refused; the sender sends its next one.
--- a/crates/node/src/duties/control/publish.rs
+++ b/crates/node/src/duties/control/publish.rs
@@ -106,7 +106,7 @@
         shared.published.send_replace(self.number);
     }
 
-    /// Recomposes the answers to look-ups if their inputs have changed.
+    /// Recomposes the answers to lookups if their inputs have changed.
     fn refresh_answers(&mut self, shared: &Shared, parts: &ViewInputs<'_>) {
         let all: Vec<Member> = parts.members.values().map(|m| Member::clone(m)).collect();
         let from = (self.revision, all);
--- a/crates/node/src/duties/control/routes.rs
+++ b/crates/node/src/duties/control/routes.rs
@@ -1,11 +1,12 @@
-//! Builds the routes of a view: the owner of each pool.
+//! Chooses the host that owns each pool, and builds the routes to the pools.
 //!
-//! One host counts the slots of a pool and queues requests for it. Many hosts that each send to the
-//! target that looks least busy would overload it together: slots are few (3 to 8 per target) and
-//! load reports lag. The owner is chosen by rendezvous hashing among the hosts of the pool's
-//! domain, so all hosts agree without messages, and a host that joins or leaves moves only the
-//! pools that it wins or loses. While hosts disagree, for about a heartbeat, a request is forwarded
-//! one more time.
+//! A pool is the targets of one service in one failure domain. Its owner is the only host that
+//! counts the pool's slots and queues requests for it; other hosts forward requests to the owner.
+//! Many hosts that each send to the target that looks least busy would overload it together: slots
+//! are few (3 to 8 per target) and load reports lag. The owner is chosen by rendezvous hashing
+//! among the hosts of the pool's domain, so all hosts agree without messages, and a host that joins
+//! or leaves moves only the pools that it wins or loses. While hosts disagree, for about a
+//! heartbeat, a request is forwarded one more time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,9 +25,9 @@
     view::{LoadReading, Member, PoolRoute, RouteParts, ServiceRoute},
 };
 
-/// Delay within a failure domain.
+/// Assumed one-way delay between two hosts of a failure domain.
 const SAME_DOMAIN_DELAY: Duration = Duration::from_micros(100);
-/// Assumed delay between two regions without a link in the configuration.
+/// Assumed one-way delay between two regions without a link in the configuration.
 const DEFAULT_LINK_DELAY: Duration = Duration::from_millis(100);
 
 /// Returns the targets of each pool of a configuration.
@@ -58,8 +59,8 @@
     let region = config.domains.get(&id.domain).map(|domain| &domain.region);
     let key = format!("{}/{}", id.service, id.domain);
     let candidates = || members.values().filter(|member| !member.leaving);
-    let choose = |test: &dyn Fn(&Member) -> bool| {
-        let names = candidates().filter(|member| !member.suspect && test(member));
+    let choose = |filter: &dyn Fn(&Member) -> bool| {
+        let names = candidates().filter(|member| !member.suspect && filter(member));
         let names: Vec<Arc<str>> = names.map(|member| Arc::clone(&member.name)).collect();
         rendezvous::choose(&key, names, 1).pop()
     };
@@ -69,15 +70,18 @@
     members.get(&name).cloned()
 }
 
-/// Values that the routes are built from.
+/// Inputs from which the routes are built.
 pub(super) struct RouteInputs<'a> {
     pub config: &'a Config,
+    /// This host.
     pub me: &'a Member,
     pub members: &'a BTreeMap<Arc<str>, Arc<Member>>,
     pub pools: &'a BTreeMap<Arc<PoolId>, Vec<(Arc<str>, Target)>>,
+    /// Last reported load of each pool.
     pub loads: &'a BTreeMap<Arc<PoolId>, LoadReading>,
-    /// Regions in which hosts were seen.
+    /// Regions in which a host has been seen at any time.
     pub seen: &'a BTreeSet<Arc<str>>,
+    /// Routes of the previous view, whose load readings are kept while they are the newest.
     pub before: &'a BTreeMap<Arc<PoolId>, Arc<PoolRoute>>,
 }
 
@@ -110,8 +114,8 @@
         PoolRoute::open(parts, reading, before)
     }
 
-    /// Returns the load assumed for a pool without a load report: its slots, and no work. Its time
-    /// is this host's start, so any report replaces it.
+    /// Returns the load assumed for a pool without a load report: all slots are free and nothing is
+    /// queued. Its timestamp is this host's start, so any report replaces it.
     fn assumed_load(&self, targets: &[(Arc<str>, Target)]) -> LoadReading {
         let usable = targets
             .iter()
@@ -180,7 +184,7 @@
 
 fn addresses(targets: &[(Arc<str>, Target)]) -> BTreeMap<Arc<str>, SocketAddr> {
     let parsed = targets.iter().filter_map(|(name, target)| {
-        // The checks before an apply reject other addresses.
+        // A configuration with an invalid address is rejected before it is applied.
         Some((Arc::clone(name), target.address.parse().ok()?))
     });
     parsed.collect()
--- a/crates/node/src/duties/control/shutdown.rs
+++ b/crates/node/src/duties/control/shutdown.rs
@@ -9,7 +9,7 @@
 
 /// A graceful shutdown.
 ///
-/// 1. Other hosts are notified at once; look-ups no longer return this host, and other hosts take
+/// 1. Other hosts are notified at once; lookups no longer return this host, and other hosts take
 ///    its pools over.
 /// 2. The host keeps serving until the answers that callers have cached expire.
 /// 3. Running requests end, and the ledger transfers its records.
--- a/crates/node/src/duties/ledger/input.rs
+++ b/crates/node/src/duties/ledger/input.rs
@@ -7,7 +7,7 @@
 };
 use tokio::sync::{mpsc, oneshot};
 
-/// Input of the worker. The comment of each variant tells what happens if the channel is full.
+/// Input of the worker. The comment of each variant states what happens if the channel is full.
 #[derive(Debug)]
 pub enum Input {
     /// An attempt of a caller. Full channel: the attempt is refused and has not run.
--- a/crates/node/src/duties/ledger/mod.rs
+++ b/crates/node/src/duties/ledger/mod.rs
@@ -1,8 +1,10 @@
-//! The request ledger: which keyed requests may run, and which have run.
+//! Worker for the request ledger, which records the requests with an idempotency key and ensures
+//! that each runs at most once.
 //!
-//! The worker drives [`dunlinrock_coord::once::Ledger`]. The task of an attempt submits it, and
-//! then receives an event to run the request, its response, or its refusal. Messages to other hosts
-//! are sent on the worker's own runtime; they may be lost, and the ledger sends them again.
+//! The worker drives [`dunlinrock_coord::once::Ledger`]. The task that handles an attempt submits
+//! it to the worker, which replies with an event: run the request now, the stored response, or a
+//! refusal. Messages to other hosts are sent on the worker's own runtime; they may be lost, and the
+//! ledger sends them again.
 
 mod input;
 mod post;
@@ -35,11 +37,11 @@
     wire::Client,
 };
 
-/// Capacity of the worker's channel; as that of the pools worker, which has the same load.
+/// Capacity of the worker's channel; the same as for the pools worker, which has the same load.
 pub const QUEUE_CAPACITY: usize = 4096;
 /// Maximum size of a response to a ledger message, in bytes; it has no body.
 const MAX_ANSWER_BYTES: usize = 1024;
-/// Maximum interval between wake-ups, so that the published epoch never lags by more.
+/// Maximum interval between wake-ups, which limits how far the published epoch lags.
 const MAX_WAKE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A running ledger worker.
@@ -47,7 +49,7 @@
 pub struct Handle {
     /// Channel to the worker.
     pub sender: ring::Sender<Input>,
-    /// Epoch for the bindings of new keys.
+    /// Current epoch of the ledger; lookups put it into the bindings of new idempotency keys.
     pub epoch: Arc<AtomicU64>,
     /// Thread of the worker.
     pub thread: JoinHandle<()>,
@@ -62,7 +64,8 @@
     }
 }
 
-/// Spawns the worker for this incarnation.
+/// Spawns the worker. Its ledger belongs to this incarnation of the host, that is, to the time from
+/// this start of its process to the next.
 pub fn open(
     me: &Member,
     limits: Limits,
@@ -73,7 +76,7 @@
     let epoch = Arc::new(AtomicU64::new(0));
     let worker = Worker {
         ledger: Ledger::open(me.incarnation, limits, clock.now()),
-        local: me.peers.ip(),
+        local_addr: me.peers.ip(),
         tasks: BTreeMap::new(),
         view,
         clock,
@@ -89,19 +92,19 @@
 
 struct Worker {
     ledger: Ledger,
-    /// Event channels of attempts by ticket. Invariant: each attempt that waits in the ledger has
-    /// an entry.
+    /// Event channels of attempts by ticket, the attempt's id on this host. Invariant: each attempt
+    /// that waits in the ledger has an entry.
     tasks: BTreeMap<u64, EventSender>,
     view: Arc<ArcSwap<View>>,
     clock: Clock,
     epoch: Arc<AtomicU64>,
-    /// Source address of messages.
-    local: IpAddr,
+    /// Source address of messages to other hosts.
+    local_addr: IpAddr,
 }
 
 impl Worker {
     async fn drive(mut self, mut inputs: ring::Receiver<Input>) {
-        let client = Client::open_from(Some(self.local), MAX_ANSWER_BYTES);
+        let client = Client::open_from(Some(self.local_addr), MAX_ANSWER_BYTES);
         loop {
             let now = self.clock.now();
             self.epoch.store(self.ledger.epoch(now), Ordering::Relaxed);
@@ -163,17 +166,18 @@
                         .get(&attempt_id)
                         .is_some_and(|task| task.send(Event::Run));
                     if !sent {
-                        // The caller disconnected between its request and the claim. Nothing was
-                        // sent.
+                        // The caller disconnected before the ledger allowed the run. Nothing was
+                        // sent to a target.
                         let outcome = Outcome::NotRun { retry_after: None };
-                        let more = self.ledger.handle_outcome(&key, outcome, self.clock.now());
-                        self.execute(more, client);
+                        let follow_ups =
+                            self.ledger.handle_outcome(&key, outcome, self.clock.now());
+                        self.execute(follow_ups, client);
                     }
                 }
-                // The run continues: a retry with the same key then gets its response.
+                // The request keeps running, so that a retry with the same key gets its response.
                 Action::Cancel { .. } => {}
                 Action::Answer { attempt_id, answer } => {
-                    self.end(attempt_id, Event::Answer(answer));
+                    self.finish(attempt_id, Event::Answer(answer));
                 }
                 Action::Refuse {
                     attempt_id,
@@ -181,7 +185,7 @@
                     reason,
                     retry_after,
                 } => {
-                    self.end(
+                    self.finish(
                         attempt_id,
                         Event::Refused {
                             run,
@@ -194,7 +198,8 @@
         }
     }
 
-    fn end(&mut self, ticket: u64, event: Event) {
+    /// Sends an attempt its last event and removes its channel.
+    fn finish(&mut self, ticket: u64, event: Event) {
         if let Some(task) = self.tasks.remove(&ticket) {
             task.send(event);
         }
--- a/crates/node/src/duties/pools/input.rs
+++ b/crates/node/src/duties/pools/input.rs
@@ -9,7 +9,7 @@
 
 use super::{PoolId, PoolSpec};
 
-/// Input of the worker. The comment of each variant tells what happens if the channel is full.
+/// Input of the worker. The comment of each variant states what happens if the channel is full.
 #[derive(Debug)]
 pub enum Input {
     /// The set of pools that this host owns now. Sent again with the next view.
--- a/crates/node/src/host/mod.rs
+++ b/crates/node/src/host/mod.rs
@@ -190,7 +190,7 @@
     }
 
     /// Begins a graceful shutdown. Other hosts are notified at once; this host keeps serving until
-    /// the look-up answers that callers have cached expire, waits for requests in flight, and hands
+    /// the lookup answers that callers have cached expire, waits for requests in flight, and hands
     /// its records over.
     pub fn start_shutdown(&self) {
         if self
--- a/crates/node/src/metrics/counter.rs
+++ b/crates/node/src/metrics/counter.rs
@@ -3,7 +3,7 @@
 /// A counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Counter {
-    /// Look-ups answered.
+    /// Lookups answered.
     Lookups,
     /// Calls received.
     Calls,
--- a/crates/node/src/metrics/mod.rs
+++ b/crates/node/src/metrics/mod.rs
@@ -1,7 +1,7 @@
 //! Counters and timers of a host, sent as StatsD over UDP.
 //!
 //! A counter is an atomic that the control worker sends at each heartbeat: tens of thousands of
-//! look-ups arrive per second, and a datagram for each would cost more than the look-up.
+//! lookups arrive per second, and a datagram for each would cost more than the lookup.
 
 mod counter;
 
--- a/crates/node/src/ring/mod.rs
+++ b/crates/node/src/ring/mod.rs
@@ -27,7 +27,7 @@
 
 /// Wakes the receiver, also on drop.
 ///
-/// The receiver notices that the last sender is gone when it polls again. A wake-up before the
+/// The receiver notices that the last sender was dropped when it polls again. A wake-up before the
 /// producer is dropped would come too early, and the receiver would then wait indefinitely; so this
 /// field is dropped after the producer. A permit that is stored while the receiver is awake is
 /// consumed by its next wait, so the last drop is never missed.
--- a/crates/node/src/run/relay.rs
+++ b/crates/node/src/run/relay.rs
@@ -1,4 +1,8 @@
-//! Forwards a keyed request to the owner of its key, for a caller that sent it to a third host.
+//! Forwards a request to the owner of its idempotency key, if the caller sent it to a host that the
+//! key does not name.
+//!
+//! A key names two hosts: the owner, which callers try first, and the witness, which grants the
+//! owner the claim to run the request, or runs it itself.
 
 use dunlinrock_coord::once::Key;
 
@@ -9,14 +13,15 @@
     wire::{Answer, CallError, ProblemKind},
 };
 
-/// Path on which hosts receive keyed requests that a third host forwards.
+/// Path on which an owner receives the requests that are forwarded to it.
 pub const CALL_PATH: &str = "/peer/v1/call";
 
-/// Forwards `call` to the owner of its key.
+/// Forwards `call` to the owner of its idempotency key.
 ///
 /// The request is never forwarded to the witness: the caller counts this attempt as one at the
-/// owner, and a closed owner answers `run: no` on the premise that all attempts were sent to it. An
-/// attempt forwarded to the witness without the caller's knowledge would make that `no` wrong.
+/// owner, and an owner that has closed the key answers `run: no` on the premise that all attempts
+/// were sent to it. An attempt forwarded to the witness without the caller's knowledge would make
+/// that `no` wrong.
 pub async fn relay(
     shared: &Shared,
     clients: &Clients,
--- a/crates/node/src/run/target.rs
+++ b/crates/node/src/run/target.rs
@@ -57,13 +57,13 @@
     }
 }
 
-/// Tells a target that crashed from one that only closed a connection.
+/// Distinguishes a target that crashed from one that only closed a connection.
 ///
 /// A kept-alive connection that a live target closes just as a request is sent looks the same as a
 /// crash. If it counted as a crash, an innocent request would become a suspect. A crashed target
-/// does not accept a new connection, so one attempt to connect tells the two apart. While a process
-/// exits, its listener may outlive its connections for a moment and accept the attempt: then the
-/// new connection breaks too, and only a live target's connection stays open for
+/// does not accept a new connection, so one attempt to connect distinguishes the two. While a
+/// process exits, its listener may outlive its connections for a moment and accept the attempt:
+/// then the new connection breaks too, and only a live target's connection stays open for
 /// [`PROBE_HOLD_TIME`].
 async fn probe_target(address: SocketAddr) -> Outcome {
     let connected = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await;
--- a/crates/node/src/view/lookup.rs
+++ b/crates/node/src/view/lookup.rs
@@ -1,7 +1,7 @@
-//! Answers to look-ups, composed in advance.
+//! Answers to lookups, composed in advance.
 //!
-//! Callers repeat their look-up each time an answer expires, all of them, also while everything
-//! else is overloaded; at the intended size that is 880,000 look-ups a second over all hosts.
+//! Callers repeat their lookup each time an answer expires, all of them, also while everything
+//! else is overloaded; at the intended size that is 880,000 lookups a second over all hosts.
 //! Composing an answer takes longer than sending it, and hosts and weights change far less often
 //! than callers ask. Every answer is therefore composed once and then only sent.
 
@@ -29,7 +29,7 @@
 /// Number of leading bits of an IPv6 address that identify its block.
 const BLOCK_BITS_V6: u32 = 48;
 
-/// Prepared answers to look-ups, by service and region of callers.
+/// Prepared answers to lookups, by service and region of callers.
 #[derive(Debug, Default)]
 pub struct LookupAnswers {
     bodies: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Vec<Bytes>>>,
--- a/crates/node/src/view/member.rs
+++ b/crates/node/src/view/member.rs
@@ -19,7 +19,7 @@
     pub peers: SocketAddr,
     /// Whether it is shutting down.
     pub leaving: bool,
-    /// Whether it has been unresponsive for a while.
+    /// Whether it is suspected to have failed, since it has been unresponsive for a while.
     pub suspect: bool,
     /// Last known epoch of its request ledger.
     pub epoch: u64,
--- a/crates/node/src/view/mod.rs
+++ b/crates/node/src/view/mod.rs
@@ -46,7 +46,7 @@
     pub services: BTreeMap<Arc<str>, Arc<ServiceRoute>>,
     /// Traffic shares that this host applies.
     pub shares: Arc<TrafficSplit>,
-    /// Prepared answers to look-ups.
+    /// Prepared answers to lookups.
     pub answers: Arc<LookupAnswers>,
     /// Client blocks and their regions.
     pub blocks: Arc<Blocks>,
--- a/crates/node/src/wire/client.rs
+++ b/crates/node/src/wire/client.rs
@@ -18,8 +18,8 @@
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout for opening a connection. A round trip takes a few milliseconds within a region and some
-/// tens between regions; a lost SYN is retransmitted after a second. 400 ms therefore tells a dead
-/// address from a distant one without waiting for that retransmission.
+/// tens between regions; a lost SYN is retransmitted after a second. 400 ms therefore distinguishes
+/// an unreachable address from a distant one without waiting for that retransmission.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Stage that a call had reached when it failed.
@@ -72,8 +72,8 @@
 ///
 /// A total timeout alone aborts transfers that would have completed: a response of some hundred
 /// kilobytes takes seconds over a narrow, shared link, and a retry takes as long again and adds
-/// load to the link. As long as data arrives the server is alive; a dead server is detected by the
-/// idle timeout.
+/// load to the link. As long as data arrives, the server is working; a server that has failed is
+/// detected by the idle timeout.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamTimeouts {
     /// Until the response head.
--- a/crates/node/src/wire/problem.rs
+++ b/crates/node/src/wire/problem.rs
@@ -1,4 +1,5 @@
-//! Error responses to callers: problem details (RFC 9457) with the additional field `run`.
+//! Error responses to callers: problem details (RFC 9457) with the additional field `run`, which
+//! states whether the request ran on a target.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,32 +20,32 @@
     TooLarge,
     /// The body took too long to arrive.
     TooSlow,
-    /// The request could not be answered within its deadline and was refused.
+    /// The request was refused because it could not be answered within its deadline.
     Overloaded,
     /// This host is not ready: it has no configuration yet, or has not caught up after a pause of
     /// its process.
     NotReady,
     /// No target accepts the request now.
     Unavailable,
-    /// The request has crashed targets and is refused.
+    /// The request is refused because earlier runs of it crashed their targets.
     Quarantined,
     /// The deadline passed after the request may have been sent.
     DeadlinePassed,
     /// A target closed the connection early.
     TargetFailed,
-    /// The key may not run.
+    /// The request cannot run under its idempotency key any more.
     KeyRefused,
-    /// The key belongs to another caller or to another request.
+    /// The idempotency key was used by another caller or for another request.
     KeyMismatch,
-    /// The request of the key ran, and its response is no longer stored.
+    /// The request with this idempotency key ran, and its response is no longer stored.
     AnswerGone,
-    /// The request needs a key.
+    /// The request needs an idempotency key.
     KeyMissing,
     /// A target's response exceeded the limit.
     AnswerTooLarge,
 }
 
-/// All kinds, for the look-up by name.
+/// All kinds, for [`ProblemKind::from_name`].
 const ALL_KINDS: [ProblemKind; 15] = [
     ProblemKind::Malformed,
     ProblemKind::UnknownService,
@@ -64,9 +65,9 @@
 ];
 
 impl ProblemKind {
-    /// Returns the name of the kind, which is the last segment of its URI.
+    /// Returns the name of the kind, which is the last segment of the problem's `type` URI.
     pub fn name(self) -> &'static str {
-        self.parts().1
+        self.status_name_title().1
     }
 
     /// Returns the kind with this name.
@@ -74,7 +75,8 @@
         ALL_KINDS.into_iter().find(|kind| kind.name() == name)
     }
 
-    fn parts(self) -> (StatusCode, &'static str, &'static str) {
+    /// Returns the status, name and title of the kind.
+    fn status_name_title(self) -> (StatusCode, &'static str, &'static str) {
         match self {
             ProblemKind::Malformed => (StatusCode::BAD_REQUEST, "malformed", "malformed request"),
             ProblemKind::UnknownService => {
@@ -133,14 +135,14 @@
     }
 }
 
-/// Error of a call without a response, which also tells whether the request ran.
+/// Error of a call that got no response from a target, with whether the request ran.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallError {
     /// Kind of the error.
     pub kind: ProblemKind,
     /// Whether the request ran.
     pub run: Run,
-    /// Explanation for the caller.
+    /// Explanation for the caller, sent as the problem's `detail`.
     pub detail: Arc<str>,
     /// Time after which a retry may succeed.
     pub retry_after: Option<Duration>,
@@ -174,26 +176,26 @@
         self
     }
 
-    /// Returns the problem details that are sent to the caller.
-    pub fn problem(&self, request: &str) -> Problem {
-        let (status, name, title) = self.kind.parts();
+    /// Returns the problem details that are sent to the caller for the request with this id.
+    pub fn problem(&self, request_id: &str) -> Problem {
+        let (status, name, title) = self.kind.status_name_title();
         Problem {
             type_: format!("/problems/{name}").into(),
             title: title.into(),
             status: status.as_u16(),
             detail: Arc::clone(&self.detail),
             run: self.run,
-            request: request.into(),
+            request: request_id.into(),
             retry_after_ms: self.retry_after.map(millis),
         }
     }
 
-    /// Returns the response to the caller.
-    pub fn response(&self, request: &str) -> Response {
-        let problem = self.problem(request);
+    /// Returns the response to the caller, with the problem details as JSON.
+    pub fn response(&self, request_id: &str) -> Response {
+        let problem = self.problem(request_id);
         let body = serde_json::to_vec(&problem).unwrap_or_default();
         let mut response = Response::new(Body::from(Full::from(body)));
-        *response.status_mut() = self.kind.parts().0;
+        *response.status_mut() = self.kind.status_name_title().0;
         let headers = response.headers_mut();
         headers.insert(
             header::CONTENT_TYPE,
@@ -206,7 +208,7 @@
                 header::HeaderValue::from(millis(time).div_ceil(1000)),
             );
         }
-        if let Ok(id) = header::HeaderValue::from_str(request) {
+        if let Ok(id) = header::HeaderValue::from_str(request_id) {
             headers.insert(super::REQUEST, id);
         }
         response
