--- a/crates/cli/src/caller/idempotent.rs
+++ b/crates/cli/src/caller/idempotent.rs
@@ -1,4 +1,4 @@
-//! Requests that are idempotent.
+//! Sends idempotent requests, which may run more than once, with retries on other hosts.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,7 +10,8 @@
     connections::{AttemptHeaders, AttemptResult},
 };
 
-/// Tries one host after another until a target responds.
+/// Tries one host after another until a target responds, the attempts or the deadline are used up,
+/// or a host refuses the request without a time for a retry.
 pub(super) async fn run(caller: &Caller, request: &CallRequest, deadline: Instant) -> CallResult {
     let mut result = CallResult {
         outcome: Outcome::NotRun("no host answered a look-up".into()),
@@ -23,33 +24,33 @@
         let Some(hosts) = caller.look_up(&request.service, deadline).await else {
             return result;
         };
-        let Some(at) = choose(caller, &hosts.hosts, &tried) else {
+        let Some(address) = choose(caller, &hosts.hosts, &tried) else {
             return result;
         };
-        let head = AttemptHeaders {
+        let headers = AttemptHeaders {
             caller: caller.name(),
             deadline,
             key: None,
         };
-        let wait = match caller.connections.attempt(at, request, &head).await {
+        let retry_after = match caller.connections.attempt(address, request, &headers).await {
             AttemptResult::Answer(status, body) => {
                 result.attempts += 1;
                 result.outcome = Outcome::Answered(TargetResponse {
                     status,
                     body,
-                    host: at,
+                    host: address,
                     key: None,
                 });
                 return result;
             }
             AttemptResult::Problem(problem) => {
                 result.attempts += 1;
-                let wait = problem.retry_after_ms.map(Duration::from_millis);
+                let retry_after = problem.retry_after_ms.map(Duration::from_millis);
                 result.outcome = outcome(problem.run, &problem.detail);
-                if problem.run == Run::No && wait.is_none() {
+                if problem.run == Run::No && retry_after.is_none() {
                     return result;
                 }
-                wait
+                retry_after
             }
             AttemptResult::NotSent => {
                 caller.invalidate(&request.service);
@@ -63,14 +64,15 @@
                 None
             }
         };
-        tried.push(at);
-        if !caller.backoff(wait, deadline).await {
+        tried.push(address);
+        if !caller.backoff(retry_after, deadline).await {
             return result;
         }
     }
     result
 }
 
+/// Converts a host's problem response to the outcome of the request.
 pub(super) fn outcome(run: Run, detail: &Arc<str>) -> Outcome {
     match run {
         Run::No => Outcome::NotRun(Arc::clone(detail)),
@@ -86,19 +88,19 @@
         Some((address, host.weight))
     });
     let all: Vec<_> = all.collect();
-    let untried = all.iter().filter(|(at, _)| !tried.contains(at));
+    let untried = all.iter().filter(|(address, _)| !tried.contains(address));
     let untried: Vec<_> = untried.copied().collect();
-    let from = if untried.is_empty() { all } else { untried };
-    let sum: u64 = from.iter().map(|(_, weight)| weight).sum();
-    if sum == 0 {
-        return from.first().map(|(at, _)| *at);
+    let candidates = if untried.is_empty() { all } else { untried };
+    let total: u64 = candidates.iter().map(|(_, weight)| weight).sum();
+    if total == 0 {
+        return candidates.first().map(|(address, _)| *address);
     }
-    let mut point = caller.draw(sum);
-    for (at, weight) in from {
-        if point < weight {
-            return Some(at);
+    let mut offset = caller.draw(total);
+    for (address, weight) in candidates {
+        if offset < weight {
+            return Some(address);
         }
-        point -= weight;
+        offset -= weight;
     }
     None
 }
--- a/crates/cli/src/logs/mod.rs
+++ b/crates/cli/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! Logging to standard error or standard output.
+//! Installs the process's logger, which writes to standard error or standard output.
 
 mod async_appender;
 
@@ -17,10 +17,10 @@
 /// Name of the only appender.
 const CONSOLE: &str = "console";
 
-/// Logs to standard error, in the format and at the level of the settings.
+/// Installs a logger that writes to standard error, in the format and at the level of the settings.
 pub(crate) fn open(settings: &LogSettings) -> anyhow::Result<()> {
     let encoder: Box<dyn Encode> = match settings.format {
-        LogSettingsFormat::Text => Box::new(Text),
+        LogSettingsFormat::Text => Box::new(TextEncoder),
         LogSettingsFormat::Json => Box::new(JsonEncoder::new()),
     };
     let console = ConsoleAppender::builder()
@@ -34,19 +34,20 @@
                 .appender(CONSOLE)
                 .build(level(settings.level)),
         )
-        .context("the log's configuration")?;
-    log4rs::init_config(config).context("starting the log")?;
+        .context("creating the log configuration")?;
+    log4rs::init_config(config).context("installing the logger")?;
     Ok(())
 }
 
-/// Logs structured lines to standard output without ever blocking on its reader.
+/// Installs a logger that writes JSON lines to standard output, and drops lines rather than block
+/// when the reader is slow.
 pub(crate) fn open_lines() -> anyhow::Result<()> {
     let lines = Box::new(async_appender::AsyncAppender::spawn()?);
     let config = Config::builder()
         .appender(Appender::builder().build(CONSOLE, lines))
         .build(Root::builder().appender(CONSOLE).build(LevelFilter::Info))
-        .context("the log's configuration")?;
-    log4rs::init_config(config).context("starting the log")?;
+        .context("creating the log configuration")?;
+    log4rs::init_config(config).context("installing the logger")?;
     Ok(())
 }
 
@@ -66,19 +67,19 @@
 /// The library's pattern encoder prints only fields that the pattern names, but records have
 /// different fields.
 #[derive(Debug)]
-struct Text;
+struct TextEncoder;
 
-impl Encode for Text {
+impl Encode for TextEncoder {
     fn encode(&self, w: &mut dyn Write, record: &Record<'_>) -> anyhow::Result<()> {
         let time = std::time::SystemTime::now();
-        let since = time
+        let since_epoch = time
             .duration_since(std::time::UNIX_EPOCH)
             .unwrap_or_default();
         write!(
             w,
             "{}.{:03} {:5} {}: {}",
-            since.as_secs(),
-            since.subsec_millis(),
+            since_epoch.as_secs(),
+            since_epoch.subsec_millis(),
             record.level(),
             record.target(),
             record.args()
@@ -89,6 +90,7 @@
     }
 }
 
+/// Writes the fields of a record as ` key=value`.
 struct Fields<'a>(&'a mut dyn Write);
 
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
