--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -5,7 +5,7 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-use dunlinrock_coord::root::{Intent, Verdict};
+use dunlinrock_coord::root::{ApplyOutcome, ApplyRequest};
 use dunlinrock_node::operate;
 use rand::Rng;
 
@@ -44,7 +44,7 @@
         })?;
         let revision = revision(&verdict)?;
         // A revision that was there already has another apply's id.
-        let id = matches!(verdict, Verdict::InForce { .. }).then_some(id);
+        let id = matches!(verdict, ApplyOutcome::Applied { .. }).then_some(id);
         out::line(format_args!("{verdict}"))?;
         match args.list {
             Some(list) if args.wait => follow(list, revision, id.as_deref(), time).await,
@@ -53,11 +53,11 @@
     })?
 }
 
-fn intent(args: &Apply) -> Intent {
+fn intent(args: &Apply) -> ApplyRequest {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let at_ms = now.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX));
     let id = || format!("{at_ms:x}-{:08x}", rand::rng().random::<u32>()).into();
-    Intent {
+    ApplyRequest {
         id: args.id.clone().unwrap_or_else(id),
         by: Arc::clone(&args.by),
         at_ms,
@@ -66,12 +66,14 @@
 }
 
 /// Gives the revision that an apply made, or the failure that it ended in.
-fn revision(verdict: &Verdict) -> Result<u64, Failure> {
+fn revision(verdict: &ApplyOutcome) -> Result<u64, Failure> {
     let exit = match verdict {
-        Verdict::InForce { revision, .. } | Verdict::Same { revision } => return Ok(*revision),
-        Verdict::Overtaken { .. } => Exit::Overtaken,
-        Verdict::Forgotten { .. } => Exit::Unknown,
-        Verdict::Broken { .. } => Exit::Failed,
+        ApplyOutcome::Applied { revision, .. } | ApplyOutcome::Unchanged { revision } => {
+            return Ok(*revision);
+        }
+        ApplyOutcome::Conflict { .. } => Exit::Overtaken,
+        ApplyOutcome::Undetermined { .. } => Exit::Unknown,
+        ApplyOutcome::CorruptRoot { .. } => Exit::Failed,
     };
     Err(Failure::open(exit, verdict.to_string()))
 }
--- a/crates/cli/src/demo/stage.rs
+++ b/crates/cli/src/demo/stage.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use dunlinrock_coord::root::{Intent, Verdict};
+use dunlinrock_coord::root::{ApplyOutcome, ApplyRequest};
 use dunlinrock_fakes::{List, ListRules, Store, StoreRules, Targets};
 use dunlinrock_node::{Host, operate, store};
 use dunlinrock_schema::{
@@ -136,7 +136,7 @@
     /// Applies the configuration at hand; gives its revision.
     fn apply(&mut self) -> Result<u64, Failure> {
         self.applies += 1;
-        let intent = Intent {
+        let intent = ApplyRequest {
             id: format!("demo-{}", self.applies).into(),
             by: "demo".into(),
             at_ms: 0,
@@ -145,7 +145,9 @@
         let client = store::Store::open(self.store.addr(), PREFIX, Duration::from_secs(2));
         let ended = block_on(operate::apply(&client, &self.config, intent, READY))?;
         match ended.map_err(|doubt| Failure::of(Exit::Unknown, &doubt))? {
-            Verdict::InForce { revision, .. } | Verdict::Same { revision } => Ok(revision),
+            ApplyOutcome::Applied { revision, .. } | ApplyOutcome::Unchanged { revision } => {
+                Ok(revision)
+            }
             verdict => Err(failed(&verdict.to_string())),
         }
     }
--- a/crates/coord/src/root/apply.rs
+++ b/crates/coord/src/root/apply.rs
@@ -9,10 +9,10 @@
 use dunlinrock_schema::coord::{Entry, Past, Root};
 
 use super::{
-    intent::{Fault, Intent, Pace},
+    outcome::ApplyOutcome,
     record::{self, next, rolls},
-    store::{Answer, Ask, Asked, Stored, Version},
-    verdict::Verdict,
+    request::{ApplyRequest, Fault, StoreLimits},
+    store::{PendingOp, StoreOp, StoreReply, Version, VersionedValue},
 };
 use crate::{
     pieces::{Diff, Hash, Pieces, Split, TreeError, diff},
@@ -59,9 +59,9 @@
 /// revision after the base is this apply's, or it never will be.
 #[derive(Clone, Debug)]
 pub struct Apply {
-    pub(super) intent: Intent,
+    pub(super) request: ApplyRequest,
     split: Split,
-    pace: Pace,
+    limits: StoreLimits,
     fault: Fault,
     pub(super) base: Option<Base>,
     /// Root as last read; `None` while a read is due. `Some` with no value: there is no root.
@@ -70,7 +70,7 @@
     pub(super) have: Pieces,
     /// Pieces that the store does not have.
     pub(super) gone: Vec<Hash>,
-    pending: BTreeMap<u64, Ask>,
+    pending: BTreeMap<u64, StoreOp>,
     /// Number of the next operation.
     number: u64,
     failures: u32,
@@ -78,16 +78,16 @@
     moved: bool,
     /// No operation is begun before this time.
     wait: Duration,
-    pub(super) verdict: Option<Verdict>,
+    pub(super) outcome: Option<ApplyOutcome>,
 }
 
 impl Apply {
     /// Begins an apply of a split configuration; [`Apply::poll`] gives the first operations.
-    pub fn open(intent: Intent, split: Split, pace: Pace) -> Self {
+    pub fn open(request: ApplyRequest, split: Split, limits: StoreLimits) -> Self {
         Self {
-            intent,
+            request,
             split,
-            pace,
+            limits,
             fault: Fault::None,
             base: None,
             seen: None,
@@ -98,7 +98,7 @@
             failures: 0,
             moved: false,
             wait: Duration::ZERO,
-            verdict: None,
+            outcome: None,
         }
     }
 
@@ -110,32 +110,32 @@
     }
 
     /// What it was told at its start.
-    pub fn intent(&self) -> &Intent {
-        &self.intent
+    pub fn request(&self) -> &ApplyRequest {
+        &self.request
     }
 
     /// The end, once it is certain.
-    pub fn verdict(&self) -> Option<&Verdict> {
-        self.verdict.as_ref()
+    pub fn outcome(&self) -> Option<&ApplyOutcome> {
+        self.outcome.as_ref()
     }
 
     /// When to call [`Apply::poll`] next, unless an answer comes first.
-    pub fn wake(&self) -> Duration {
+    pub fn next_wake(&self) -> Duration {
         self.wait
     }
 
     /// Whether a move was sent whose outcome is not known yet. An operator who gives up now must be
     /// told that the apply may take effect, with its id to look for.
     pub fn in_doubt(&self) -> bool {
-        self.verdict.is_none() && self.moved
+        self.outcome.is_none() && self.moved
     }
 
     /// Operations to begin now.
-    pub fn poll(&mut self, now: Duration) -> Vec<Asked> {
-        if self.verdict.is_some() || now < self.wait {
+    pub fn poll(&mut self, now: Duration) -> Vec<PendingOp> {
+        if self.outcome.is_some() || now < self.wait {
             return Vec::new();
         }
-        let room = self.pace.window.saturating_sub(self.pending.len());
+        let room = self.limits.max_in_flight.saturating_sub(self.pending.len());
         let mut out = Vec::new();
         for ask in self.due() {
             if out.len() == room || self.pending.values().any(|other| *other == ask) {
@@ -143,54 +143,59 @@
             }
             self.number += 1;
             self.pending.insert(self.number, ask.clone());
-            out.push(Asked {
-                number: self.number,
-                ask,
+            out.push(PendingOp {
+                id: self.number,
+                op: ask,
             });
         }
         out
     }
 
     /// Takes the answer to an operation, then gives the operations to begin now.
-    pub fn answer(&mut self, number: u64, answer: Answer, now: Duration) -> Vec<Asked> {
+    pub fn handle_reply(
+        &mut self,
+        number: u64,
+        answer: StoreReply,
+        now: Duration,
+    ) -> Vec<PendingOp> {
         if let Some(ask) = self.pending.remove(&number) {
             self.take(ask, answer, now);
         }
         self.poll(now)
     }
 
-    fn take(&mut self, ask: Ask, answer: Answer, now: Duration) {
-        if answer == Answer::Failed {
+    fn take(&mut self, ask: StoreOp, answer: StoreReply, now: Duration) {
+        if answer == StoreReply::Failed {
             self.failed(&ask, now);
             return;
         }
         self.failures = 0;
         self.wait = Duration::ZERO;
         match (ask, answer) {
-            (Ask::Root, Answer::Root(stored)) => self.read(stored),
-            (Ask::Piece(hash), Answer::Piece(bytes)) => match bytes {
+            (StoreOp::ReadRoot, StoreReply::Root(stored)) => self.read(stored),
+            (StoreOp::ReadPiece(hash), StoreReply::Piece(bytes)) => match bytes {
                 Some(bytes) if Hash::of(&bytes) == hash => {
                     self.have.insert(hash, bytes);
                 }
                 _ => self.gone.push(hash),
             },
-            (Ask::Write { hash, .. }, Answer::Done) => {
+            (StoreOp::WritePiece { hash, .. }, StoreReply::Done) => {
                 if let Some(plan) = self.base.as_mut().and_then(|base| base.plan.as_mut()) {
                     plan.writes.remove(&hash);
                 }
             }
-            (Ask::Move { .. }, Answer::Done) => self.in_force(Vec::new()),
+            (StoreOp::SwapRoot { .. }, StoreReply::Done) => self.in_force(Vec::new()),
             // A conflict, or an answer that does not belong to the operation: look again.
             _ => self.seen = None,
         }
     }
 
-    fn failed(&mut self, ask: &Ask, now: Duration) {
-        let moved = matches!(ask, Ask::Move { .. });
+    fn failed(&mut self, ask: &StoreOp, now: Duration) {
+        let moved = matches!(ask, StoreOp::SwapRoot { .. });
         match self.fault {
             Fault::LostIsFailed if moved => {
                 let base = self.base.as_ref().map_or(0, Base::revision);
-                self.verdict = Some(Verdict::Overtaken {
+                self.outcome = Some(ApplyOutcome::Conflict {
                     base,
                     by: Vec::new(),
                     changed: None,
@@ -199,8 +204,8 @@
             Fault::LostIsDone if moved => self.in_force(Vec::new()),
             _ => {}
         }
-        let doubled = self.pace.retry * 2_u32.pow(self.failures.min(16));
-        self.wait = now + doubled.min(self.pace.longest);
+        let doubled = self.limits.backoff * 2_u32.pow(self.failures.min(16));
+        self.wait = now + doubled.min(self.limits.max_backoff);
         self.failures += 1;
         if moved {
             self.seen = None;
@@ -209,13 +214,13 @@
 
     fn in_force(&mut self, later: Vec<Entry>) {
         let base = self.base.as_ref().map_or(0, Base::revision);
-        self.verdict = Some(Verdict::InForce {
+        self.outcome = Some(ApplyOutcome::Applied {
             revision: base + 1,
             later,
         });
     }
 
-    fn read(&mut self, stored: Option<Stored>) {
+    fn read(&mut self, stored: Option<VersionedValue>) {
         let Some(stored) = stored else {
             self.seen = Some(None);
             return;
@@ -227,15 +232,15 @@
     }
 
     fn broken(&mut self, finding: &str) {
-        self.verdict = Some(Verdict::Broken {
+        self.outcome = Some(ApplyOutcome::CorruptRoot {
             finding: finding.into(),
         });
     }
 
     /// All operations that what is known calls for.
-    fn due(&mut self) -> Vec<Ask> {
+    fn due(&mut self) -> Vec<StoreOp> {
         let Some(seen) = self.seen.clone() else {
-            return vec![Ask::Root];
+            return vec![StoreOp::ReadRoot];
         };
         let version = seen.as_ref().map(|(_, version)| *version);
         let root = seen.map(|(root, _)| root);
@@ -264,17 +269,17 @@
     }
 
     /// The first read: is this the ground that the operator saw?
-    fn begin(&mut self, root: Option<Root>, version: Option<Version>) -> Vec<Ask> {
+    fn begin(&mut self, root: Option<Root>, version: Option<Version>) -> Vec<StoreOp> {
         let revision = root.as_ref().map_or(0, |root| root.now.revision);
         if let Some(root) = &root {
             let mut listed = std::iter::once(&root.now).chain(&root.recent);
-            if let Some(entry) = listed.find(|entry| entry.id == self.intent.id) {
+            if let Some(entry) = listed.find(|entry| entry.id == self.request.id) {
                 // An earlier process of this apply got through and did not hear of it.
                 let made = entry.revision;
                 return self.found(root, made);
             }
         }
-        let expected = self.intent.base.unwrap_or(revision);
+        let expected = self.request.base.unwrap_or(revision);
         if expected > revision {
             self.broken("it is older than the revision that was planned on");
             return Vec::new();
@@ -285,17 +290,17 @@
         }
     }
 
-    fn found(&mut self, root: &Root, revision: u64) -> Vec<Ask> {
+    fn found(&mut self, root: &Root, revision: u64) -> Vec<StoreOp> {
         let listed = std::iter::once(&root.now).chain(&root.recent);
         let later = listed.filter(|entry| entry.revision > revision);
-        self.verdict = Some(Verdict::InForce {
+        self.outcome = Some(ApplyOutcome::Applied {
             revision,
             later: later.cloned().collect(),
         });
         Vec::new()
     }
 
-    fn rebase(&mut self, root: Option<Root>, version: Option<Version>) -> Vec<Ask> {
+    fn rebase(&mut self, root: Option<Root>, version: Option<Version>) -> Vec<StoreOp> {
         let trusted = self.fault == Fault::TrustWritten && self.base.is_some();
         // A move that named an older version cannot take effect any more.
         self.moved = false;
@@ -309,7 +314,7 @@
     }
 
     /// The root is as it was: compare, write, move.
-    fn advance(&mut self) -> Vec<Ask> {
+    fn advance(&mut self) -> Vec<StoreOp> {
         let Some(mut base) = self.base.take() else {
             return Vec::new();
         };
@@ -317,19 +322,19 @@
         if base.plan.is_none() {
             match self.plan(&base) {
                 Ok(plan) => base.plan = plan,
-                Err(missing) => reads = missing.into_iter().map(Ask::Piece).collect(),
+                Err(missing) => reads = missing.into_iter().map(StoreOp::ReadPiece).collect(),
             }
         }
         let asks = match &base.plan {
             Some(plan) if plan.writes.is_empty() => {
                 self.moved = true;
-                vec![Ask::Move {
+                vec![StoreOp::SwapRoot {
                     expect: base.version,
                     bytes: plan.root.clone(),
                 }]
             }
             // Those under way are among the first, so this many give a full window.
-            Some(plan) => writes(&plan.writes, self.pace.window * 2),
+            Some(plan) => writes(&plan.writes, self.limits.max_in_flight * 2),
             None => reads,
         };
         self.base = Some(base);
@@ -342,7 +347,7 @@
         let fresh = match self.compare(base.tree(), self.split.tree) {
             Ok(diff) if diff.changed.is_empty() && base.root.is_some() => {
                 let revision = base.revision();
-                self.verdict = Some(Verdict::Same { revision });
+                self.outcome = Some(ApplyOutcome::Unchanged { revision });
                 return Ok(None);
             }
             Ok(diff) => diff.fresh,
@@ -365,9 +370,9 @@
     fn entry(&self) -> Entry {
         Entry {
             revision: 0,
-            id: self.intent.id.clone(),
-            by: self.intent.by.clone(),
-            at_ms: self.intent.at_ms,
+            id: self.request.id.clone(),
+            by: self.request.by.clone(),
+            at_ms: self.request.at_ms,
             tree: self.split.tree.to_vec(),
         }
     }
@@ -397,8 +402,8 @@
     }
 }
 
-fn writes(pieces: &Pieces, most: usize) -> Vec<Ask> {
-    let write = |(hash, bytes): (&Hash, &Arc<[u8]>)| Ask::Write {
+fn writes(pieces: &Pieces, most: usize) -> Vec<StoreOp> {
+    let write = |(hash, bytes): (&Hash, &Arc<[u8]>)| StoreOp::WritePiece {
         hash: *hash,
         bytes: bytes.clone(),
     };
--- a/crates/coord/src/root/mod.rs
+++ b/crates/coord/src/root/mod.rs
@@ -12,41 +12,41 @@
 //!
 //! use dunlinrock_coord::{
 //!     pieces,
-//!     root::{Answer, Apply, Ask, Intent, Pace, Verdict},
+//!     root::{StoreReply, Apply, StoreOp, ApplyRequest, StoreLimits, ApplyOutcome},
 //! };
 //! use dunlinrock_schema::config::Config;
 //!
-//! let intent = Intent { id: "a1".into(), by: "ana".into(), at_ms: 0, base: None };
-//! let mut apply = Apply::open(intent, pieces::split(&Config::default()), Pace::default());
+//! let intent = ApplyRequest { id: "a1".into(), by: "ana".into(), at_ms: 0, base: None };
+//! let mut apply = Apply::open(intent, pieces::split(&Config::default()), StoreLimits::default());
 //! let mut asks = apply.poll(Duration::ZERO);
 //! while let Some(asked) = asks.pop() {
 //!     // An empty store that does all it is asked.
-//!     let answer = match asked.ask {
-//!         Ask::Root => Answer::Root(None),
-//!         _ => Answer::Done,
+//!     let answer = match asked.op {
+//!         StoreOp::ReadRoot => StoreReply::Root(None),
+//!         _ => StoreReply::Done,
 //!     };
-//!     asks.extend(apply.answer(asked.number, answer, Duration::ZERO));
+//!     asks.extend(apply.handle_reply(asked.id, answer, Duration::ZERO));
 //! }
-//! assert_eq!(apply.verdict(), Some(&Verdict::InForce { revision: 1, later: vec![] }));
+//! assert_eq!(apply.outcome(), Some(&ApplyOutcome::Applied { revision: 1, later: vec![] }));
 //! ```
 
 mod apply;
-mod intent;
+mod outcome;
 mod record;
+mod request;
 mod settle;
 mod store;
 mod sweep;
 mod trace;
-mod verdict;
 
 #[doc(hidden)]
-pub use self::intent::Fault;
+pub use self::request::Fault;
 pub use self::{
     apply::Apply,
-    intent::{Intent, Pace},
+    outcome::ApplyOutcome,
     record::{PAST_ENTRIES, RECENT, bytes, find, read},
-    store::{Answer, Ask, Asked, Stored, Version},
+    request::{ApplyRequest, StoreLimits},
+    store::{PendingOp, StoreOp, StoreReply, Version, VersionedValue},
     sweep::{KEPT_REVISIONS, Sweep, Swept, kept},
     trace::{Trace, after},
-    verdict::Verdict,
 };
--- a/crates/coord/src/root/verdict.rs
+++ b/crates/coord/src/root/outcome.rs
@@ -6,21 +6,21 @@
 
 /// The end of an apply. Each is certain when it is given.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum ApplyOutcome {
     /// The apply took effect.
-    InForce {
+    Applied {
         /// The revision that it made.
         revision: u64,
         /// Applies that followed it since, newest first.
         later: Vec<Entry>,
     },
     /// The configuration in force is this one already; nothing was written.
-    Same {
+    Unchanged {
         /// Revision in force.
         revision: u64,
     },
     /// Others came first; the apply did not take effect and never will.
-    Overtaken {
+    Conflict {
         /// Revision that the apply was based on.
         base: u64,
         /// Applies since then, newest first.
@@ -29,34 +29,34 @@
         changed: Option<BTreeSet<Arc<str>>>,
     },
     /// The list of applies no longer reaches back to this one. It may have taken effect.
-    Forgotten {
+    Undetermined {
         /// Revision that the apply was based on.
         base: u64,
         /// Revision in force.
         revision: u64,
     },
     /// The store holds an older root than it did, or none that can be read.
-    Broken {
+    CorruptRoot {
         /// What was found.
         finding: Arc<str>,
     },
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for ApplyOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::InForce { revision, later } if later.is_empty() => {
+            Self::Applied { revision, later } if later.is_empty() => {
                 write!(f, "in force as revision {revision}")
             }
-            Self::InForce { revision, later } => write!(
+            Self::Applied { revision, later } => write!(
                 f,
                 "took effect as revision {revision}; since then: {}",
                 listed(later)
             ),
-            Self::Same { revision } => {
+            Self::Unchanged { revision } => {
                 write!(f, "no change: revision {revision} is this configuration")
             }
-            Self::Overtaken { base, by, changed } => {
+            Self::Conflict { base, by, changed } => {
                 write!(f, "not applied: revision {base} was overtaken by ")?;
                 write!(f, "{}; ", listed(by))?;
                 match changed {
@@ -65,12 +65,12 @@
                 }
                 write!(f, "; look at the plan again and apply")
             }
-            Self::Forgotten { base, revision } => write!(
+            Self::Undetermined { base, revision } => write!(
                 f,
                 "unknown: based on revision {base}, and the list of applies does not reach back \
                  so far from revision {revision}; compare what is in force with `plan`"
             ),
-            Self::Broken { finding } => write!(f, "the store's root is not usable: {finding}"),
+            Self::CorruptRoot { finding } => write!(f, "the store's root is not usable: {finding}"),
         }
     }
 }
--- a/crates/coord/src/root/intent.rs
+++ b/crates/coord/src/root/request.rs
@@ -4,7 +4,7 @@
 
 /// Who applies, and on what ground.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Intent {
+pub struct ApplyRequest {
     /// Id of the apply; unique, as it is how the apply finds itself in the root.
     pub id: Arc<str>,
     /// Operator's name.
@@ -17,22 +17,22 @@
 
 /// How hard the store is used.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct StoreLimits {
     /// Operations under way at once. The first apply of 760,000 blocks writes 4,200 pieces; at one
     /// at a time and 3 ms each it would take 13 s, while the store takes several hundred a second.
-    pub window: usize,
+    pub max_in_flight: usize,
     /// Wait after a failed operation; doubles with each failure in a row.
-    pub retry: Duration,
+    pub backoff: Duration,
     /// Longest such wait.
-    pub longest: Duration,
+    pub max_backoff: Duration,
 }
 
-impl Default for Pace {
+impl Default for StoreLimits {
     fn default() -> Self {
         Self {
-            window: 16,
-            retry: Duration::from_millis(100),
-            longest: Duration::from_secs(5),
+            max_in_flight: 16,
+            backoff: Duration::from_millis(100),
+            max_backoff: Duration::from_secs(5),
         }
     }
 }
--- a/crates/coord/src/root/settle.rs
+++ b/crates/coord/src/root/settle.rs
@@ -4,28 +4,28 @@
 
 use super::{
     apply::{Apply, Base},
-    store::Ask,
+    outcome::ApplyOutcome,
+    store::StoreOp,
     trace::{Trace, after},
-    verdict::Verdict,
 };
 use crate::pieces::{Hash, TreeError};
 
 impl Apply {
     /// The root moved on from `base`: was it this apply?
-    pub(super) fn settle(&mut self, root: &Root, base: u64) -> Vec<Ask> {
+    pub(super) fn settle(&mut self, root: &Root, base: u64) -> Vec<StoreOp> {
         let (mut by, ground) = match after(root, base, &self.have, &self.gone) {
             Trace::Whole { later, ground } => (later, ground),
-            Trace::Needs(hash) => return vec![Ask::Piece(hash)],
+            Trace::Needs(hash) => return vec![StoreOp::ReadPiece(hash)],
             Trace::Ended => {
                 let revision = root.now.revision;
-                self.verdict = Some(Verdict::Forgotten { base, revision });
+                self.outcome = Some(ApplyOutcome::Undetermined { base, revision });
                 return Vec::new();
             }
         };
-        if by.last().is_some_and(|entry| entry.id == self.intent.id) {
+        if by.last().is_some_and(|entry| entry.id == self.request.id) {
             by.pop();
             let revision = base + 1;
-            self.verdict = Some(Verdict::InForce {
+            self.outcome = Some(ApplyOutcome::Applied {
                 revision,
                 later: by,
             });
@@ -42,7 +42,7 @@
         base: u64,
         ground: Option<Hash>,
         by: Vec<Entry>,
-    ) -> Vec<Ask> {
+    ) -> Vec<StoreOp> {
         let known = self.base.as_ref();
         let known = known.filter(|known| known.revision() == base);
         let old = known.and_then(Base::tree).or(ground);
@@ -52,12 +52,12 @@
             (old, Some(new)) => match self.compare(old, new) {
                 Ok(diff) => Some(diff.changed.into_keys().collect()),
                 Err(TreeError::Missing(missing)) if !self.any_gone(&missing) => {
-                    return missing.into_iter().map(Ask::Piece).collect();
+                    return missing.into_iter().map(StoreOp::ReadPiece).collect();
                 }
                 Err(_) => None,
             },
         };
-        self.verdict = Some(Verdict::Overtaken { base, by, changed });
+        self.outcome = Some(ApplyOutcome::Conflict { base, by, changed });
         Vec::new()
     }
 }
--- a/crates/coord/src/root/store.rs
+++ b/crates/coord/src/root/store.rs
@@ -13,30 +13,30 @@
 
 /// An operation on the store.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ask {
+pub enum StoreOp {
     /// Read the root.
-    Root,
+    ReadRoot,
     /// Read a piece.
-    Piece(Hash),
+    ReadPiece(Hash),
     /// Write a piece, also where it is there already: the write gives it a new version, which
     /// keeps a sweep that saw the old one from removing it.
-    Write {
+    WritePiece {
         /// Where to.
         hash: Hash,
         /// What.
         bytes: Arc<[u8]>,
     },
     /// Replace the root if its version is still this one (`None`: if there is no root).
-    Move {
+    SwapRoot {
         /// The version it must have.
         expect: Option<Version>,
         /// The new root.
         bytes: Arc<[u8]>,
     },
     /// List the pieces with their versions.
-    List,
+    ListPieces,
     /// Remove a piece if its version is still this one.
-    Remove {
+    RemovePiece {
         /// Which.
         hash: Hash,
         /// The version it must have.
@@ -46,7 +46,7 @@
 
 /// A value with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stored {
+pub struct VersionedValue {
     /// The value.
     pub bytes: Arc<[u8]>,
     /// Its version.
@@ -55,9 +55,9 @@
 
 /// The store's answer to an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum StoreReply {
     /// The root, or that there is none.
-    Root(Option<Stored>),
+    Root(Option<VersionedValue>),
     /// A piece, or that there is none.
     Piece(Option<Arc<[u8]>>),
     /// The write, move or removal took effect.
@@ -72,9 +72,9 @@
 
 /// An operation with the number under which its answer is expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct PendingOp {
     /// Number of the operation; each is answered once, later answers are ignored.
-    pub number: u64,
+    pub id: u64,
     /// The operation.
-    pub ask: Ask,
+    pub op: StoreOp,
 }
--- a/crates/coord/src/root/sweep.rs
+++ b/crates/coord/src/root/sweep.rs
@@ -20,7 +20,7 @@
 
 use super::{
     record,
-    store::{Answer, Ask, Asked, Version},
+    store::{PendingOp, StoreOp, StoreReply, Version},
 };
 use crate::{
     pieces::{Hash, Pieces, TreeError, list},
@@ -28,7 +28,7 @@
 };
 
 /// Revisions whose applies stay listed: three weeks at 4,500 a day. An apply that waits longer for
-/// the store is told that it is [forgotten](super::Verdict::Forgotten).
+/// the store is told that it is [forgotten](super::ApplyOutcome::Undetermined).
 pub const KEPT_REVISIONS: u64 = 100_000;
 /// Removals under way at once.
 const WINDOW: usize = 8;
@@ -73,7 +73,7 @@
     reads: Vec<Hash>,
     /// Pieces to remove, then those not yet begun.
     todo: Vec<Hash>,
-    pending: BTreeMap<u64, Ask>,
+    pending: BTreeMap<u64, StoreOp>,
     number: u64,
     removed: usize,
     kept: usize,
@@ -115,7 +115,7 @@
     }
 
     /// Operations to begin now.
-    pub fn poll(&mut self) -> Vec<Asked> {
+    pub fn poll(&mut self) -> Vec<PendingOp> {
         let mut out = Vec::new();
         while self.ended.is_none() && self.pending.len() < WINDOW {
             let Some(ask) = self.due() else {
@@ -123,55 +123,57 @@
             };
             self.number += 1;
             self.pending.insert(self.number, ask.clone());
-            out.push(Asked {
-                number: self.number,
-                ask,
+            out.push(PendingOp {
+                id: self.number,
+                op: ask,
             });
         }
         out
     }
 
     /// Takes the answer to an operation, then gives the operations to begin now.
-    pub fn answer(&mut self, number: u64, answer: Answer) -> Vec<Asked> {
+    pub fn handle_reply(&mut self, number: u64, answer: StoreReply) -> Vec<PendingOp> {
         if let Some(ask) = self.pending.remove(&number) {
             self.take(ask, answer);
         }
         self.poll()
     }
 
-    fn take(&mut self, ask: Ask, answer: Answer) {
+    fn take(&mut self, ask: StoreOp, answer: StoreReply) {
         match (ask, answer) {
-            (Ask::Root, Answer::Root(Some(stored))) => match record::read(&stored.bytes) {
-                Some(root) => {
-                    self.root = Some((root, stored.version));
-                    self.step = Step::List;
+            (StoreOp::ReadRoot, StoreReply::Root(Some(stored))) => {
+                match record::read(&stored.bytes) {
+                    Some(root) => {
+                        self.root = Some((root, stored.version));
+                        self.step = Step::List;
+                    }
+                    None => self.ended = Some(Swept::Failed),
                 }
-                None => self.ended = Some(Swept::Failed),
-            },
-            (Ask::Root, Answer::Root(None)) => self.ended = Some(Swept::Clean),
-            (Ask::List, Answer::Listed(listed)) => {
+            }
+            (StoreOp::ReadRoot, StoreReply::Root(None)) => self.ended = Some(Swept::Clean),
+            (StoreOp::ListPieces, StoreReply::Listed(listed)) => {
                 self.listed = listed.into_iter().collect();
                 self.step = Step::Walk;
             }
-            (Ask::Piece(hash), Answer::Piece(bytes)) => match bytes {
+            (StoreOp::ReadPiece(hash), StoreReply::Piece(bytes)) => match bytes {
                 Some(bytes) => drop(self.have.insert(hash, bytes)),
                 None => drop(self.gone.insert(hash)),
             },
-            (Ask::Move { .. }, Answer::Done) => self.step = Step::Remove,
-            (Ask::Move { .. }, _) => self.ended = Some(Swept::Beaten),
-            (Ask::Remove { .. }, Answer::Done) => self.removed += 1,
-            (Ask::Remove { .. }, Answer::Conflict) => self.kept += 1,
+            (StoreOp::SwapRoot { .. }, StoreReply::Done) => self.step = Step::Remove,
+            (StoreOp::SwapRoot { .. }, _) => self.ended = Some(Swept::Beaten),
+            (StoreOp::RemovePiece { .. }, StoreReply::Done) => self.removed += 1,
+            (StoreOp::RemovePiece { .. }, StoreReply::Conflict) => self.kept += 1,
             // A piece that could not be removed now is found again by the next sweep.
-            (Ask::Remove { .. }, _) => self.kept += 1,
+            (StoreOp::RemovePiece { .. }, _) => self.kept += 1,
             _ => self.ended = Some(Swept::Failed),
         }
     }
 
-    fn due(&mut self) -> Option<Ask> {
+    fn due(&mut self) -> Option<StoreOp> {
         let idle = self.pending.is_empty();
         match self.step {
-            Step::Read => idle.then_some(Ask::Root),
-            Step::List => idle.then_some(Ask::List),
+            Step::Read => idle.then_some(StoreOp::ReadRoot),
+            Step::List => idle.then_some(StoreOp::ListPieces),
             Step::Walk => self.walk(),
             Step::Mark => idle.then(|| self.mark()).flatten(),
             Step::Remove => self.remove(),
@@ -179,9 +181,9 @@
     }
 
     /// Reads index pieces, level by level, until it is known which pieces are reached.
-    fn walk(&mut self) -> Option<Ask> {
+    fn walk(&mut self) -> Option<StoreOp> {
         if let Some(hash) = self.reads.pop() {
-            return Some(Ask::Piece(hash));
+            return Some(StoreOp::ReadPiece(hash));
         }
         if !self.pending.is_empty() {
             return None;
@@ -210,10 +212,10 @@
             return self.choose(&reached);
         }
         self.reads = missing.into_iter().collect();
-        self.reads.pop().map(Ask::Piece)
+        self.reads.pop().map(StoreOp::ReadPiece)
     }
 
-    fn choose(&mut self, reached: &BTreeSet<Hash>) -> Option<Ask> {
+    fn choose(&mut self, reached: &BTreeSet<Hash>) -> Option<StoreOp> {
         let unreached = self.listed.keys().filter(|hash| !reached.contains(hash));
         self.todo = unreached.copied().collect();
         if self.todo.is_empty() {
@@ -253,16 +255,16 @@
         BTreeSet::new()
     }
 
-    fn mark(&mut self) -> Option<Ask> {
+    fn mark(&mut self) -> Option<StoreOp> {
         let (mut root, version) = self.root.clone()?;
         root.sweep += 1;
-        Some(Ask::Move {
+        Some(StoreOp::SwapRoot {
             expect: Some(version),
             bytes: record::bytes(&root),
         })
     }
 
-    fn remove(&mut self) -> Option<Ask> {
+    fn remove(&mut self) -> Option<StoreOp> {
         let Some(hash) = self.todo.pop() else {
             if self.pending.is_empty() {
                 let (removed, kept) = (self.removed, self.kept);
@@ -271,7 +273,7 @@
             return None;
         };
         let version = *self.listed.get(&hash)?;
-        Some(Ask::Remove { hash, version })
+        Some(StoreOp::RemovePiece { hash, version })
     }
 }
 
--- a/crates/node/src/duties/control/tasks.rs
+++ b/crates/node/src/duties/control/tasks.rs
@@ -8,7 +8,7 @@
 use dunlinrock_coord::{
     follow::Source,
     pieces::Hash,
-    root::{Answer, Ask},
+    root::{StoreOp, StoreReply},
     wire as coord_wire,
 };
 use dunlinrock_schema::{
@@ -174,11 +174,11 @@
         tokio::spawn(async move {
             let reads = hashes.into_iter().map(|hash| {
                 caller.metrics.count(Count::StoreCalls);
-                perform(&caller.store, Ask::Piece(hash))
+                perform(&caller.store, StoreOp::ReadPiece(hash))
             });
             let mut pieces = Vec::new();
             for answer in futures::future::join_all(reads).await {
-                if let Answer::Piece(Some(bytes)) = answer {
+                if let StoreReply::Piece(Some(bytes)) = answer {
                     pieces.push(bytes);
                 }
             }
--- a/crates/node/src/operate/apply.rs
+++ b/crates/node/src/operate/apply.rs
@@ -4,7 +4,7 @@
 
 use dunlinrock_coord::{
     pieces,
-    root::{Answer, Apply, Asked, Intent, Pace, Verdict},
+    root::{Apply, ApplyOutcome, ApplyRequest, PendingOp, StoreLimits, StoreReply},
 };
 use dunlinrock_schema::config::Config;
 use futures::{StreamExt, future::BoxFuture, stream::FuturesUnordered};
@@ -36,31 +36,31 @@
 pub async fn apply(
     store: &Store,
     config: &Config,
-    intent: Intent,
+    intent: ApplyRequest,
     time: Duration,
-) -> Result<Verdict, Doubt> {
+) -> Result<ApplyOutcome, Doubt> {
     let id = Arc::clone(&intent.id);
     let origin = Instant::now();
     let end = origin + time;
-    let mut apply = Apply::open(intent, pieces::split(config), Pace::default());
-    let mut running: FuturesUnordered<BoxFuture<'_, (u64, Answer)>> = FuturesUnordered::new();
+    let mut apply = Apply::open(intent, pieces::split(config), StoreLimits::default());
+    let mut running: FuturesUnordered<BoxFuture<'_, (u64, StoreReply)>> = FuturesUnordered::new();
     for asked in apply.poll(Duration::ZERO) {
         running.push(Box::pin(answer(store, asked)));
     }
     loop {
-        if let Some(verdict) = apply.verdict() {
+        if let Some(verdict) = apply.outcome() {
             return Ok(verdict.clone());
         }
         let more = tokio::select! {
             Some((number, answer)) = running.next(), if !running.is_empty() => {
-                apply.answer(number, answer, origin.elapsed())
+                apply.handle_reply(number, answer, origin.elapsed())
             }
-            () = sleep_until((origin + apply.wake()).min(end)), if running.is_empty() => {
+            () = sleep_until((origin + apply.next_wake()).min(end)), if running.is_empty() => {
                 apply.poll(origin.elapsed())
             }
             () = sleep_until(end) => Vec::new(),
         };
-        if Instant::now() >= end && apply.verdict().is_none() {
+        if Instant::now() >= end && apply.outcome().is_none() {
             return Err(Doubt {
                 id,
                 time,
@@ -73,6 +73,6 @@
     }
 }
 
-async fn answer(store: &Store, asked: Asked) -> (u64, Answer) {
-    (asked.number, perform(store, asked.ask).await)
+async fn answer(store: &Store, asked: PendingOp) -> (u64, StoreReply) {
+    (asked.id, perform(store, asked.op).await)
 }
--- a/crates/node/src/operate/read.rs
+++ b/crates/node/src/operate/read.rs
@@ -3,7 +3,7 @@
 use anyhow::Context;
 use dunlinrock_coord::{
     pieces::{self, Hash, JoinError, Pieces, TreeError},
-    root::{Answer, Ask},
+    root::{StoreOp, StoreReply},
     wire,
 };
 use dunlinrock_schema::{config::Config, coord::Root};
@@ -44,8 +44,8 @@
             Err(e) => return Err(e.into()),
         };
         for hash in missing {
-            match perform(store, Ask::Piece(hash)).await {
-                Answer::Piece(Some(bytes)) => {
+            match perform(store, StoreOp::ReadPiece(hash)).await {
+                StoreReply::Piece(Some(bytes)) => {
                     held.insert(hash, bytes);
                 }
                 _ => anyhow::bail!(
--- a/crates/node/src/store/operations.rs
+++ b/crates/node/src/store/operations.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use dunlinrock_coord::{
     pieces::Hash,
-    root::{Answer, Ask, Stored},
+    root::{StoreOp, StoreReply, VersionedValue},
 };
 
 use super::{ABSENT, Store, StoreError, Swap};
@@ -18,39 +18,39 @@
     format!("{PIECE_PREFIX}{hash}")
 }
 
-/// Does one operation. Whatever the store did not answer for certain is [`Answer::Failed`], and
+/// Does one operation. Whatever the store did not answer for certain is [`StoreReply::Failed`], and
 /// the machine that asked finds out by reading.
-pub async fn perform(store: &Store, ask: Ask) -> Answer {
+pub async fn perform(store: &Store, ask: StoreOp) -> StoreReply {
     match attempt(store, ask).await {
         Ok(answer) => answer,
         Err(e) => {
             log::debug!(error:% = e; "a store operation failed");
-            Answer::Failed
+            StoreReply::Failed
         }
     }
 }
 
-async fn attempt(store: &Store, ask: Ask) -> Result<Answer, StoreError> {
+async fn attempt(store: &Store, ask: StoreOp) -> Result<StoreReply, StoreError> {
     Ok(match ask {
-        Ask::Root => {
+        StoreOp::ReadRoot => {
             let found = store.get(ROOT_KEY).await?;
             let version = found.version;
-            Answer::Root(found.value.map(|bytes| Stored {
+            StoreReply::Root(found.value.map(|bytes| VersionedValue {
                 bytes: bytes[..].into(),
                 version,
             }))
         }
-        Ask::Piece(hash) => {
+        StoreOp::ReadPiece(hash) => {
             let found = store.get(&piece_key(&hash)).await?;
-            Answer::Piece(found.value.map(|bytes| bytes[..].into()))
+            StoreReply::Piece(found.value.map(|bytes| bytes[..].into()))
         }
-        Ask::Write { hash, bytes } => {
+        StoreOp::WritePiece { hash, bytes } => {
             store
                 .put(&piece_key(&hash), Bytes::copy_from_slice(&bytes))
                 .await?;
-            Answer::Done
+            StoreReply::Done
         }
-        Ask::Move { expect, bytes } => {
+        StoreOp::SwapRoot { expect, bytes } => {
             let version = expect.unwrap_or(ABSENT);
             swapped(
                 store
@@ -58,21 +58,23 @@
                     .await?,
             )
         }
-        Ask::List => {
+        StoreOp::ListPieces => {
             let keys = store.list(PIECE_PREFIX).await?;
             let pieces = keys.iter().filter_map(|(key, version)| {
                 let hash = Hash::parse(key.strip_prefix(PIECE_PREFIX)?)?;
                 Some((hash, *version))
             });
-            Answer::Listed(pieces.collect())
+            StoreReply::Listed(pieces.collect())
+        }
+        StoreOp::RemovePiece { hash, version } => {
+            swapped(store.delete(&piece_key(&hash), version).await?)
         }
-        Ask::Remove { hash, version } => swapped(store.delete(&piece_key(&hash), version).await?),
     })
 }
 
-fn swapped(swap: Swap) -> Answer {
+fn swapped(swap: Swap) -> StoreReply {
     match swap {
-        Swap::Done(_) => Answer::Done,
-        Swap::Conflict(_) => Answer::Conflict,
+        Swap::Done(_) => StoreReply::Done,
+        Swap::Conflict(_) => StoreReply::Conflict,
     }
 }
