--- a/crates/coord/src/follow/goal.rs
+++ b/crates/coord/src/follow/goal.rs
@@ -100,7 +100,7 @@
         let get = |hash: &Hash| self.got.get(hash).or_else(|| held(hash)).cloned();
         let missing: BTreeSet<Hash> = match diff(copy.and_then(Snapshot::tree), tree, &get) {
             Ok(diff) => {
-                let lacking = diff.fresh.iter().filter(|hash| get(hash).is_none());
+                let lacking = diff.new_pieces.iter().filter(|hash| get(hash).is_none());
                 let lacking: BTreeSet<_> = lacking.copied().collect();
                 if lacking.is_empty() {
                     return Next::Whole(diff);
@@ -108,7 +108,7 @@
                 lacking
             }
             Err(TreeError::Missing(missing)) => missing,
-            Err(TreeError::Broken(_)) => return Next::Drop,
+            Err(TreeError::Corrupt(_)) => return Next::Drop,
         };
         if self.asked.is_some() {
             return Next::Wait;
--- a/crates/coord/src/follow/snapshot.rs
+++ b/crates/coord/src/follow/snapshot.rs
@@ -58,7 +58,7 @@
     pub(super) fn switch(&mut self, root: Root, got: Pieces, forward: &Diff) -> Pieces {
         let from = self.tree();
         let to = Hash::read(&root.now.tree);
-        let wanted = |hash: &Hash| forward.fresh.contains(hash);
+        let wanted = |hash: &Hash| forward.new_pieces.contains(hash);
         self.pieces
             .extend(got.into_iter().filter(|(hash, _)| wanted(hash)));
         let mut old = Pieces::new();
@@ -67,14 +67,14 @@
             // A leaf holds the names of its rows and an index piece those of its children, so no
             // piece stands in two places, and what one place drops nobody else needs.
             let back = diff(Some(to), from, &get).unwrap_or_default();
-            for hash in back.fresh.difference(&forward.fresh) {
+            for hash in back.new_pieces.difference(&forward.new_pieces) {
                 old.extend(self.pieces.remove_entry(hash));
             }
         }
         let revision = root.now.revision;
         // A first copy is all fresh, and far too much to be given along.
         if self.root.now.revision > 0 {
-            self.fresh.insert(revision, forward.fresh.clone());
+            self.fresh.insert(revision, forward.new_pieces.clone());
         }
         while self.fresh.len() > FRESH_REVISIONS {
             self.fresh.pop_first();
--- a/crates/coord/src/pieces/diff.rs
+++ b/crates/coord/src/pieces/diff.rs
@@ -25,7 +25,7 @@
     /// Leaves that differ, by name.
     pub changed: BTreeMap<Arc<str>, Change>,
     /// Index pieces and leaves of the new tree that the old one does not have in the same place.
-    pub fresh: BTreeSet<Hash>,
+    pub new_pieces: BTreeSet<Hash>,
 }
 
 /// Compares two trees; `old` is `None` for a start from nothing.
@@ -41,7 +41,7 @@
     let mut sides = Sides::default();
     compare(&mut walk, &mut sides, old, Some(new), get);
     let mut out = Diff {
-        fresh: sides.nodes,
+        new_pieces: sides.nodes,
         ..Diff::default()
     };
     let names: BTreeSet<_> = sides.old.keys().chain(sides.new.keys()).cloned().collect();
@@ -49,7 +49,7 @@
         let old = sides.old.get(&name).copied();
         let new = sides.new.get(&name).copied();
         if old != new {
-            out.fresh.extend(new);
+            out.new_pieces.extend(new);
             out.changed.insert(name, Change { old, new });
         }
     }
--- a/crates/coord/src/pieces/index.rs
+++ b/crates/coord/src/pieces/index.rs
@@ -103,7 +103,7 @@
     Missing(BTreeSet<Hash>),
     /// A piece has the right hash and cannot be read: it was written by something else.
     #[error("piece {0} does not read as part of a configuration; apply the configuration again")]
-    Broken(Hash),
+    Corrupt(Hash),
 }
 
 /// A walk that gathers what it lacks instead of stopping at the first.
@@ -154,7 +154,7 @@
 
     pub(super) fn finish<T>(self, value: T) -> Result<T, TreeError> {
         match self.broken {
-            Some(hash) => Err(TreeError::Broken(hash)),
+            Some(hash) => Err(TreeError::Corrupt(hash)),
             None if !self.missing.is_empty() => Err(TreeError::Missing(self.missing)),
             None => Ok(value),
         }
--- a/crates/coord/src/pieces/mod.rs
+++ b/crates/coord/src/pieces/mod.rs
@@ -90,7 +90,7 @@
 /// Joins pieces to the whole configuration, or says what is missing; never gives a part.
 pub fn join(tree: Hash, pieces: &Pieces) -> Result<Config, JoinError> {
     let mut config = Config::default();
-    let listed = list(tree, pieces)?;
+    let listed = list_tree(tree, pieces)?;
     let missing: BTreeSet<_> = listed
         .leaves
         .values()
@@ -101,7 +101,7 @@
         return Err(TreeError::Missing(missing).into());
     }
     for hash in listed.leaves.values() {
-        let leaf = read(*hash, pieces)?;
+        let leaf = read_leaf(*hash, pieces)?;
         leaf.add(&mut config)
             .map_err(|error| JoinError::Leaf { hash: *hash, error })?;
     }
@@ -110,7 +110,7 @@
 
 /// What a tree consists of.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Listed {
+pub struct TreeContents {
     /// Hashes of the leaves, by name.
     pub leaves: BTreeMap<Arc<str>, Hash>,
     /// The index pieces.
@@ -118,20 +118,20 @@
 }
 
 /// Lists the leaves and index pieces of a tree; the leaves themselves need not be at hand.
-pub fn list(tree: Hash, pieces: &Pieces) -> Result<Listed, TreeError> {
+pub fn list_tree(tree: Hash, pieces: &Pieces) -> Result<TreeContents, TreeError> {
     let mut walk = Walk::default();
-    let mut out = Listed::default();
+    let mut out = TreeContents::default();
     let get = |hash: &Hash| pieces.get(hash).cloned();
     walk.list(tree, &get, &mut out.leaves, &mut out.nodes);
     walk.finish(out)
 }
 
 /// Reads one leaf.
-pub fn read(hash: Hash, pieces: &Pieces) -> Result<Leaf, JoinError> {
+pub fn read_leaf(hash: Hash, pieces: &Pieces) -> Result<Leaf, JoinError> {
     let bytes = pieces
         .get(&hash)
         .ok_or_else(|| TreeError::Missing(BTreeSet::from([hash])))?;
-    wire::decode(bytes).map_err(|_| TreeError::Broken(hash).into())
+    wire::decode(bytes).map_err(|_| TreeError::Corrupt(hash).into())
 }
 
 /// Brings a configuration from one tree to another; on an error it is left half changed and must
@@ -141,12 +141,12 @@
 /// leaves.
 pub fn patch(config: &mut Config, diff: &Diff, pieces: &Pieces) -> Result<(), JoinError> {
     for hash in diff.changed.values().filter_map(|change| change.old) {
-        let leaf = read(hash, pieces)?;
+        let leaf = read_leaf(hash, pieces)?;
         leaf.remove(config)
             .map_err(|error| JoinError::Leaf { hash, error })?;
     }
     for hash in diff.changed.values().filter_map(|change| change.new) {
-        let leaf = read(hash, pieces)?;
+        let leaf = read_leaf(hash, pieces)?;
         leaf.add(config)
             .map_err(|error| JoinError::Leaf { hash, error })?;
     }
--- a/crates/coord/src/root/apply.rs
+++ b/crates/coord/src/root/apply.rs
@@ -350,7 +350,7 @@
                 self.outcome = Some(ApplyOutcome::Unchanged { revision });
                 return Ok(None);
             }
-            Ok(diff) => diff.fresh,
+            Ok(diff) => diff.new_pieces,
             Err(TreeError::Missing(missing)) if !self.any_gone(&missing) => return Err(missing),
             // The tree in force lacks pieces. All of ours are written; this apply mends it.
             Err(_) => self.split.pieces.keys().copied().collect(),
--- a/crates/coord/src/root/sweep.rs
+++ b/crates/coord/src/root/sweep.rs
@@ -23,7 +23,7 @@
     store::{PendingOp, StoreOp, StoreReply, Version},
 };
 use crate::{
-    pieces::{Hash, Pieces, TreeError, list},
+    pieces::{Hash, Pieces, TreeError, list_tree},
     wire,
 };
 
@@ -192,13 +192,13 @@
         let mut reached = BTreeSet::new();
         let mut missing = self.walk_past(&root, &mut reached);
         for (_, tree) in kept(&root) {
-            match list(tree, &self.have) {
+            match list_tree(tree, &self.have) {
                 Ok(listed) => {
                     reached.extend(listed.nodes);
                     reached.extend(listed.leaves.into_values());
                 }
                 Err(TreeError::Missing(lacking)) => missing.extend(lacking),
-                Err(TreeError::Broken(_)) => self.ended = Some(Swept::Failed),
+                Err(TreeError::Corrupt(_)) => self.ended = Some(Swept::Failed),
             }
         }
         // A tree with a piece gone cannot be walked, so what it still holds is not known.
--- a/crates/node/src/duties/control/following.rs
+++ b/crates/node/src/duties/control/following.rs
@@ -41,7 +41,7 @@
     /// Makes what `copy` holds, taking over what `switch` did not change. Whole or not at all.
     pub(super) fn next(&self, switch: &Update, copy: &Snapshot) -> anyhow::Result<InForce> {
         let tree = copy.tree().context("the copy names no tree")?;
-        let listed = pieces::list(tree, &copy.pieces)?;
+        let listed = pieces::list_tree(tree, &copy.pieces)?;
         let mut config = Config::default();
         let moved = self.revision == 0
             || switch
@@ -55,7 +55,7 @@
             if block && !moved {
                 continue;
             }
-            let leaf = pieces::read(*hash, &copy.pieces)?;
+            let leaf = pieces::read_leaf(*hash, &copy.pieces)?;
             if block {
                 add_blocks(&mut builder, &leaf)?;
             } else {
