--- a/crates/coord/src/follow/mod.rs
+++ b/crates/coord/src/follow/mod.rs
@@ -26,14 +26,14 @@
 //! assert_eq!(follower.revision(), 7);
 //! ```
 
-mod goal;
+mod pending;
 mod snapshot;
 
 use std::{sync::Arc, time::Duration};
 
 use dunlinrock_schema::coord::{Entry, PieceAsk, Root, RootGive};
 
-use self::goal::{Goal, Next};
+use self::pending::{NextStep, PendingSnapshot};
 pub use self::snapshot::Snapshot;
 use crate::pieces::{Diff, Hash};
 
@@ -111,15 +111,15 @@
     timings: Timings,
     /// Whole, and never replaced by an older one.
     snapshot: Option<Snapshot>,
-    goal: Option<Goal>,
+    pending: Option<PendingSnapshot>,
     /// Whom to ask for a root, best first.
     upstreams: Vec<Source>,
     /// Index of the upstream to ask next.
-    turn: usize,
+    next_upstream: usize,
     /// Word of a newer revision, with the time at which it is asked for.
-    word: Option<(u64, Source, Duration)>,
+    peer_hint: Option<(u64, Source, Duration)>,
     /// Time of the next look at an upstream.
-    due: Duration,
+    next_poll: Duration,
 }
 
 impl Follower {
@@ -128,11 +128,11 @@
         Self {
             timings,
             snapshot: None,
-            goal: None,
+            pending: None,
             upstreams: Vec::new(),
-            turn: 0,
-            word: None,
-            due: Duration::ZERO,
+            next_upstream: 0,
+            peer_hint: None,
+            next_poll: Duration::ZERO,
         }
     }
 
@@ -145,7 +145,7 @@
     pub fn revision(&self) -> u64 {
         self.snapshot
             .as_ref()
-            .map_or(0, |copy| copy.root.now.revision)
+            .map_or(0, |snapshot| snapshot.root.now.revision)
     }
 
     /// The copy.
@@ -157,7 +157,7 @@
     pub fn set_upstreams(&mut self, upstreams: Vec<Source>) {
         if self.upstreams != upstreams {
             self.upstreams = upstreams;
-            self.turn = 0;
+            self.next_upstream = 0;
         }
     }
 
@@ -167,12 +167,12 @@
         if revision <= self.revision() {
             return Vec::new();
         }
-        match &mut self.goal {
-            Some(goal) if goal.root.now.revision > revision => return Vec::new(),
-            Some(goal) if goal.root.now.revision == revision => goal.add(from),
-            goal => {
-                let got = goal.take().map(|old| old.got).unwrap_or_default();
-                *goal = Some(Goal::open(root, from, got));
+        match &mut self.pending {
+            Some(pending) if pending.root.now.revision > revision => return Vec::new(),
+            Some(pending) if pending.root.now.revision == revision => pending.add_source(from),
+            pending => {
+                let fetched = pending.take().map(|old| old.fetched).unwrap_or_default();
+                *pending = Some(PendingSnapshot::open(root, from, fetched));
             }
         }
         self.advance(now)
@@ -184,17 +184,19 @@
             return Vec::new();
         }
         let pieces = give.pieces.into_iter().map(Arc::from).collect();
-        let mut goal = self.goal.take();
-        match &mut goal {
-            Some(old) if old.root.now.revision >= give.root.now.revision => old.keep(pieces),
+        let mut pending = self.pending.take();
+        match &mut pending {
+            Some(old) if old.root.now.revision >= give.root.now.revision => {
+                old.store_pieces(pieces)
+            }
             other => {
-                let got = other.take().map(|old| old.got).unwrap_or_default();
-                let mut new = Goal::open(give.root.clone(), from.clone(), got);
-                new.keep(pieces);
+                let fetched = other.take().map(|old| old.fetched).unwrap_or_default();
+                let mut new = PendingSnapshot::open(give.root.clone(), from.clone(), fetched);
+                new.store_pieces(pieces);
                 *other = Some(new);
             }
         }
-        self.goal = goal;
+        self.pending = pending;
         self.handle_root(now, from, give.root)
     }
 
@@ -205,87 +207,91 @@
         from: &Source,
         pieces: Vec<Arc<[u8]>>,
     ) -> Vec<Action> {
-        let Some(goal) = &mut self.goal else {
+        let Some(pending) = &mut self.pending else {
             return Vec::new();
         };
-        goal.answered(from, pieces);
+        pending.handle_pieces(from, pieces);
         self.advance(now)
     }
 
     /// Notes that a source did not answer.
     pub fn handle_failure(&mut self, now: Duration, from: &Source) -> Vec<Action> {
-        if let Some(goal) = &mut self.goal {
-            goal.failed(from);
+        if let Some(pending) = &mut self.pending {
+            pending.handle_failure(from);
         }
         self.advance(now)
     }
 
     /// Takes word, from a heartbeat or a digest, that a peer holds a revision.
     pub fn handle_peer_revision(&mut self, now: Duration, peer: &Arc<str>, revision: u64) {
-        let known = self.word.as_ref().map_or(0, |(known, ..)| *known);
+        let known = self.peer_hint.as_ref().map_or(0, |(known, ..)| *known);
         if revision > self.revision().max(known) {
             let due = now + self.timings.hint_delay;
-            self.word = Some((revision, Source::Peer(peer.clone()), due));
+            self.peer_hint = Some((revision, Source::Peer(peer.clone()), due));
         }
     }
 
     /// Lets time pass: asks again where answers are missing, looks at upstreams now and then.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let mut out = Vec::new();
-        if self.goal.as_mut().is_some_and(|goal| goal.late(now)) {
+        if self
+            .pending
+            .as_mut()
+            .is_some_and(|pending| pending.is_overdue(now))
+        {
             out.extend(self.advance(now));
         }
-        if let Some((revision, from, due)) = self.word.clone() {
+        if let Some((revision, from, due)) = self.peer_hint.clone() {
             if revision <= self.revision() {
-                self.word = None;
+                self.peer_hint = None;
             } else if now >= due {
                 // Asked again at the same pace until it is held: the peer may be gone by now.
-                self.word = Some((revision, from.clone(), now + self.timings.retry));
-                out.push(self.ask(from));
+                self.peer_hint = Some((revision, from.clone(), now + self.timings.retry));
+                out.push(self.fetch_root(from));
             }
         }
-        if now >= self.due && !self.upstreams.is_empty() {
-            let from = self.upstreams[self.turn % self.upstreams.len()].clone();
-            self.turn += 1;
+        if now >= self.next_poll && !self.upstreams.is_empty() {
+            let from = self.upstreams[self.next_upstream % self.upstreams.len()].clone();
+            self.next_upstream += 1;
             let wait = if self.ready() {
                 self.timings.poll
             } else {
                 self.timings.retry
             };
-            self.due = now + wait;
-            out.push(self.ask(from));
+            self.next_poll = now + wait;
+            out.push(self.fetch_root(from));
         }
         out
     }
 
-    fn ask(&self, from: Source) -> Action {
+    fn fetch_root(&self, from: Source) -> Action {
         let revision = self.revision();
         Action::FetchRoot { from, revision }
     }
 
     fn advance(&mut self, now: Duration) -> Vec<Action> {
-        let Some(goal) = &mut self.goal else {
+        let Some(pending) = &mut self.pending else {
             return Vec::new();
         };
-        match goal.next(self.snapshot.as_ref(), now, self.timings.retry) {
-            Next::Wait => Vec::new(),
-            Next::Ask(from, hashes) => vec![Action::FetchPieces { from, hashes }],
-            Next::Drop => {
-                self.goal = None;
+        match pending.next_step(self.snapshot.as_ref(), now, self.timings.retry) {
+            NextStep::Wait => Vec::new(),
+            NextStep::Fetch(from, hashes) => vec![Action::FetchPieces { from, hashes }],
+            NextStep::Discard => {
+                self.pending = None;
                 Vec::new()
             }
-            Next::Whole(diff) => self.switch(diff),
+            NextStep::Complete(diff) => self.apply_update(diff),
         }
     }
 
-    fn switch(&mut self, diff: Diff) -> Vec<Action> {
-        let Some(goal) = self.goal.take() else {
+    fn apply_update(&mut self, diff: Diff) -> Vec<Action> {
+        let Some(pending) = self.pending.take() else {
             return Vec::new();
         };
         let old_revision = self.revision();
-        let entry = goal.root.now.clone();
-        let copy = self.snapshot.get_or_insert_with(Snapshot::default);
-        let removed = copy.switch(goal.root, goal.got, &diff);
+        let entry = pending.root.now.clone();
+        let snapshot = self.snapshot.get_or_insert_with(Snapshot::default);
+        let removed = snapshot.advance_to(pending.root, pending.fetched, &diff);
         vec![Action::Update(Update {
             old_revision,
             entry,
@@ -301,13 +307,13 @@
 
     /// The pieces of an ask that are held.
     pub fn pieces_for(&self, ask: &PieceAsk) -> Vec<Vec<u8>> {
-        let Some(copy) = &self.snapshot else {
+        let Some(snapshot) = &self.snapshot else {
             return Vec::new();
         };
         ask.hashes
             .iter()
             .take(ASK_PIECES)
-            .filter_map(|hash| copy.pieces.get(&Hash::read(hash)?))
+            .filter_map(|hash| snapshot.pieces.get(&Hash::read(hash)?))
             .map(|bytes| bytes.to_vec())
             .collect()
     }
--- a/crates/coord/src/follow/snapshot.rs
+++ b/crates/coord/src/follow/snapshot.rs
@@ -10,9 +10,9 @@
 use crate::pieces::{Diff, Hash, Pieces, diff};
 
 /// Revisions for which the fresh pieces are remembered: at 4,500 changes a day, two minutes.
-const FRESH_REVISIONS: usize = 8;
+const RECENT_REVISIONS: usize = 8;
 /// Most bytes of pieces that are given along with a root; a host further behind asks for them.
-const GIVE_BYTES: usize = 32 * 1024;
+const MAX_GIVE_BYTES: usize = 32 * 1024;
 
 /// A whole configuration in pieces.
 #[derive(Clone, Debug)]
@@ -22,7 +22,7 @@
     /// Its pieces, all of them and no others.
     pub pieces: Pieces,
     /// Pieces that came with each of the last revisions.
-    fresh: BTreeMap<u64, BTreeSet<Hash>>,
+    recent_pieces: BTreeMap<u64, BTreeSet<Hash>>,
 }
 
 impl Default for Snapshot {
@@ -43,7 +43,7 @@
         Self {
             root,
             pieces: Pieces::new(),
-            fresh: BTreeMap::new(),
+            recent_pieces: BTreeMap::new(),
         }
     }
 }
@@ -55,32 +55,33 @@
     }
 
     /// Goes to a later root; gives the pieces that are no longer needed.
-    pub(super) fn switch(&mut self, root: Root, got: Pieces, forward: &Diff) -> Pieces {
+    pub(super) fn advance_to(&mut self, root: Root, fetched: Pieces, forward: &Diff) -> Pieces {
         let from = self.tree();
         let to = Hash::read(&root.now.tree);
         let wanted = |hash: &Hash| forward.new_pieces.contains(hash);
         self.pieces
-            .extend(got.into_iter().filter(|(hash, _)| wanted(hash)));
-        let mut old = Pieces::new();
+            .extend(fetched.into_iter().filter(|(hash, _)| wanted(hash)));
+        let mut removed = Pieces::new();
         if let (Some(from), Some(to)) = (from, to) {
             let get = |hash: &Hash| self.pieces.get(hash).cloned();
             // A leaf holds the names of its rows and an index piece those of its children, so no
             // piece stands in two places, and what one place drops nobody else needs.
-            let back = diff(Some(to), from, &get).unwrap_or_default();
-            for hash in back.new_pieces.difference(&forward.new_pieces) {
-                old.extend(self.pieces.remove_entry(hash));
+            let backward = diff(Some(to), from, &get).unwrap_or_default();
+            for hash in backward.new_pieces.difference(&forward.new_pieces) {
+                removed.extend(self.pieces.remove_entry(hash));
             }
         }
         let revision = root.now.revision;
         // A first copy is all fresh, and far too much to be given along.
         if self.root.now.revision > 0 {
-            self.fresh.insert(revision, forward.new_pieces.clone());
+            self.recent_pieces
+                .insert(revision, forward.new_pieces.clone());
         }
-        while self.fresh.len() > FRESH_REVISIONS {
-            self.fresh.pop_first();
+        while self.recent_pieces.len() > RECENT_REVISIONS {
+            self.recent_pieces.pop_first();
         }
         self.root = root;
-        old
+        removed
     }
 
     /// The root with the pieces that are new since `revision`, where those are few.
@@ -88,12 +89,12 @@
         if self.root.now.revision <= revision {
             return None;
         }
-        let fresh: BTreeSet<_> = self
-            .fresh
+        let new_pieces: BTreeSet<_> = self
+            .recent_pieces
             .range(revision + 1..)
             .flat_map(|(_, hashes)| hashes)
             .collect();
-        let pieces: Vec<Vec<u8>> = fresh
+        let pieces: Vec<Vec<u8>> = new_pieces
             .into_iter()
             .filter_map(|hash| self.pieces.get(hash))
             .map(|bytes| bytes.to_vec())
@@ -102,7 +103,7 @@
         Some(RootGive {
             name: me.clone(),
             root: self.root.clone(),
-            pieces: if bytes > GIVE_BYTES {
+            pieces: if bytes > MAX_GIVE_BYTES {
                 Vec::new()
             } else {
                 pieces
--- a/crates/coord/src/lease/mod.rs
+++ b/crates/coord/src/lease/mod.rs
@@ -15,14 +15,14 @@
 //! ```
 //! use std::time::Duration;
 //!
-//! use dunlinrock_coord::lease::{Answer, Ask, Lease, Timings};
+//! use dunlinrock_coord::lease::{LeaseReply, LeaseOp, Lease, Timings};
 //!
 //! let mut lease = Lease::open("h1".into(), Timings::default());
 //! let now = Duration::ZERO;
-//! assert_eq!(lease.poll(now), Some(Ask::Read));
-//! lease.answer(now, Answer::Value(None));
-//! assert!(matches!(lease.poll(now), Some(Ask::Write { expect: None, .. })));
-//! lease.answer(now, Answer::Written(7));
+//! assert_eq!(lease.poll(now), Some(LeaseOp::Read));
+//! lease.handle_reply(now, LeaseReply::Value(None));
+//! assert!(matches!(lease.poll(now), Some(LeaseOp::Write { expect: None, .. })));
+//! lease.handle_reply(now, LeaseReply::Written(7));
 //! assert_eq!(lease.token(now), Some(1));
 //! assert_eq!(lease.token(Duration::from_secs(9)), None);
 //! ```
@@ -39,27 +39,27 @@
     /// Time for which a renewal holds.
     pub ttl: Duration,
     /// Time between renewals.
-    pub renew: Duration,
+    pub renew_interval: Duration,
     /// How much earlier than `ttl` the holder stops: covers clocks that run at differing speeds.
     pub margin: Duration,
     /// Wait after a failed operation, and between two looks at another's lease.
-    pub retry: Duration,
+    pub retry_interval: Duration,
 }
 
 impl Default for Timings {
     fn default() -> Self {
         Self {
             ttl: Duration::from_secs(9),
-            renew: Duration::from_secs(3),
+            renew_interval: Duration::from_secs(3),
             margin: Duration::from_secs(1),
-            retry: Duration::from_millis(500),
+            retry_interval: Duration::from_millis(500),
         }
     }
 }
 
 /// An operation on the lease's key; one is under way at a time.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
+pub enum LeaseOp {
     /// Read the value.
     Read,
     /// Write the value if its version is still this one (`None`: if there is none).
@@ -73,7 +73,7 @@
 
 /// The store's answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum LeaseReply {
     /// The value with its version, or that there is none.
     Value(Option<(LeaseRecord, Version)>),
     /// Written, under this version.
@@ -86,10 +86,10 @@
 
 /// A value of another holder.
 #[derive(Clone, Debug, PartialEq)]
-struct Other {
+struct ObservedValue {
     version: Version,
     /// When this version was first seen here.
-    seen: Duration,
+    first_seen: Duration,
 }
 
 /// A lease as one host sees it.
@@ -98,21 +98,21 @@
     me: Arc<str>,
     timings: Timings,
     /// The value as last read or written; `None` while a read is due.
-    known: Option<Option<(LeaseRecord, Version)>>,
-    other: Option<Other>,
+    current: Option<Option<(LeaseRecord, Version)>>,
+    observed: Option<ObservedValue>,
     /// Token held, and when the renewal that holds it was sent.
     held: Option<(u64, Duration)>,
     /// The write under way, and when it was sent.
-    sent: Option<(LeaseRecord, Duration)>,
+    sent_write: Option<(LeaseRecord, Duration)>,
     /// Highest token ever held; a lease that was lost is only held again under a higher one.
-    last: u64,
+    last_token: u64,
     /// Writes sent so far. Each has its own `renewal`, so that a value that is read can be told
     /// from an equal one of an earlier write, whose time began earlier.
     writes: u64,
     pending: bool,
-    wait: Duration,
+    wait_until: Duration,
     /// Whether the lease is being given back.
-    leaving: bool,
+    releasing: bool,
 }
 
 impl Lease {
@@ -121,92 +121,100 @@
         Self {
             me,
             timings,
-            known: None,
-            other: None,
+            current: None,
+            observed: None,
             held: None,
-            sent: None,
-            last: 0,
+            sent_write: None,
+            last_token: 0,
             writes: 0,
             pending: false,
-            wait: Duration::ZERO,
-            leaving: false,
+            wait_until: Duration::ZERO,
+            releasing: false,
         }
     }
 
     /// The fencing token, while the lease surely holds.
     pub fn token(&self, now: Duration) -> Option<u64> {
         let (token, since) = self.held?;
-        let until = since + self.timings.ttl.saturating_sub(self.timings.margin);
-        (now < until).then_some(token)
+        let expires_at = since + self.timings.ttl.saturating_sub(self.timings.margin);
+        (now < expires_at).then_some(token)
     }
 
     /// Gives the lease back, so that others need not wait for it to lapse.
-    pub fn give_back(&mut self) {
-        self.leaving = true;
+    pub fn release(&mut self) {
+        self.releasing = true;
         self.held = None;
-        self.wait = Duration::ZERO;
+        self.wait_until = Duration::ZERO;
     }
 
     /// The operation to begin now.
-    pub fn poll(&mut self, now: Duration) -> Option<Ask> {
-        if self.pending || now < self.wait {
+    pub fn poll(&mut self, now: Duration) -> Option<LeaseOp> {
+        if self.pending || now < self.wait_until {
             return None;
         }
-        let ask = match self.known.clone() {
-            None => Some(Ask::Read),
-            Some(value) => self.next(value, now),
+        let op = match self.current.clone() {
+            None => Some(LeaseOp::Read),
+            Some(value) => self.next_op(value, now),
         };
-        self.pending = ask.is_some();
-        ask
+        self.pending = op.is_some();
+        op
     }
 
-    fn next(&mut self, value: Option<(LeaseRecord, Version)>, now: Duration) -> Option<Ask> {
+    fn next_op(&mut self, value: Option<(LeaseRecord, Version)>, now: Duration) -> Option<LeaseOp> {
         let Some((record, version)) = value else {
-            return (!self.leaving).then(|| self.send(None, 1, now));
+            return (!self.releasing).then(|| self.write_op(None, 1, now));
         };
         if record.holder == self.me && self.held.is_some_and(|(token, _)| token == record.token) {
-            return Some(self.send(Some(version), record.token, now));
+            return Some(self.write_op(Some(version), record.token, now));
         }
-        if self.leaving {
-            return self.release(&record, version, now);
+        if self.releasing {
+            return self.release_op(&record, version, now);
         }
         // A write of this host that arrived late, after it was given up: nobody acts on it.
-        let stray = record.holder == self.me;
-        if stray || record.holder.is_empty() || self.lapsed(&record, version, now) {
-            return Some(self.send(Some(version), record.token + 1, now));
+        let is_late_write = record.holder == self.me;
+        if is_late_write || record.holder.is_empty() || self.has_expired(&record, version, now) {
+            return Some(self.write_op(Some(version), record.token + 1, now));
         }
-        self.known = None;
-        self.wait = now + self.timings.retry;
+        self.current = None;
+        self.wait_until = now + self.timings.retry_interval;
         None
     }
 
-    fn release(&mut self, record: &LeaseRecord, version: Version, now: Duration) -> Option<Ask> {
-        if record.holder != self.me || record.token != self.last {
+    fn release_op(
+        &mut self,
+        record: &LeaseRecord,
+        version: Version,
+        now: Duration,
+    ) -> Option<LeaseOp> {
+        if record.holder != self.me || record.token != self.last_token {
             return None;
         }
-        let mut ask = self.send(Some(version), record.token, now);
-        if let Ask::Write { record, .. } = &mut ask {
+        let mut op = self.write_op(Some(version), record.token, now);
+        if let LeaseOp::Write { record, .. } = &mut op {
             record.holder = "".into();
         }
-        self.sent = None;
-        Some(ask)
+        self.sent_write = None;
+        Some(op)
     }
 
     /// Whether another's value has stood unchanged for its whole time, here.
-    fn lapsed(&mut self, record: &LeaseRecord, version: Version, now: Duration) -> bool {
-        match &self.other {
-            Some(other) if other.version == version => {
-                now >= other.seen + Duration::from_millis(record.ttl_ms)
+    fn has_expired(&mut self, record: &LeaseRecord, version: Version, now: Duration) -> bool {
+        match &self.observed {
+            Some(observed) if observed.version == version => {
+                now >= observed.first_seen + Duration::from_millis(record.ttl_ms)
             }
             _ => {
-                let seen = now;
-                self.other = Some(Other { version, seen });
+                let first_seen = now;
+                self.observed = Some(ObservedValue {
+                    version,
+                    first_seen,
+                });
                 false
             }
         }
     }
 
-    fn send(&mut self, expect: Option<Version>, token: u64, now: Duration) -> Ask {
+    fn write_op(&mut self, expect: Option<Version>, token: u64, now: Duration) -> LeaseOp {
         self.writes += 1;
         let record = LeaseRecord {
             holder: self.me.clone(),
@@ -214,59 +222,59 @@
             ttl_ms: self.timings.ttl.as_millis() as u64,
             renewal: self.writes,
         };
-        self.sent = Some((record.clone(), now));
-        Ask::Write { expect, record }
+        self.sent_write = Some((record.clone(), now));
+        LeaseOp::Write { expect, record }
     }
 
     /// Takes the answer to the operation under way.
-    pub fn answer(&mut self, now: Duration, answer: Answer) {
+    pub fn handle_reply(&mut self, now: Duration, reply: LeaseReply) {
         if !std::mem::take(&mut self.pending) {
             return;
         }
-        match answer {
-            Answer::Written(version) => self.written(version, now),
-            Answer::Value(value) => self.read(value),
-            Answer::Conflict => {
+        match reply {
+            LeaseReply::Written(version) => self.handle_written(version, now),
+            LeaseReply::Value(value) => self.handle_value(value),
+            LeaseReply::Conflict => {
                 // Somebody else wrote, or an earlier write of this host arrived late.
-                self.known = None;
+                self.current = None;
             }
-            Answer::Failed => {
-                self.known = None;
-                self.wait = now + self.timings.retry;
+            LeaseReply::Failed => {
+                self.current = None;
+                self.wait_until = now + self.timings.retry_interval;
             }
         }
     }
 
-    fn written(&mut self, version: Version, now: Duration) {
-        let Some((record, since)) = self.sent.take() else {
-            self.known = None;
+    fn handle_written(&mut self, version: Version, now: Duration) {
+        let Some((record, since)) = self.sent_write.take() else {
+            self.current = None;
             return;
         };
-        self.last = record.token;
-        if !self.leaving {
+        self.last_token = record.token;
+        if !self.releasing {
             self.held = Some((record.token, since));
         }
-        self.known = Some(Some((record, version)));
-        self.wait = now + self.timings.renew;
+        self.current = Some(Some((record, version)));
+        self.wait_until = now + self.timings.renew_interval;
     }
 
     /// A value that is exactly the write whose answer was lost says that it took effect; it holds
     /// from before that write was sent.
-    fn read(&mut self, value: Option<(LeaseRecord, Version)>) {
-        let current = value.as_ref().map(|(record, _)| record);
-        let sent = self.sent.take();
-        let sent = sent.filter(|(record, _)| current == Some(record) && !self.leaving);
+    fn handle_value(&mut self, value: Option<(LeaseRecord, Version)>) {
+        let read = value.as_ref().map(|(record, _)| record);
+        let sent = self.sent_write.take();
+        let sent = sent.filter(|(record, _)| read == Some(record) && !self.releasing);
         if let Some((record, since)) = sent {
-            self.last = record.token;
+            self.last_token = record.token;
             self.held = Some((record.token, since));
         }
-        let still = |record: &LeaseRecord| {
+        let is_ours = |record: &LeaseRecord| {
             let (token, _) = self.held.unwrap_or_default();
             record.holder == self.me && record.token == token
         };
-        if !current.is_some_and(still) {
+        if !read.is_some_and(is_ours) {
             self.held = None;
         }
-        self.known = Some(value);
+        self.current = Some(value);
     }
 }
--- a/crates/coord/src/pieces/blocks.rs
+++ b/crates/coord/src/pieces/blocks.rs
@@ -8,9 +8,9 @@
 use super::shards::shards;
 
 /// Most blocks in one shard: 1.8 KB, so that a changed block fits 4 KB with its index pieces.
-pub const SHARD_BLOCKS: usize = 256;
+pub const MAX_SHARD_BLOCKS: usize = 256;
 /// Bytes of one block: address, length of the prefix, index of the region.
-const ROW: usize = 7;
+const ROW_BYTES: usize = 7;
 
 /// One shard of client blocks.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
@@ -25,23 +25,23 @@
 
 /// Splits blocks into shards by their leading address bits, each with a name of its own.
 pub(super) fn split_blocks(blocks: &BTreeMap<Arc<str>, Arc<str>>) -> Vec<(Arc<str>, Blocks)> {
-    let mut plain = Vec::new();
+    let mut ipv4 = Vec::new();
     let mut other = Vec::new();
     for (block, region) in blocks {
         match parse(block) {
             Some((address, length)) => {
                 let key = u64::from(u32::from(address)) << 32;
-                plain.push((key, (address, length, region)));
+                ipv4.push((key, (address, length, region)));
             }
             None => other.push((rapidhash_v3(block.as_bytes()), (block, region))),
         }
     }
     let mut out = Vec::new();
-    for shard in shards(plain, SHARD_BLOCKS) {
+    for shard in shards(ipv4, MAX_SHARD_BLOCKS) {
         let name = format!("blocks/v4/{:08x}/{}", shard.prefix >> 32, shard.bits);
         out.push((name.into(), pack(&shard.entries)));
     }
-    for shard in shards(other, SHARD_BLOCKS) {
+    for shard in shards(other, MAX_SHARD_BLOCKS) {
         let name = format!("blocks/other/{:016x}/{}", shard.prefix, shard.bits);
         let texts = shard.entries.into_iter();
         let texts = texts.map(|(block, region)| (block.clone(), region.clone()));
@@ -60,8 +60,8 @@
     /// Reads the blocks back; `None` where the rows are broken.
     pub fn unpack(&self) -> Option<BTreeMap<Arc<str>, Arc<str>>> {
         let mut out = self.texts.clone();
-        for row in self.rows.chunks(ROW) {
-            let row: [u8; ROW] = row.try_into().ok()?;
+        for row in self.rows.chunks(ROW_BYTES) {
+            let row: [u8; ROW_BYTES] = row.try_into().ok()?;
             let address = Ipv4Addr::new(row[0], row[1], row[2], row[3]);
             let region = self
                 .regions
@@ -79,7 +79,7 @@
         .collect();
     regions.sort();
     regions.dedup();
-    let mut rows = Vec::with_capacity(entries.len() * ROW);
+    let mut rows = Vec::with_capacity(entries.len() * ROW_BYTES);
     for (address, length, region) in entries {
         // A shard holds at most 256 distinct addresses times 33 lengths, so the index fits.
         let index = regions.binary_search(region).unwrap_or_default() as u16;
@@ -97,10 +97,10 @@
 /// Reads a block whose text is exactly what [`Blocks::unpack`] writes; all others stay text.
 fn parse(block: &str) -> Option<(Ipv4Addr, u8)> {
     let (address, length) = block.split_once('/')?;
-    let plain = length.len() <= 2 && (length == "0" || !length.starts_with(['0', '+']));
+    let canonical = length.len() <= 2 && (length == "0" || !length.starts_with(['0', '+']));
     let length = length
         .parse()
         .ok()
-        .filter(|length| *length <= 32 && plain)?;
+        .filter(|length| *length <= 32 && canonical)?;
     Some((address.parse().ok()?, length))
 }
--- a/crates/coord/src/pieces/index.rs
+++ b/crates/coord/src/pieces/index.rs
@@ -15,12 +15,12 @@
 use crate::wire;
 
 /// Most leaves that an index piece lists before it branches.
-pub const NODE_LEAVES: usize = 32;
+pub const MAX_NODE_LEAVES: usize = 32;
 /// Digits of a name's hash that the tree can branch by.
-const DIGITS: u32 = 16;
+const KEY_DIGITS: u32 = 16;
 
 /// A leaf on its way into the tree.
-struct Listed {
+struct IndexEntry {
     key: u64,
     name: Arc<str>,
     hash: Hash,
@@ -33,17 +33,17 @@
 pub(super) fn build(leaves: &BTreeMap<Arc<str>, Hash>, pieces: &mut Pieces) -> Hash {
     let mut listed: Vec<_> = leaves
         .iter()
-        .map(|(name, hash)| Listed {
-            key: key(name),
+        .map(|(name, hash)| IndexEntry {
+            key: name_key(name),
             name: name.clone(),
             hash: *hash,
         })
         .collect();
     listed.sort_by_key(|leaf| leaf.key);
-    node(&listed, 0, pieces)
+    build_node(&listed, 0, pieces)
 }
 
-fn key(name: &str) -> u64 {
+fn name_key(name: &str) -> u64 {
     let full = Sha256::digest(name.as_bytes());
     full[..8]
         .iter()
@@ -51,28 +51,28 @@
 }
 
 fn digit(key: u64, depth: u32) -> u64 {
-    key >> (4 * (DIGITS - 1 - depth)) & 0xf
+    key >> (4 * (KEY_DIGITS - 1 - depth)) & 0xf
 }
 
-fn node(leaves: &[Listed], depth: u32, pieces: &mut Pieces) -> Hash {
-    let branch = leaves.len() > NODE_LEAVES && depth < DIGITS;
+fn build_node(leaves: &[IndexEntry], depth: u32, pieces: &mut Pieces) -> Hash {
+    let branch = leaves.len() > MAX_NODE_LEAVES && depth < KEY_DIGITS;
     let children = if branch {
         leaves
             .chunk_by(|a, b| digit(a.key, depth) == digit(b.key, depth))
             .map(|part| {
                 let name = format!("{:x}", digit(part[0].key, depth));
-                (name.into(), node(part, depth + 1, pieces).to_vec())
+                (name.into(), build_node(part, depth + 1, pieces).to_vec())
             })
             .collect()
     } else {
-        let pair = |leaf: &Listed| (leaf.name.clone(), leaf.hash.to_vec());
+        let pair = |leaf: &IndexEntry| (leaf.name.clone(), leaf.hash.to_vec());
         leaves.iter().map(pair).collect()
     };
-    put(wire::encode(&Node { branch, children }), pieces)
+    insert_piece(wire::encode(&Node { branch, children }), pieces)
 }
 
 /// Adds a piece under its hash.
-pub(super) fn put(bytes: Vec<u8>, pieces: &mut Pieces) -> Hash {
+pub(super) fn insert_piece(bytes: Vec<u8>, pieces: &mut Pieces) -> Hash {
     let hash = Hash::of(&bytes);
     pieces.insert(hash, bytes.into());
     hash
@@ -85,7 +85,7 @@
 }
 
 /// Reads an index piece; `None` where the bytes are none.
-pub(super) fn read(bytes: &[u8]) -> Option<Index> {
+pub(super) fn decode_node(bytes: &[u8]) -> Option<Index> {
     let node: Node = wire::decode(bytes).ok()?;
     let children = node.children.into_iter();
     let children = children.map(|(name, hash)| Some((name, Hash::read(&hash)?)));
@@ -110,7 +110,7 @@
 #[derive(Default)]
 pub(super) struct Walk {
     pub(super) missing: BTreeSet<Hash>,
-    pub(super) broken: Option<Hash>,
+    pub(super) corrupt: Option<Hash>,
 }
 
 impl Walk {
@@ -124,9 +124,9 @@
             self.missing.insert(hash);
             return None;
         };
-        let index = read(&bytes);
+        let index = decode_node(&bytes);
         if index.is_none() {
-            self.broken = Some(hash);
+            self.corrupt = Some(hash);
         }
         index
     }
@@ -153,7 +153,7 @@
     }
 
     pub(super) fn finish<T>(self, value: T) -> Result<T, TreeError> {
-        match self.broken {
+        match self.corrupt {
             Some(hash) => Err(TreeError::Corrupt(hash)),
             None if !self.missing.is_empty() => Err(TreeError::Missing(self.missing)),
             None => Ok(value),
--- a/crates/coord/src/pieces/leaf.rs
+++ b/crates/coord/src/pieces/leaf.rs
@@ -14,7 +14,7 @@
 
 /// Most targets of a service that are stored with it; more go into pieces of their own, each of at
 /// most this many, so that a changed target fits 4 KB with its index pieces.
-pub const SHARD_TARGETS: usize = 32;
+pub const MAX_SHARD_TARGETS: usize = 32;
 
 /// One part of a configuration, under a name of its own.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
@@ -60,20 +60,20 @@
         targets: _,
     } = config;
     let mut out = BTreeMap::new();
-    table(&mut out, "regions", regions, Leaf::Regions);
-    table(&mut out, "domains", domains, Leaf::Domains);
-    table(&mut out, "drains", drains, Leaf::Drains);
-    for (from, links) in group(links, |link| &link.from) {
-        table(&mut out, &format!("links/{from}"), &links, Leaf::Links);
+    add_table(&mut out, "regions", regions, Leaf::Regions);
+    add_table(&mut out, "domains", domains, Leaf::Domains);
+    add_table(&mut out, "drains", drains, Leaf::Drains);
+    for (from, links) in group_by(links, |link| &link.from) {
+        add_table(&mut out, &format!("links/{from}"), &links, Leaf::Links);
     }
-    services(&mut out, config);
+    add_services(&mut out, config);
     for (name, blocks) in split_blocks(blocks) {
         out.insert(name, Leaf::Blocks(blocks));
     }
     out
 }
 
-fn table<T: Serialize>(
+fn add_table<T: Serialize>(
     out: &mut BTreeMap<Arc<str>, Leaf>,
     name: &str,
     rows: &BTreeMap<Arc<str>, T>,
@@ -84,7 +84,7 @@
     }
 }
 
-fn group<T: Clone>(
+fn group_by<T: Clone>(
     rows: &BTreeMap<Arc<str>, T>,
     by: impl Fn(&T) -> &Arc<str>,
 ) -> BTreeMap<Arc<str>, BTreeMap<Arc<str>, T>> {
@@ -96,13 +96,13 @@
     out
 }
 
-fn services(out: &mut BTreeMap<Arc<str>, Leaf>, config: &Config) {
-    let mut targets = group(&config.targets, |target| &target.service);
+fn add_services(out: &mut BTreeMap<Arc<str>, Leaf>, config: &Config) {
+    let mut targets = group_by(&config.targets, |target| &target.service);
     for name in config.services.keys() {
         targets.entry(name.clone()).or_default();
     }
     for (name, targets) in targets {
-        let many = targets.len() > SHARD_TARGETS;
+        let many = targets.len() > MAX_SHARD_TARGETS;
         let few = if many {
             BTreeMap::new()
         } else {
@@ -115,12 +115,12 @@
         };
         out.insert(format!("service/{name}").into(), leaf);
         if many {
-            target_shards(out, &name, targets);
+            add_target_shards(out, &name, targets);
         }
     }
 }
 
-fn target_shards(
+fn add_target_shards(
     out: &mut BTreeMap<Arc<str>, Leaf>,
     service: &str,
     targets: BTreeMap<Arc<str>, Target>,
@@ -128,10 +128,10 @@
     let keyed = targets
         .into_iter()
         .map(|row| (rapidhash_v3(row.0.as_bytes()), row));
-    for shard in shards(keyed.collect(), SHARD_TARGETS) {
+    for shard in shards(keyed.collect(), MAX_SHARD_TARGETS) {
         let name = format!("targets/{service}/{:016x}/{}", shard.prefix, shard.bits);
         let rows = shard.entries.into_iter().collect();
-        table(out, &name, &rows, Leaf::Targets);
+        add_table(out, &name, &rows, Leaf::Targets);
     }
 }
 
@@ -161,14 +161,14 @@
     /// Takes the leaf's part out of a configuration.
     pub fn remove(&self, config: &mut Config) -> Result<(), LeafError> {
         match self {
-            Self::Regions(rows) => drop_names(&mut config.regions, &rows.names),
-            Self::Domains(rows) => drop_names(&mut config.domains, &rows.names),
-            Self::Links(rows) => drop_names(&mut config.links, &rows.names),
-            Self::Drains(rows) => drop_names(&mut config.drains, &rows.names),
-            Self::Targets(rows) => drop_names(&mut config.targets, &rows.names),
+            Self::Regions(rows) => remove_rows(&mut config.regions, &rows.names),
+            Self::Domains(rows) => remove_rows(&mut config.domains, &rows.names),
+            Self::Links(rows) => remove_rows(&mut config.links, &rows.names),
+            Self::Drains(rows) => remove_rows(&mut config.drains, &rows.names),
+            Self::Targets(rows) => remove_rows(&mut config.targets, &rows.names),
             Self::Service { name, targets, .. } => {
                 config.services.remove(name);
-                drop_names(&mut config.targets, &targets.names);
+                remove_rows(&mut config.targets, &targets.names);
             }
             Self::Blocks(blocks) => rows(blocks)?.keys().for_each(|block| {
                 config.blocks.remove(block);
@@ -185,11 +185,11 @@
 }
 
 fn rows(blocks: &Blocks) -> Result<BTreeMap<Arc<str>, Arc<str>>, LeafError> {
-    let broken = || LeafError("rows of client blocks are broken".to_owned());
-    blocks.unpack().ok_or_else(broken)
+    let corrupt = || LeafError("rows of client blocks are broken".to_owned());
+    blocks.unpack().ok_or_else(corrupt)
 }
 
-fn drop_names<T>(rows: &mut BTreeMap<Arc<str>, T>, names: &[Arc<str>]) {
+fn remove_rows<T>(rows: &mut BTreeMap<Arc<str>, T>, names: &[Arc<str>]) {
     for name in names {
         rows.remove(name);
     }
--- a/crates/coord/src/pieces/mod.rs
+++ b/crates/coord/src/pieces/mod.rs
@@ -36,13 +36,13 @@
 
 use dunlinrock_schema::config::Config;
 
-use self::index::{Walk, build, put};
+use self::index::{Walk, build, insert_piece};
 pub use self::{
-    blocks::{Blocks, SHARD_BLOCKS},
+    blocks::{Blocks, MAX_SHARD_BLOCKS},
     diff::{Change, Diff, diff},
     hash::Hash,
-    index::{NODE_LEAVES, TreeError},
-    leaf::{Leaf, LeafError, SHARD_TARGETS, leaves},
+    index::{MAX_NODE_LEAVES, TreeError},
+    leaf::{Leaf, LeafError, MAX_SHARD_TARGETS, leaves},
     shards::{Shard, shards},
     table::{Column, Table},
 };
@@ -81,7 +81,7 @@
     let mut pieces = Pieces::new();
     let leaves = leaves(config)
         .into_iter()
-        .map(|(name, leaf)| (name, put(wire::encode_named(&leaf), &mut pieces)))
+        .map(|(name, leaf)| (name, insert_piece(wire::encode_named(&leaf), &mut pieces)))
         .collect();
     let tree = build(&leaves, &mut pieces);
     Split { tree, pieces }
@@ -90,8 +90,8 @@
 /// Joins pieces to the whole configuration, or says what is missing; never gives a part.
 pub fn join(tree: Hash, pieces: &Pieces) -> Result<Config, JoinError> {
     let mut config = Config::default();
-    let listed = list_tree(tree, pieces)?;
-    let missing: BTreeSet<_> = listed
+    let contents = list_tree(tree, pieces)?;
+    let missing: BTreeSet<_> = contents
         .leaves
         .values()
         .filter(|hash| !pieces.contains_key(hash))
@@ -100,7 +100,7 @@
     if !missing.is_empty() {
         return Err(TreeError::Missing(missing).into());
     }
-    for hash in listed.leaves.values() {
+    for hash in contents.leaves.values() {
         let leaf = read_leaf(*hash, pieces)?;
         leaf.add(&mut config)
             .map_err(|error| JoinError::Leaf { hash: *hash, error })?;
--- a/crates/coord/src/pieces/shards.rs
+++ b/crates/coord/src/pieces/shards.rs
@@ -15,20 +15,20 @@
 ///
 /// The result follows from the entries alone, and one more entry changes one shard or splits it in
 /// two: a fixed number of shards would have to move everything when it grows.
-pub fn shards<T>(mut entries: Vec<(u64, T)>, most: usize) -> Vec<Shard<T>> {
+pub fn shards<T>(mut entries: Vec<(u64, T)>, max: usize) -> Vec<Shard<T>> {
     entries.sort_by_key(|(key, _)| *key);
     let mut out = Vec::new();
-    divide(entries, 0, most, &mut out);
+    split(entries, 0, max, &mut out);
     out
 }
 
-fn divide<T>(mut entries: Vec<(u64, T)>, bits: u32, most: usize, out: &mut Vec<Shard<T>>) {
+fn split<T>(mut entries: Vec<(u64, T)>, bits: u32, max: usize, out: &mut Vec<Shard<T>>) {
     let Some(&(first, _)) = entries.first() else {
         return;
     };
-    if entries.len() <= most || bits == u64::BITS {
+    if entries.len() <= max || bits == u64::BITS {
         out.push(Shard {
-            prefix: lead(first, bits),
+            prefix: leading_bits(first, bits),
             bits,
             entries: entries.into_iter().map(|(_, entry)| entry).collect(),
         });
@@ -37,11 +37,11 @@
     let top = 1 << (u64::BITS - 1 - bits);
     let middle = entries.partition_point(|(key, _)| key & top == 0);
     let upper = entries.split_off(middle);
-    divide(entries, bits + 1, most, out);
-    divide(upper, bits + 1, most, out);
+    split(entries, bits + 1, max, out);
+    split(upper, bits + 1, max, out);
 }
 
-fn lead(key: u64, bits: u32) -> u64 {
+fn leading_bits(key: u64, bits: u32) -> u64 {
     if bits == 0 {
         0
     } else {
--- a/crates/coord/src/relay/mod.rs
+++ b/crates/coord/src/relay/mod.rs
@@ -13,9 +13,9 @@
 //!
 //! let members: BTreeMap<Arc<str>, Arc<str>> =
 //!     (0..49).map(|n| (format!("h{n}").into(), "d1".into())).collect();
-//! let plans: Vec<_> = members.keys().map(|me| relay::role(me, &members)).collect();
-//! assert_eq!(plans.iter().filter(|plan| plan.watches_store).count(), relay::RELAYS);
-//! assert!(plans.iter().all(|plan| plan.children.len() <= relay::FAN_OUT));
+//! let roles: Vec<_> = members.keys().map(|me| relay::role(me, &members)).collect();
+//! assert_eq!(roles.iter().filter(|role| role.watches_store).count(), relay::RELAYS);
+//! assert!(roles.iter().all(|role| role.children.len() <= relay::FAN_OUT));
 //! ```
 
 use std::{collections::BTreeMap, sync::Arc};
@@ -46,26 +46,26 @@
 pub fn role(me: &Arc<str>, members: &BTreeMap<Arc<str>, Arc<str>>) -> RelayRole {
     let domain = members.get(me).cloned().unwrap_or_else(|| "".into());
     let ranked = rank(&domain, members);
-    let place = ranked.iter().position(|name| name == me);
-    let watches_store = place.is_none_or(|place| place < RELAYS);
+    let rank_index = ranked.iter().position(|name| name == me);
+    let watches_store = rank_index.is_none_or(|rank_index| rank_index < RELAYS);
     let mut upstreams = Vec::new();
     if watches_store {
         upstreams.push(Source::Store);
     }
-    let parent = place
-        .and_then(|place| place.checked_sub(RELAYS))
+    let parent = rank_index
+        .and_then(|rank_index| rank_index.checked_sub(RELAYS))
         .map(|below| below / FAN_OUT);
-    let near = parent.into_iter().chain(0..RELAYS.min(ranked.len()));
-    let names = near.map(|index| ranked[index].clone());
+    let local = parent.into_iter().chain(0..RELAYS.min(ranked.len()));
+    let names = local.map(|index| ranked[index].clone());
     for name in names.chain(fallbacks(me, &domain, members)) {
         let source = Source::Peer(name.clone());
         if name != *me && !upstreams.contains(&source) {
             upstreams.push(source);
         }
     }
-    let children = match place {
-        Some(place) => {
-            let first = RELAYS + place * FAN_OUT;
+    let children = match rank_index {
+        Some(rank_index) => {
+            let first = RELAYS + rank_index * FAN_OUT;
             ranked.into_iter().skip(first).take(FAN_OUT).collect()
         }
         None => Vec::new(),
@@ -85,10 +85,10 @@
 
 /// Hops below the relays until the last of `hosts` in a domain has a change.
 pub fn hops(hosts: usize) -> usize {
-    let mut place = hosts.saturating_sub(1);
+    let mut rank_index = hosts.saturating_sub(1);
     let mut hops = 0;
-    while place >= RELAYS {
-        place = (place - RELAYS) / FAN_OUT;
+    while rank_index >= RELAYS {
+        rank_index = (rank_index - RELAYS) / FAN_OUT;
         hops += 1;
     }
     hops
--- a/crates/coord/src/rendezvous/mod.rs
+++ b/crates/coord/src/rendezvous/mod.rs
@@ -18,9 +18,9 @@
 pub fn choose<T: AsRef<str> + Ord>(
     key: &str,
     members: impl IntoIterator<Item = T>,
-    most: usize,
+    count: usize,
 ) -> Vec<T> {
-    choose_weighted(key, members.into_iter().map(|name| (name, 1.0)), most)
+    choose_weighted(key, members.into_iter().map(|name| (name, 1.0)), count)
 }
 
 /// As [`choose`], with members that are chosen in proportion to their weights; a member without
@@ -28,7 +28,7 @@
 pub fn choose_weighted<T: AsRef<str> + Ord>(
     key: &str,
     members: impl IntoIterator<Item = (T, f64)>,
-    most: usize,
+    count: usize,
 ) -> Vec<T> {
     let mut scored: Vec<_> = members
         .into_iter()
@@ -36,7 +36,7 @@
         .map(|(name, weight)| (score(key, name.as_ref(), weight), name))
         .collect();
     scored.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
-    scored.truncate(most);
+    scored.truncate(count);
     scored.into_iter().map(|(_, name)| name).collect()
 }
 
--- a/crates/coord/src/root/apply.rs
+++ b/crates/coord/src/root/apply.rs
@@ -10,9 +10,9 @@
 
 use super::{
     outcome::ApplyOutcome,
-    record::{self, next, rolls},
+    record::{self, needs_rollover, next_root},
     request::{ApplyRequest, Fault, StoreLimits},
-    store::{PendingOp, StoreOp, StoreReply, Version, VersionedValue},
+    store_op::{PendingOp, StoreOp, StoreReply, Version, VersionedValue},
 };
 use crate::{
     pieces::{Diff, Hash, Pieces, Split, TreeError, diff},
@@ -26,14 +26,14 @@
     /// Version that the move expects.
     version: Option<Version>,
     /// What to write on that ground, once it is known.
-    plan: Option<Plan>,
+    plan: Option<WritePlan>,
     /// Fault of a check: no piece is written again.
-    trusted: bool,
+    skip_writes: bool,
 }
 
 /// Writes that are left to do, and the move after them.
 #[derive(Clone, Debug, PartialEq)]
-struct Plan {
+struct WritePlan {
     /// Pieces to write since this version of the root was read. A sweep may have removed what was
     /// written before, so nothing is carried over from an older version.
     writes: Pieces,
@@ -65,19 +65,19 @@
     fault: Fault,
     pub(super) base: Option<Base>,
     /// Root as last read; `None` while a read is due. `Some` with no value: there is no root.
-    seen: Option<Option<(Root, Version)>>,
+    current: Option<Option<(Root, Version)>>,
     /// Pieces of the base and of what is in force, read so far.
-    pub(super) have: Pieces,
+    pub(super) fetched: Pieces,
     /// Pieces that the store does not have.
-    pub(super) gone: Vec<Hash>,
+    pub(super) missing: Vec<Hash>,
     pending: BTreeMap<u64, StoreOp>,
     /// Number of the next operation.
-    number: u64,
+    last_id: u64,
     failures: u32,
     /// Whether a move was sent on the present base.
-    moved: bool,
+    swap_sent: bool,
     /// No operation is begun before this time.
-    wait: Duration,
+    wait_until: Duration,
     pub(super) outcome: Option<ApplyOutcome>,
 }
 
@@ -90,21 +90,21 @@
             limits,
             fault: Fault::None,
             base: None,
-            seen: None,
-            have: Pieces::new(),
-            gone: Vec::new(),
+            current: None,
+            fetched: Pieces::new(),
+            missing: Vec::new(),
             pending: BTreeMap::new(),
-            number: 0,
+            last_id: 0,
             failures: 0,
-            moved: false,
-            wait: Duration::ZERO,
+            swap_sent: false,
+            wait_until: Duration::ZERO,
             outcome: None,
         }
     }
 
     /// Switches a fault on.
     #[doc(hidden)]
-    pub fn break_with(mut self, fault: Fault) -> Self {
+    pub fn inject_fault(mut self, fault: Fault) -> Self {
         self.fault = fault;
         self
     }
@@ -121,79 +121,74 @@
 
     /// When to call [`Apply::poll`] next, unless an answer comes first.
     pub fn next_wake(&self) -> Duration {
-        self.wait
+        self.wait_until
     }
 
     /// Whether a move was sent whose outcome is not known yet. An operator who gives up now must be
     /// told that the apply may take effect, with its id to look for.
     pub fn in_doubt(&self) -> bool {
-        self.outcome.is_none() && self.moved
+        self.outcome.is_none() && self.swap_sent
     }
 
     /// Operations to begin now.
     pub fn poll(&mut self, now: Duration) -> Vec<PendingOp> {
-        if self.outcome.is_some() || now < self.wait {
+        if self.outcome.is_some() || now < self.wait_until {
             return Vec::new();
         }
-        let room = self.limits.max_in_flight.saturating_sub(self.pending.len());
+        let capacity = self.limits.max_in_flight.saturating_sub(self.pending.len());
         let mut out = Vec::new();
-        for ask in self.due() {
-            if out.len() == room || self.pending.values().any(|other| *other == ask) {
+        for op in self.required_ops() {
+            if out.len() == capacity || self.pending.values().any(|other| *other == op) {
                 continue;
             }
-            self.number += 1;
-            self.pending.insert(self.number, ask.clone());
+            self.last_id += 1;
+            self.pending.insert(self.last_id, op.clone());
             out.push(PendingOp {
-                id: self.number,
-                op: ask,
+                id: self.last_id,
+                op,
             });
         }
         out
     }
 
     /// Takes the answer to an operation, then gives the operations to begin now.
-    pub fn handle_reply(
-        &mut self,
-        number: u64,
-        answer: StoreReply,
-        now: Duration,
-    ) -> Vec<PendingOp> {
-        if let Some(ask) = self.pending.remove(&number) {
-            self.take(ask, answer, now);
+    pub fn handle_reply(&mut self, id: u64, reply: StoreReply, now: Duration) -> Vec<PendingOp> {
+        if let Some(op) = self.pending.remove(&id) {
+            self.process_reply(op, reply, now);
         }
         self.poll(now)
     }
 
-    fn take(&mut self, ask: StoreOp, answer: StoreReply, now: Duration) {
-        if answer == StoreReply::Failed {
-            self.failed(&ask, now);
+    fn process_reply(&mut self, op: StoreOp, reply: StoreReply, now: Duration) {
+        if reply == StoreReply::Failed {
+            self.handle_failure(&op, now);
             return;
         }
         self.failures = 0;
-        self.wait = Duration::ZERO;
-        match (ask, answer) {
+        self.wait_until = Duration::ZERO;
+        match (op, reply) {
             (StoreOp::ReadRoot, StoreReply::Root(stored)) => self.read(stored),
             (StoreOp::ReadPiece(hash), StoreReply::Piece(bytes)) => match bytes {
                 Some(bytes) if Hash::of(&bytes) == hash => {
-                    self.have.insert(hash, bytes);
+                    self.fetched.insert(hash, bytes);
                 }
-                _ => self.gone.push(hash),
+                _ => self.missing.push(hash),
             },
             (StoreOp::WritePiece { hash, .. }, StoreReply::Done) => {
                 if let Some(plan) = self.base.as_mut().and_then(|base| base.plan.as_mut()) {
                     plan.writes.remove(&hash);
                 }
             }
-            (StoreOp::SwapRoot { .. }, StoreReply::Done) => self.in_force(Vec::new()),
+            (StoreOp::SwapRoot { .. }, StoreReply::Done) => self.set_applied(Vec::new()),
             // A conflict, or an answer that does not belong to the operation: look again.
-            _ => self.seen = None,
+            _ => self.current = None,
         }
     }
 
-    fn failed(&mut self, ask: &StoreOp, now: Duration) {
-        let moved = matches!(ask, StoreOp::SwapRoot { .. });
+    fn handle_failure(&mut self, op: &StoreOp, now: Duration) {
+        let is_swap = matches!(op, StoreOp::SwapRoot { .. });
         match self.fault {
-            Fault::LostIsFailed if moved => {
+            Fault::LostIsFailed if is_swap => {
                 let base = self.base.as_ref().map_or(0, Base::revision);
                 self.outcome = Some(ApplyOutcome::Conflict {
                     base,
@@ -201,18 +196,18 @@
                     changed: None,
                 });
             }
-            Fault::LostIsDone if moved => self.in_force(Vec::new()),
+            Fault::LostIsDone if is_swap => self.set_applied(Vec::new()),
             _ => {}
         }
         let doubled = self.limits.backoff * 2_u32.pow(self.failures.min(16));
-        self.wait = now + doubled.min(self.limits.max_backoff);
+        self.wait_until = now + doubled.min(self.limits.max_backoff);
         self.failures += 1;
-        if moved {
-            self.seen = None;
+        if is_swap {
+            self.current = None;
         }
     }
 
-    fn in_force(&mut self, later: Vec<Entry>) {
+    fn set_applied(&mut self, later: Vec<Entry>) {
         let base = self.base.as_ref().map_or(0, Base::revision);
         self.outcome = Some(ApplyOutcome::Applied {
             revision: base + 1,
@@ -222,30 +217,30 @@
 
     fn read(&mut self, stored: Option<VersionedValue>) {
         let Some(stored) = stored else {
-            self.seen = Some(None);
+            self.current = Some(None);
             return;
         };
-        match record::read(&stored.bytes) {
-            Some(root) => self.seen = Some(Some((root, stored.version))),
-            None => self.broken("it does not read as a root"),
+        match record::decode(&stored.bytes) {
+            Some(root) => self.current = Some(Some((root, stored.version))),
+            None => self.set_corrupt("it does not read as a root"),
         }
     }
 
-    fn broken(&mut self, finding: &str) {
+    fn set_corrupt(&mut self, finding: &str) {
         self.outcome = Some(ApplyOutcome::CorruptRoot {
             finding: finding.into(),
         });
     }
 
     /// All operations that what is known calls for.
-    fn due(&mut self) -> Vec<StoreOp> {
-        let Some(seen) = self.seen.clone() else {
+    fn required_ops(&mut self) -> Vec<StoreOp> {
+        let Some(current) = self.current.clone() else {
             return vec![StoreOp::ReadRoot];
         };
-        let version = seen.as_ref().map(|(_, version)| *version);
-        let root = seen.map(|(root, _)| root);
+        let version = current.as_ref().map(|(_, version)| *version);
+        let root = current.map(|(root, _)| root);
         let Some(base) = &self.base else {
-            return self.begin(root, version);
+            return self.start(root, version);
         };
         if base.version == version {
             return self.advance();
@@ -253,14 +248,14 @@
         let revision = root.as_ref().map_or(0, |root| root.now.revision);
         match root {
             Some(root) if revision > base.revision() && self.fault != Fault::Rebase => {
-                self.settle(&root, base.revision())
+                self.resolve(&root, base.revision())
             }
             None => {
-                self.broken("it was there and is gone");
+                self.set_corrupt("it was there and is gone");
                 Vec::new()
             }
             Some(_) if revision < base.revision() => {
-                self.broken("its revision has fallen");
+                self.set_corrupt("its revision has fallen");
                 Vec::new()
             }
             // A sweep: the same revision under a new version.
@@ -269,28 +264,28 @@
     }
 
     /// The first read: is this the ground that the operator saw?
-    fn begin(&mut self, root: Option<Root>, version: Option<Version>) -> Vec<StoreOp> {
+    fn start(&mut self, root: Option<Root>, version: Option<Version>) -> Vec<StoreOp> {
         let revision = root.as_ref().map_or(0, |root| root.now.revision);
         if let Some(root) = &root {
             let mut listed = std::iter::once(&root.now).chain(&root.recent);
             if let Some(entry) = listed.find(|entry| entry.id == self.request.id) {
                 // An earlier process of this apply got through and did not hear of it.
-                let made = entry.revision;
-                return self.found(root, made);
+                let applied = entry.revision;
+                return self.set_found(root, applied);
             }
         }
         let expected = self.request.base.unwrap_or(revision);
         if expected > revision {
-            self.broken("it is older than the revision that was planned on");
+            self.set_corrupt("it is older than the revision that was planned on");
             return Vec::new();
         }
         match root {
-            Some(root) if expected < revision => self.settle(&root, expected),
+            Some(root) if expected < revision => self.resolve(&root, expected),
             root => self.rebase(root, version),
         }
     }
 
-    fn found(&mut self, root: &Root, revision: u64) -> Vec<StoreOp> {
+    fn set_found(&mut self, root: &Root, revision: u64) -> Vec<StoreOp> {
         let listed = std::iter::once(&root.now).chain(&root.recent);
         let later = listed.filter(|entry| entry.revision > revision);
         self.outcome = Some(ApplyOutcome::Applied {
@@ -301,14 +296,14 @@
     }
 
     fn rebase(&mut self, root: Option<Root>, version: Option<Version>) -> Vec<StoreOp> {
-        let trusted = self.fault == Fault::TrustWritten && self.base.is_some();
+        let skip_writes = self.fault == Fault::TrustWritten && self.base.is_some();
         // A move that named an older version cannot take effect any more.
-        self.moved = false;
+        self.swap_sent = false;
         self.base = Some(Base {
             root,
             version,
             plan: None,
-            trusted,
+            skip_writes,
         });
         self.advance()
     }
@@ -325,46 +320,46 @@
                 Err(missing) => reads = missing.into_iter().map(StoreOp::ReadPiece).collect(),
             }
         }
-        let asks = match &base.plan {
+        let ops = match &base.plan {
             Some(plan) if plan.writes.is_empty() => {
-                self.moved = true;
+                self.swap_sent = true;
                 vec![StoreOp::SwapRoot {
                     expect: base.version,
                     bytes: plan.root.clone(),
                 }]
             }
             // Those under way are among the first, so this many give a full window.
-            Some(plan) => writes(&plan.writes, self.limits.max_in_flight * 2),
+            Some(plan) => write_ops(&plan.writes, self.limits.max_in_flight * 2),
             None => reads,
         };
         self.base = Some(base);
-        asks
+        ops
     }
 
     /// Works out the writes, or names the pieces that must be read first. Gives nothing where there
     /// is nothing to change.
-    fn plan(&mut self, base: &Base) -> Result<Option<Plan>, BTreeSet<Hash>> {
-        let fresh = match self.compare(base.tree(), self.split.tree) {
+    fn plan(&mut self, base: &Base) -> Result<Option<WritePlan>, BTreeSet<Hash>> {
+        let new_pieces = match self.compare(base.tree(), self.split.tree) {
             Ok(diff) if diff.changed.is_empty() && base.root.is_some() => {
                 let revision = base.revision();
                 self.outcome = Some(ApplyOutcome::Unchanged { revision });
                 return Ok(None);
             }
             Ok(diff) => diff.new_pieces,
-            Err(TreeError::Missing(missing)) if !self.any_gone(&missing) => return Err(missing),
+            Err(TreeError::Missing(missing)) if !self.any_missing(&missing) => return Err(missing),
             // The tree in force lacks pieces. All of ours are written; this apply mends it.
             Err(_) => self.split.pieces.keys().copied().collect(),
         };
         let past = self.past(base)?;
-        let next = next(base.root.as_ref(), past.as_ref(), self.entry());
+        let next = next_root(base.root.as_ref(), past.as_ref(), self.entry());
         let mut writes = Pieces::new();
-        if !base.trusted {
+        if !base.skip_writes {
             let held = |hash: &Hash| Some((*hash, self.split.pieces.get(hash)?.clone()));
-            writes.extend(fresh.iter().filter_map(held));
+            writes.extend(new_pieces.iter().filter_map(held));
             writes.extend(next.past.map(|bytes| (Hash::of(&bytes), bytes)));
         }
-        let root = record::bytes(&next.root);
-        Ok(Some(Plan { writes, root }))
+        let root = record::encode(&next.root);
+        Ok(Some(WritePlan { writes, root }))
     }
 
     fn entry(&self) -> Entry {
@@ -379,33 +374,38 @@
 
     /// The past piece that the next root needs: none, its content, or its hash to be read.
     fn past(&self, base: &Base) -> Result<Option<Past>, BTreeSet<Hash>> {
-        let Some(root) = base.root.as_ref().filter(|root| rolls(root)) else {
+        let Some(root) = base.root.as_ref().filter(|root| needs_rollover(root)) else {
             return Ok(None);
         };
         let Some(hash) = Hash::read(&root.past) else {
             return Ok(None);
         };
-        match self.have.get(&hash) {
+        match self.fetched.get(&hash) {
             Some(bytes) => Ok(wire::decode(bytes).ok()),
-            None if self.gone.contains(&hash) => Ok(None),
+            None if self.missing.contains(&hash) => Ok(None),
             None => Err(BTreeSet::from([hash])),
         }
     }
 
-    pub(super) fn any_gone(&self, hashes: &BTreeSet<Hash>) -> bool {
-        hashes.iter().any(|hash| self.gone.contains(hash))
+    pub(super) fn any_missing(&self, hashes: &BTreeSet<Hash>) -> bool {
+        hashes.iter().any(|hash| self.missing.contains(hash))
     }
 
     pub(super) fn compare(&self, old: Option<Hash>, new: Hash) -> Result<Diff, TreeError> {
-        let get = |hash: &Hash| self.have.get(hash).or(self.split.pieces.get(hash)).cloned();
+        let get = |hash: &Hash| {
+            self.fetched
+                .get(hash)
+                .or(self.split.pieces.get(hash))
+                .cloned()
+        };
         diff(old, new, &get)
     }
 }
 
-fn writes(pieces: &Pieces, most: usize) -> Vec<StoreOp> {
+fn write_ops(pieces: &Pieces, limit: usize) -> Vec<StoreOp> {
     let write = |(hash, bytes): (&Hash, &Arc<[u8]>)| StoreOp::WritePiece {
         hash: *hash,
         bytes: bytes.clone(),
     };
-    pieces.iter().take(most).map(write).collect()
+    pieces.iter().take(limit).map(write).collect()
 }
--- a/crates/coord/src/root/mod.rs
+++ b/crates/coord/src/root/mod.rs
@@ -31,22 +31,22 @@
 //! ```
 
 mod apply;
+mod history;
 mod outcome;
 mod record;
 mod request;
-mod settle;
-mod store;
+mod resolve;
+mod store_op;
 mod sweep;
-mod trace;
 
 #[doc(hidden)]
 pub use self::request::Fault;
 pub use self::{
     apply::Apply,
+    history::{History, applies_after},
     outcome::ApplyOutcome,
-    record::{PAST_ENTRIES, RECENT, bytes, find, read},
+    record::{PAST_ENTRIES, RECENT_ENTRIES, decode, encode, find_entry},
     request::{ApplyRequest, StoreLimits},
-    store::{PendingOp, StoreOp, StoreReply, Version, VersionedValue},
-    sweep::{KEPT_REVISIONS, Sweep, Swept, kept},
-    trace::{Trace, after},
+    store_op::{PendingOp, StoreOp, StoreReply, Version, VersionedValue},
+    sweep::{RETAINED_REVISIONS, Sweep, SweepOutcome, retained_trees},
 };
--- a/crates/coord/src/root/settle.rs
+++ b/crates/coord/src/root/resolve.rs
@@ -4,19 +4,19 @@
 
 use super::{
     apply::{Apply, Base},
+    history::{History, applies_after},
     outcome::ApplyOutcome,
-    store::StoreOp,
-    trace::{Trace, after},
+    store_op::StoreOp,
 };
 use crate::pieces::{Hash, TreeError};
 
 impl Apply {
     /// The root moved on from `base`: was it this apply?
-    pub(super) fn settle(&mut self, root: &Root, base: u64) -> Vec<StoreOp> {
-        let (mut by, ground) = match after(root, base, &self.have, &self.gone) {
-            Trace::Whole { later, ground } => (later, ground),
-            Trace::Needs(hash) => return vec![StoreOp::ReadPiece(hash)],
-            Trace::Ended => {
+    pub(super) fn resolve(&mut self, root: &Root, base: u64) -> Vec<StoreOp> {
+        let (mut by, base_entry) = match applies_after(root, base, &self.fetched, &self.missing) {
+            History::Complete { later, base } => (later, base),
+            History::MissingPiece(hash) => return vec![StoreOp::ReadPiece(hash)],
+            History::Truncated => {
                 let revision = root.now.revision;
                 self.outcome = Some(ApplyOutcome::Undetermined { base, revision });
                 return Vec::new();
@@ -31,27 +31,27 @@
             });
             return Vec::new();
         }
-        let tree = ground.and_then(|entry| Hash::read(&entry.tree));
-        self.explain(root, base, tree, by)
+        let tree = base_entry.and_then(|entry| Hash::read(&entry.tree));
+        self.set_conflict(root, base, tree, by)
     }
 
     /// Names what the others changed, then ends.
-    fn explain(
+    fn set_conflict(
         &mut self,
         root: &Root,
         base: u64,
-        ground: Option<Hash>,
+        base_tree: Option<Hash>,
         by: Vec<Entry>,
     ) -> Vec<StoreOp> {
         let known = self.base.as_ref();
         let known = known.filter(|known| known.revision() == base);
-        let old = known.and_then(Base::tree).or(ground);
+        let old = known.and_then(Base::tree).or(base_tree);
         let changed = match (old, Hash::read(&root.now.tree)) {
             (None, _) if base > 0 => None,
             (_, None) => None,
             (old, Some(new)) => match self.compare(old, new) {
                 Ok(diff) => Some(diff.changed.into_keys().collect()),
-                Err(TreeError::Missing(missing)) if !self.any_gone(&missing) => {
+                Err(TreeError::Missing(missing)) if !self.any_missing(&missing) => {
                     return missing.into_iter().map(StoreOp::ReadPiece).collect();
                 }
                 Err(_) => None,
--- a/crates/coord/src/root/sweep.rs
+++ b/crates/coord/src/root/sweep.rs
@@ -20,7 +20,7 @@
 
 use super::{
     record,
-    store::{PendingOp, StoreOp, StoreReply, Version},
+    store_op::{PendingOp, StoreOp, StoreReply, Version},
 };
 use crate::{
     pieces::{Hash, Pieces, TreeError, list_tree},
@@ -29,13 +29,13 @@
 
 /// Revisions whose applies stay listed: three weeks at 4,500 a day. An apply that waits longer for
 /// the store is told that it is [forgotten](super::ApplyOutcome::Undetermined).
-pub const KEPT_REVISIONS: u64 = 100_000;
+pub const RETAINED_REVISIONS: u64 = 100_000;
 /// Removals under way at once.
-const WINDOW: usize = 8;
+const MAX_IN_FLIGHT: usize = 8;
 
 /// How a sweep ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Swept {
+pub enum SweepOutcome {
     /// All that could be removed is removed.
     Done {
         /// Pieces removed.
@@ -44,10 +44,10 @@
         kept: usize,
     },
     /// There is nothing to remove; the root was not marked.
-    Clean,
+    NothingToRemove,
     /// The root moved before the mark, or it is not known whether the mark took effect. Nothing was
     /// removed.
-    Beaten,
+    Conflict,
     /// The store failed, or a tree in use lacks pieces. What was not removed stays.
     Failed,
 }
@@ -67,19 +67,19 @@
     step: Step,
     root: Option<(Root, Version)>,
     listed: BTreeMap<Hash, Version>,
-    have: Pieces,
-    gone: BTreeSet<Hash>,
+    fetched: Pieces,
+    missing: BTreeSet<Hash>,
     /// Index pieces to read before the walk is tried again.
-    reads: Vec<Hash>,
+    to_read: Vec<Hash>,
     /// Pieces to remove, then those not yet begun.
-    todo: Vec<Hash>,
+    to_remove: Vec<Hash>,
     pending: BTreeMap<u64, StoreOp>,
-    number: u64,
+    last_id: u64,
     removed: usize,
     kept: usize,
-    ended: Option<Swept>,
+    outcome: Option<SweepOutcome>,
     /// Fault of a check: removes without the mark.
-    unmarked: bool,
+    skip_mark: bool,
 }
 
 impl Sweep {
@@ -89,87 +89,89 @@
             step: Step::Read,
             root: None,
             listed: BTreeMap::new(),
-            have: Pieces::new(),
-            gone: BTreeSet::new(),
-            reads: Vec::new(),
-            todo: Vec::new(),
+            fetched: Pieces::new(),
+            missing: BTreeSet::new(),
+            to_read: Vec::new(),
+            to_remove: Vec::new(),
             pending: BTreeMap::new(),
-            number: 0,
+            last_id: 0,
             removed: 0,
             kept: 0,
-            ended: None,
-            unmarked: false,
+            outcome: None,
+            skip_mark: false,
         }
     }
 
     /// Leaves the mark out, so that a check is seen to find it.
     #[doc(hidden)]
     pub fn without_mark(mut self) -> Self {
-        self.unmarked = true;
+        self.skip_mark = true;
         self
     }
 
-    /// The end, once it is reached.
-    pub fn ended(&self) -> Option<&Swept> {
-        self.ended.as_ref()
+    /// The end, once it is reachable.
+    pub fn outcome(&self) -> Option<&SweepOutcome> {
+        self.outcome.as_ref()
     }
 
     /// Operations to begin now.
     pub fn poll(&mut self) -> Vec<PendingOp> {
         let mut out = Vec::new();
-        while self.ended.is_none() && self.pending.len() < WINDOW {
-            let Some(ask) = self.due() else {
+        while self.outcome.is_none() && self.pending.len() < MAX_IN_FLIGHT {
+            let Some(op) = self.next_op() else {
                 break;
             };
-            self.number += 1;
-            self.pending.insert(self.number, ask.clone());
+            self.last_id += 1;
+            self.pending.insert(self.last_id, op.clone());
             out.push(PendingOp {
-                id: self.number,
-                op: ask,
+                id: self.last_id,
+                op,
             });
         }
         out
     }
 
     /// Takes the answer to an operation, then gives the operations to begin now.
-    pub fn handle_reply(&mut self, number: u64, answer: StoreReply) -> Vec<PendingOp> {
-        if let Some(ask) = self.pending.remove(&number) {
-            self.take(ask, answer);
+    pub fn handle_reply(&mut self, id: u64, reply: StoreReply) -> Vec<PendingOp> {
+        if let Some(op) = self.pending.remove(&id) {
+            self.process_reply(op, reply);
         }
         self.poll()
     }
 
-    fn take(&mut self, ask: StoreOp, answer: StoreReply) {
-        match (ask, answer) {
+    fn process_reply(&mut self, op: StoreOp, reply: StoreReply) {
+        match (op, reply) {
             (StoreOp::ReadRoot, StoreReply::Root(Some(stored))) => {
-                match record::read(&stored.bytes) {
+                match record::decode(&stored.bytes) {
                     Some(root) => {
                         self.root = Some((root, stored.version));
                         self.step = Step::List;
                     }
-                    None => self.ended = Some(Swept::Failed),
+                    None => self.outcome = Some(SweepOutcome::Failed),
                 }
             }
-            (StoreOp::ReadRoot, StoreReply::Root(None)) => self.ended = Some(Swept::Clean),
+            (StoreOp::ReadRoot, StoreReply::Root(None)) => {
+                self.outcome = Some(SweepOutcome::NothingToRemove)
+            }
             (StoreOp::ListPieces, StoreReply::Listed(listed)) => {
                 self.listed = listed.into_iter().collect();
                 self.step = Step::Walk;
             }
             (StoreOp::ReadPiece(hash), StoreReply::Piece(bytes)) => match bytes {
-                Some(bytes) => drop(self.have.insert(hash, bytes)),
-                None => drop(self.gone.insert(hash)),
+                Some(bytes) => drop(self.fetched.insert(hash, bytes)),
+                None => drop(self.missing.insert(hash)),
             },
             (StoreOp::SwapRoot { .. }, StoreReply::Done) => self.step = Step::Remove,
-            (StoreOp::SwapRoot { .. }, _) => self.ended = Some(Swept::Beaten),
+            (StoreOp::SwapRoot { .. }, _) => self.outcome = Some(SweepOutcome::Conflict),
             (StoreOp::RemovePiece { .. }, StoreReply::Done) => self.removed += 1,
             (StoreOp::RemovePiece { .. }, StoreReply::Conflict) => self.kept += 1,
             // A piece that could not be removed now is found again by the next sweep.
             (StoreOp::RemovePiece { .. }, _) => self.kept += 1,
-            _ => self.ended = Some(Swept::Failed),
+            _ => self.outcome = Some(SweepOutcome::Failed),
         }
     }
 
-    fn due(&mut self) -> Option<StoreOp> {
+    fn next_op(&mut self) -> Option<StoreOp> {
         let idle = self.pending.is_empty();
         match self.step {
             Step::Read => idle.then_some(StoreOp::ReadRoot),
@@ -180,49 +182,49 @@
         }
     }
 
-    /// Reads index pieces, level by level, until it is known which pieces are reached.
+    /// Reads index pieces, level by level, until it is known which pieces are reachable.
     fn walk(&mut self) -> Option<StoreOp> {
-        if let Some(hash) = self.reads.pop() {
+        if let Some(hash) = self.to_read.pop() {
             return Some(StoreOp::ReadPiece(hash));
         }
         if !self.pending.is_empty() {
             return None;
         }
         let (root, _) = self.root.clone()?;
-        let mut reached = BTreeSet::new();
-        let mut missing = self.walk_past(&root, &mut reached);
-        for (_, tree) in kept(&root) {
-            match list_tree(tree, &self.have) {
+        let mut reachable = BTreeSet::new();
+        let mut missing = self.walk_past(&root, &mut reachable);
+        for (_, tree) in retained_trees(&root) {
+            match list_tree(tree, &self.fetched) {
                 Ok(listed) => {
-                    reached.extend(listed.nodes);
-                    reached.extend(listed.leaves.into_values());
+                    reachable.extend(listed.nodes);
+                    reachable.extend(listed.leaves.into_values());
                 }
-                Err(TreeError::Missing(lacking)) => missing.extend(lacking),
-                Err(TreeError::Corrupt(_)) => self.ended = Some(Swept::Failed),
+                Err(TreeError::Missing(hashes)) => missing.extend(hashes),
+                Err(TreeError::Corrupt(_)) => self.outcome = Some(SweepOutcome::Failed),
             }
         }
         // A tree with a piece gone cannot be walked, so what it still holds is not known.
-        if missing.iter().any(|hash| self.gone.contains(hash)) {
-            self.ended = Some(Swept::Failed);
+        if missing.iter().any(|hash| self.missing.contains(hash)) {
+            self.outcome = Some(SweepOutcome::Failed);
         }
-        if self.ended.is_some() {
+        if self.outcome.is_some() {
             return None;
         }
         if missing.is_empty() {
-            return self.choose(&reached);
+            return self.select_unreachable(&reachable);
         }
-        self.reads = missing.into_iter().collect();
-        self.reads.pop().map(StoreOp::ReadPiece)
+        self.to_read = missing.into_iter().collect();
+        self.to_read.pop().map(StoreOp::ReadPiece)
     }
 
-    fn choose(&mut self, reached: &BTreeSet<Hash>) -> Option<StoreOp> {
-        let unreached = self.listed.keys().filter(|hash| !reached.contains(hash));
-        self.todo = unreached.copied().collect();
-        if self.todo.is_empty() {
-            self.ended = Some(Swept::Clean);
+    fn select_unreachable(&mut self, reachable: &BTreeSet<Hash>) -> Option<StoreOp> {
+        let unreachable = self.listed.keys().filter(|hash| !reachable.contains(hash));
+        self.to_remove = unreachable.copied().collect();
+        if self.to_remove.is_empty() {
+            self.outcome = Some(SweepOutcome::NothingToRemove);
             return None;
         }
-        if self.unmarked {
+        if self.skip_mark {
             self.step = Step::Remove;
             return self.remove();
         }
@@ -231,12 +233,12 @@
     }
 
     /// Reaches the past pieces that are kept; gives those to be read.
-    fn walk_past(&mut self, root: &Root, reached: &mut BTreeSet<Hash>) -> BTreeSet<Hash> {
+    fn walk_past(&mut self, root: &Root, reachable: &mut BTreeSet<Hash>) -> BTreeSet<Hash> {
         let mut next = root.past.clone();
         while let Some(hash) = Hash::read(&next) {
-            let Some(bytes) = self.have.get(&hash) else {
+            let Some(bytes) = self.fetched.get(&hash) else {
                 // One that is gone ends the list: an earlier sweep cut it there.
-                return if self.gone.contains(&hash) {
+                return if self.missing.contains(&hash) {
                     BTreeSet::new()
                 } else {
                     BTreeSet::from([hash])
@@ -246,10 +248,10 @@
                 break;
             };
             let newest = past.entries.first().map_or(0, |entry| entry.revision);
-            if newest + KEPT_REVISIONS < root.now.revision {
+            if newest + RETAINED_REVISIONS < root.now.revision {
                 break;
             }
-            reached.insert(hash);
+            reachable.insert(hash);
             next = past.before;
         }
         BTreeSet::new()
@@ -260,15 +262,15 @@
         root.sweep += 1;
         Some(StoreOp::SwapRoot {
             expect: Some(version),
-            bytes: record::bytes(&root),
+            bytes: record::encode(&root),
         })
     }
 
     fn remove(&mut self) -> Option<StoreOp> {
-        let Some(hash) = self.todo.pop() else {
+        let Some(hash) = self.to_remove.pop() else {
             if self.pending.is_empty() {
                 let (removed, kept) = (self.removed, self.kept);
-                self.ended = Some(Swept::Done { removed, kept });
+                self.outcome = Some(SweepOutcome::Done { removed, kept });
             }
             return None;
         };
@@ -278,7 +280,7 @@
 }
 
 /// The trees that a root keeps, newest first, with their revisions.
-pub fn kept(root: &Root) -> Vec<(u64, Hash)> {
+pub fn retained_trees(root: &Root) -> Vec<(u64, Hash)> {
     std::iter::once(&root.now)
         .chain(&root.recent)
         .filter_map(|entry| Some((entry.revision, Hash::read(&entry.tree)?)))
