--- a/crates/coord/src/lease/mod.rs
+++ b/crates/coord/src/lease/mod.rs
@@ -1,21 +1,25 @@
 //! A lease in the store, with a fencing token.
 //!
-//! The lease is a value that its holder renews by compare-and-swap. The danger is a holder that is
-//! paused, or whose renewal's answer is lost: another takes the lease, and two act. So:
+//! The lease is a value that its holder renews by compare-and-swap. The hazard is a holder that is
+//! paused, or that does not receive the reply to a renewal: another host takes the lease, and both
+//! act. Therefore:
 //!
 //! * a holder counts its time from *before* it sent the renewal, on its own monotonic clock, and
-//!   stops [`Timings::margin`] earlier than others may begin;
-//! * others count from when they first *saw* the value, which is later than it was written;
-//! * [`Lease::token`] must be called right before each act, and whatever is acted upon refuses a
-//!   token lower than one it has seen: a pause between the call and the act defeats every clock.
+//!   stops [`Timings::margin`] before other hosts may take over;
+//! * other hosts count from when they first *saw* the value, which is later than when it was
+//!   written;
+//! * [`Lease::token`] must be called right before each action, and the resource acted upon must
+//!   refuse a token lower than one it has seen: no clock protects from a pause between the call and
+//!   the action.
 //!
-//! Nothing in this crate needs a lease: the root is moved by compare-and-swap, sweeps are marked,
-//! two relays do no harm. It is for users whose effects can be fenced.
+//! No other module of this crate needs a lease: the root is replaced by compare-and-swap, sweeps
+//! mark the root, and a second relay is harmless. The lease is for callers whose effects can be
+//! fenced.
 //!
 //! ```
 //! use std::time::Duration;
 //!
-//! use dunlinrock_coord::lease::{LeaseReply, LeaseOp, Lease, Timings};
+//! use dunlinrock_coord::lease::{Lease, LeaseOp, LeaseReply, Timings};
 //!
 //! let mut lease = Lease::open("h1".into(), Timings::default());
 //! let now = Duration::ZERO;
@@ -33,16 +37,16 @@
 
 use crate::root::Version;
 
-/// Times of a lease.
+/// Timings of a lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timings {
-    /// Time for which a renewal holds.
+    /// Time for which a renewal is valid.
     pub ttl: Duration,
-    /// Time between renewals.
+    /// Interval between renewals.
     pub renew_interval: Duration,
-    /// How much earlier than `ttl` the holder stops: covers clocks that run at differing speeds.
+    /// How much earlier than `ttl` the holder stops; covers clocks that run at different rates.
     pub margin: Duration,
-    /// Wait after a failed operation, and between two looks at another's lease.
+    /// Delay after a failed operation, and between reads of a lease held by another host.
     pub retry_interval: Duration,
 }
 
@@ -57,30 +61,30 @@
     }
 }
 
-/// An operation on the lease's key; one is under way at a time.
+/// An operation on the lease's key; at most one is pending.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseOp {
     /// Read the value.
     Read,
-    /// Write the value if its version is still this one (`None`: if there is none).
+    /// Write the value if its version is still this one (`None`: if there is no value).
     Write {
-        /// The version it must have.
+        /// The version that the value must have.
         expect: Option<Version>,
-        /// The value.
+        /// The new value.
         record: LeaseRecord,
     },
 }
 
-/// The store's answer.
+/// The store's reply to an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseReply {
-    /// The value with its version, or that there is none.
+    /// The value with its version; `None` if there is no value.
     Value(Option<(LeaseRecord, Version)>),
-    /// Written, under this version.
+    /// The value was written and has this version.
     Written(Version),
-    /// The version was another one.
+    /// The value had another version.
     Conflict,
-    /// No answer; a write may have taken effect or may still do so.
+    /// No reply; a write may have taken effect or may still do so.
     Failed,
 }
 
@@ -88,7 +92,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct ObservedValue {
     version: Version,
-    /// When this version was first seen here.
+    /// Time at which this version was first seen here.
     first_seen: Duration,
 }
 
@@ -100,23 +104,24 @@
     /// The value as last read or written; `None` while a read is due.
     current: Option<Option<(LeaseRecord, Version)>>,
     observed: Option<ObservedValue>,
-    /// Token held, and when the renewal that holds it was sent.
+    /// The token held, and the time at which the renewal that holds it was sent.
     held: Option<(u64, Duration)>,
-    /// The write under way, and when it was sent.
+    /// The pending write, and the time at which it was sent.
     sent_write: Option<(LeaseRecord, Duration)>,
-    /// Highest token ever held; a lease that was lost is only held again under a higher one.
+    /// Highest token ever held; a lost lease can only be held again with a higher one.
     last_token: u64,
-    /// Writes sent so far. Each has its own `renewal`, so that a value that is read can be told
-    /// from an equal one of an earlier write, whose time began earlier.
+    /// Number of writes sent. It makes each `renewal` unique, so that a value can be told from an
+    /// equal one of an earlier write, whose time started earlier.
     writes: u64,
     pending: bool,
     wait_until: Duration,
-    /// Whether the lease is being given back.
+    /// Whether the lease is being released.
     releasing: bool,
 }
 
 impl Lease {
-    /// Begins to try for the lease. `me` names this process and no earlier one of its host.
+    /// Starts to acquire the lease. `me` must be unique to this process; an earlier process of the
+    /// same host must not have used it.
     pub fn open(me: Arc<str>, timings: Timings) -> Self {
         Self {
             me,
@@ -133,21 +138,21 @@
         }
     }
 
-    /// The fencing token, while the lease surely holds.
+    /// Returns the fencing token while the lease is certainly held.
     pub fn token(&self, now: Duration) -> Option<u64> {
         let (token, since) = self.held?;
         let expires_at = since + self.timings.ttl.saturating_sub(self.timings.margin);
         (now < expires_at).then_some(token)
     }
 
-    /// Gives the lease back, so that others need not wait for it to lapse.
+    /// Releases the lease, so that other hosts need not wait until it expires.
     pub fn release(&mut self) {
         self.releasing = true;
         self.held = None;
         self.wait_until = Duration::ZERO;
     }
 
-    /// The operation to begin now.
+    /// Returns the operation to start now.
     pub fn poll(&mut self, now: Duration) -> Option<LeaseOp> {
         if self.pending || now < self.wait_until {
             return None;
@@ -170,7 +175,7 @@
         if self.releasing {
             return self.release_op(&record, version, now);
         }
-        // A write of this host that arrived late, after it was given up: nobody acts on it.
+        // A write of this host that took effect late, after it was given up: no host acts on it.
         let is_late_write = record.holder == self.me;
         if is_late_write || record.holder.is_empty() || self.has_expired(&record, version, now) {
             return Some(self.write_op(Some(version), record.token + 1, now));
@@ -197,7 +202,7 @@
         Some(op)
     }
 
-    /// Whether another's value has stood unchanged for its whole time, here.
+    /// Returns whether another holder's value has stayed unchanged here for its whole time to live.
     fn has_expired(&mut self, record: &LeaseRecord, version: Version, now: Duration) -> bool {
         match &self.observed {
             Some(observed) if observed.version == version => {
@@ -226,7 +231,7 @@
         LeaseOp::Write { expect, record }
     }
 
-    /// Takes the answer to the operation under way.
+    /// Handles the reply to the pending operation.
     pub fn handle_reply(&mut self, now: Duration, reply: LeaseReply) {
         if !std::mem::take(&mut self.pending) {
             return;
@@ -235,7 +240,7 @@
             LeaseReply::Written(version) => self.handle_written(version, now),
             LeaseReply::Value(value) => self.handle_value(value),
             LeaseReply::Conflict => {
-                // Somebody else wrote, or an earlier write of this host arrived late.
+                // Another host wrote, or an earlier write of this host took effect late.
                 self.current = None;
             }
             LeaseReply::Failed => {
@@ -258,8 +263,8 @@
         self.wait_until = now + self.timings.renew_interval;
     }
 
-    /// A value that is exactly the write whose answer was lost says that it took effect; it holds
-    /// from before that write was sent.
+    /// Handles a value that was read. If it equals the write whose reply was lost, that write took
+    /// effect, and the lease is held from before it was sent.
     fn handle_value(&mut self, value: Option<(LeaseRecord, Version)>) {
         let read = value.as_ref().map(|(record, _)| record);
         let sent = self.sent_write.take();
--- a/crates/coord/src/member/topology.rs
+++ b/crates/coord/src/member/topology.rs
@@ -51,8 +51,7 @@
     let ranked: Vec<(&Arc<str>, Vec<&Arc<str>>)> = domains
         .iter()
         .filter(|(_, hosts)| !hosts.is_empty())
-        // A key of its own, so that the ranks differ from those of the relays, which send other
-        // traffic. It must stay the same, as all hosts must compute the same ranks.
+        // Ranked by another key than the relays, which have their own traffic to send.
         .map(|(domain, hosts)| (domain, rendezvous::rank(&format!("{domain} speaks"), hosts)))
         .collect();
     let mut remote_peers = Vec::new();
--- a/crates/coord/src/pieces/blocks.rs
+++ b/crates/coord/src/pieces/blocks.rs
@@ -7,23 +7,24 @@
 
 use super::shards::shards;
 
-/// Most blocks in one shard: 1.8 KB, so that a changed block fits 4 KB with its index pieces.
+/// Maximum number of blocks in a shard: 1.8 KB, so that a changed block fits 4 KB with its index
+/// pieces.
 pub const MAX_SHARD_BLOCKS: usize = 256;
-/// Bytes of one block: address, length of the prefix, index of the region.
+/// Bytes of one block: address, prefix length, index of the region.
 const ROW_BYTES: usize = 7;
 
 /// One shard of client blocks.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct Blocks {
-    /// Regions named in the rows, in order.
+    /// Regions that the rows refer to by index, sorted.
     pub regions: Vec<Arc<str>>,
-    /// Blocks of IPv4 addresses in their usual text, seven bytes each.
+    /// Blocks of IPv4 addresses in canonical form, seven bytes each.
     pub rows: Vec<u8>,
     /// All other blocks, as text.
     pub texts: BTreeMap<Arc<str>, Arc<str>>,
 }
 
-/// Splits blocks into shards by their leading address bits, each with a name of its own.
+/// Splits blocks into named shards by their leading address bits.
 pub(super) fn split_blocks(blocks: &BTreeMap<Arc<str>, Arc<str>>) -> Vec<(Arc<str>, Blocks)> {
     let mut ipv4 = Vec::new();
     let mut other = Vec::new();
@@ -57,7 +58,7 @@
 }
 
 impl Blocks {
-    /// Reads the blocks back; `None` where the rows are broken.
+    /// Returns all blocks; `None` if the rows are corrupt.
     pub fn unpack(&self) -> Option<BTreeMap<Arc<str>, Arc<str>>> {
         let mut out = self.texts.clone();
         for row in self.rows.chunks(ROW_BYTES) {
@@ -81,7 +82,7 @@
     regions.dedup();
     let mut rows = Vec::with_capacity(entries.len() * ROW_BYTES);
     for (address, length, region) in entries {
-        // A shard holds at most 256 distinct addresses times 33 lengths, so the index fits.
+        // A shard contains at most 256 distinct addresses times 33 lengths, so the index fits.
         let index = regions.binary_search(region).unwrap_or_default() as u16;
         rows.extend_from_slice(&address.octets());
         rows.push(*length);
@@ -94,7 +95,8 @@
     }
 }
 
-/// Reads a block whose text is exactly what [`Blocks::unpack`] writes; all others stay text.
+/// Parses a block if its text is exactly what [`Blocks::unpack`] would write; all others are stored
+/// as text.
 fn parse(block: &str) -> Option<(Ipv4Addr, u8)> {
     let (address, length) = block.split_once('/')?;
     let canonical = length.len() <= 2 && (length == "0" || !length.starts_with(['0', '+']));
--- a/crates/coord/src/pieces/diff.rs
+++ b/crates/coord/src/pieces/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two trees, found without reading what they share.
+//! Comparison of two trees that skips the parts they share.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,28 +10,28 @@
     index::{TreeError, Walk},
 };
 
-/// A leaf before and after.
+/// Hashes of a changed leaf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Its hash before; `None` for a new leaf.
+    /// Previous hash; `None` for a new leaf.
     pub old: Option<Hash>,
-    /// Its hash after; `None` for a leaf that is gone.
+    /// New hash; `None` for a removed leaf.
     pub new: Option<Hash>,
 }
 
 /// The difference of two trees.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Diff {
-    /// Leaves that differ, by name.
+    /// Changed leaves, by name.
     pub changed: BTreeMap<Arc<str>, Change>,
     /// Index pieces and leaves of the new tree that the old one does not have in the same place.
     pub new_pieces: BTreeSet<Hash>,
 }
 
-/// Compares two trees; `old` is `None` for a start from nothing.
+/// Compares two trees; `old` is `None` if there was none.
 ///
-/// Only index pieces where the trees differ are asked of `get`; where some are not at hand, all
-/// that are known to be needed are named together.
+/// Calls `get` only for index pieces where the trees differ. If some are not available, the error
+/// names all that are known to be needed.
 pub fn diff(
     old: Option<Hash>,
     new: Hash,
@@ -56,7 +56,7 @@
     walk.finish(out)
 }
 
-/// Leaves of both sides that lie under differing index pieces.
+/// Leaves of both trees below differing index pieces.
 #[derive(Default)]
 struct Sides {
     old: BTreeMap<Arc<str>, Hash>,
@@ -89,7 +89,7 @@
         return;
     };
     if !(one.branch && two.branch) {
-        // One side grew past one index piece: its leaves are compared by name.
+        // One of the trees outgrew a single index piece: its leaves are compared by name.
         walk.list(before, get, &mut sides.old, &mut BTreeSet::new());
         walk.list(after, get, &mut sides.new, &mut sides.nodes);
         return;
--- a/crates/coord/src/pieces/hash.rs
+++ b/crates/coord/src/pieces/hash.rs
@@ -1,13 +1,13 @@
-//! The name of a piece: a hash of its bytes.
+//! Hash that identifies a piece by its content.
 
 use std::fmt;
 
 use sha2::{Digest, Sha256};
 
-/// First 20 bytes of the SHA-256 of a piece.
+/// The first 20 bytes of the SHA-256 of a piece.
 ///
-/// Two pieces with one hash would take about 2^80 tries to make. The full 32 bytes would cost a
-/// changed service 0.6 KB more on its way to each host (index pieces are mostly hashes).
+/// Finding two pieces with the same hash takes about 2^80 attempts. The full 32 bytes would add 0.6
+/// KB to each transfer of a changed service (index pieces are mostly hashes).
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Hash([u8; Hash::LEN]);
 
@@ -15,7 +15,7 @@
     /// Length in bytes.
     pub const LEN: usize = 20;
 
-    /// Hashes the bytes of a piece.
+    /// Computes the hash of a piece.
     pub fn of(bytes: &[u8]) -> Self {
         let full = Sha256::digest(bytes);
         let mut hash = [0; Self::LEN];
@@ -23,12 +23,12 @@
         Self(hash)
     }
 
-    /// Reads a hash from its bytes; `None` where their number is wrong.
+    /// Returns a hash from its bytes; `None` if the length is wrong.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Self)
     }
 
-    /// Reads the text of `Display`.
+    /// Parses the output of `Display`.
     pub fn parse(text: &str) -> Option<Self> {
         if text.len() != Self::LEN * 2 || !text.is_ascii() {
             return None;
@@ -41,12 +41,12 @@
         Some(Self(hash))
     }
 
-    /// The bytes.
+    /// Returns the bytes.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// The bytes, as messages carry them.
+    /// Returns the bytes as a vector, as used in messages.
     pub fn to_vec(self) -> Vec<u8> {
         self.0.to_vec()
     }
@@ -60,7 +60,7 @@
 
 impl fmt::Debug for Hash {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Enough to tell pieces apart in a log or a failed test.
+        // Enough to distinguish pieces in a log or a failed test.
         self.0[..6]
             .iter()
             .try_for_each(|byte| write!(f, "{byte:02x}"))
--- a/crates/coord/src/pieces/index.rs
+++ b/crates/coord/src/pieces/index.rs
@@ -1,7 +1,7 @@
-//! The tree of index pieces that leads from one hash to every leaf.
+//! The tree of index pieces from the root hash to every leaf.
 //!
-//! A list of all leaves at 760,000 client blocks would be over 200 KB, moved by every change. In
-//! the tree a change moves one path: three index pieces.
+//! A list of all leaves at 760,000 client blocks would be over 200 KB, transferred with every
+//! change. In the tree a change rewrites one path: three index pieces.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,21 +14,21 @@
 use super::{Hash, Pieces};
 use crate::wire;
 
-/// Most leaves that an index piece lists before it branches.
+/// Maximum number of leaves that an index piece lists before it branches.
 pub const MAX_NODE_LEAVES: usize = 32;
-/// Digits of a name's hash that the tree can branch by.
+/// Number of hexadecimal digits of a name's hash by which the tree can branch.
 const KEY_DIGITS: u32 = 16;
 
-/// A leaf on its way into the tree.
+/// A leaf to be added to the tree.
 struct IndexEntry {
     key: u64,
     name: Arc<str>,
     hash: Hash,
 }
 
-/// Builds the index over named leaves, adds its pieces and gives the topmost one's hash.
+/// Builds the index over named leaves, adds its pieces and returns the hash of the topmost one.
 ///
-/// The place of a leaf follows from its name alone, so that two trees can be compared branch by
+/// The place of a leaf depends on its name alone, so that two trees can be compared branch by
 /// branch.
 pub(super) fn build(leaves: &BTreeMap<Arc<str>, Hash>, pieces: &mut Pieces) -> Hash {
     let mut listed: Vec<_> = leaves
@@ -78,13 +78,13 @@
     hash
 }
 
-/// An index piece, read.
+/// A decoded index piece.
 pub(super) struct Index {
     pub(super) branch: bool,
     pub(super) children: BTreeMap<Arc<str>, Hash>,
 }
 
-/// Reads an index piece; `None` where the bytes are none.
+/// Decodes an index piece; returns `None` if the bytes are not one.
 pub(super) fn decode_node(bytes: &[u8]) -> Option<Index> {
     let node: Node = wire::decode(bytes).ok()?;
     let children = node.children.into_iter();
@@ -95,18 +95,18 @@
     })
 }
 
-/// Why a tree cannot be walked to its end.
+/// Reason why a tree cannot be read completely.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum TreeError {
-    /// These pieces are not at hand; with them, others may turn out to be missing.
-    #[error("{} pieces of the configuration are not at hand; fetch them", .0.len())]
+    /// These pieces are not available; once they are, more may turn out to be missing.
+    #[error("{} pieces of the configuration are missing; fetch them", .0.len())]
     Missing(BTreeSet<Hash>),
-    /// A piece has the right hash and cannot be read: it was written by something else.
-    #[error("piece {0} does not read as part of a configuration; apply the configuration again")]
+    /// A piece has the right hash and cannot be decoded: it was written by another program.
+    #[error("piece {0} is corrupt: it cannot be decoded; apply the configuration again")]
     Corrupt(Hash),
 }
 
-/// A walk that gathers what it lacks instead of stopping at the first.
+/// A traversal that collects all missing pieces instead of stopping at the first.
 #[derive(Default)]
 pub(super) struct Walk {
     pub(super) missing: BTreeSet<Hash>,
@@ -114,7 +114,7 @@
 }
 
 impl Walk {
-    /// Reads the index piece of a hash.
+    /// Reads an index piece by its hash.
     pub(super) fn index(
         &mut self,
         hash: Hash,
@@ -131,7 +131,7 @@
         index
     }
 
-    /// Lists all leaves and index pieces below and including a hash.
+    /// Collects all leaves and index pieces at and below a hash.
     pub(super) fn list(
         &mut self,
         hash: Hash,
--- a/crates/coord/src/pieces/leaf.rs
+++ b/crates/coord/src/pieces/leaf.rs
@@ -1,4 +1,4 @@
-//! The parts of a configuration that are stored, and changed, on their own.
+//! The parts of a configuration that are stored and changed independently.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,11 +12,11 @@
     table::Table,
 };
 
-/// Most targets of a service that are stored with it; more go into pieces of their own, each of at
+/// Maximum number of targets stored with their service. More are split into separate pieces of at
 /// most this many, so that a changed target fits 4 KB with its index pieces.
 pub const MAX_SHARD_TARGETS: usize = 32;
 
-/// One part of a configuration, under a name of its own.
+/// One named part of a configuration.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub enum Leaf {
     /// All regions.
@@ -29,27 +29,28 @@
     Drains(Table),
     /// A service with its targets.
     Service {
-        /// Its name.
+        /// Name of the service.
         name: Arc<str>,
-        /// Its rules; none where only targets name it.
+        /// Rules of the service; `None` if only targets refer to it.
         rules: Option<Service>,
-        /// Its targets, where they are few.
+        /// Its targets, if they are few.
         targets: Table,
     },
-    /// Some of the targets of a service that has many.
+    /// Some targets of a service that has many.
     Targets(Table),
     /// Some of the client blocks.
     Blocks(Blocks),
 }
 
-/// A leaf whose rows do not fit their type.
+/// Error: the rows of a leaf do not match their type.
 #[derive(Debug, thiserror::Error)]
-#[error("a piece of the configuration does not read as its kind: {0}")]
+#[error("a leaf of the configuration does not match its type: {0}")]
 pub struct LeafError(String);
 
-/// Takes a configuration apart. Parts that are empty give no leaf.
+/// Splits a configuration into leaves. Empty parts have no leaf.
 pub fn leaves(config: &Config) -> BTreeMap<Arc<str>, Leaf> {
-    // Names every part: a part that is added to the schema and not stored would be lost silently.
+    // Names every field, so that a field added to the schema and not stored here fails to compile
+    // instead of being lost silently.
     let Config {
         regions,
         domains,
@@ -136,7 +137,7 @@
 }
 
 impl Leaf {
-    /// Puts the leaf's part into a configuration.
+    /// Adds the leaf's part to a configuration.
     pub fn add(&self, config: &mut Config) -> Result<(), LeafError> {
         match self {
             Self::Regions(rows) => config.regions.extend(unpack::<Region>(rows)?),
@@ -158,7 +159,7 @@
         Ok(())
     }
 
-    /// Takes the leaf's part out of a configuration.
+    /// Removes the leaf's part from a configuration.
     pub fn remove(&self, config: &mut Config) -> Result<(), LeafError> {
         match self {
             Self::Regions(rows) => remove_rows(&mut config.regions, &rows.names),
@@ -185,7 +186,7 @@
 }
 
 fn rows(blocks: &Blocks) -> Result<BTreeMap<Arc<str>, Arc<str>>, LeafError> {
-    let corrupt = || LeafError("rows of client blocks are broken".to_owned());
+    let corrupt = || LeafError("rows of client blocks are corrupt".to_owned());
     blocks.unpack().ok_or_else(corrupt)
 }
 
--- a/crates/coord/src/pieces/mod.rs
+++ b/crates/coord/src/pieces/mod.rs
@@ -1,10 +1,10 @@
-//! A configuration as immutable pieces under the hashes of their content.
+//! A configuration as immutable, content-addressed pieces.
 //!
-//! Answers the load of change: thousands of small changes a day to a configuration of many
-//! megabytes. Without pieces every change would move the whole to every host, and the whole does
-//! not fit one value of the store. A configuration becomes leaves (a service with its targets, a
-//! shard of client blocks) and a tree of index pieces over them; its topmost hash names the whole.
-//! A change makes a new leaf and new index pieces on the way to it, and shares all else.
+//! Thousands of small changes a day apply to a configuration of many megabytes. Without pieces
+//! every change would transfer all of it to every host, and it does not fit one value of the store.
+//! A configuration is split into leaves (a service with its targets, a shard of client blocks) and
+//! a tree of index pieces over them; the topmost hash identifies the configuration. A change writes
+//! a new leaf and the index pieces on the path to it, and shares all others.
 //!
 //! ```
 //! use dunlinrock_coord::pieces;
@@ -51,32 +51,32 @@
 /// Pieces by their hash.
 pub type Pieces = BTreeMap<Hash, Arc<[u8]>>;
 
-/// A configuration, split.
+/// A configuration split into pieces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Split {
-    /// Hash of the topmost index piece; names the whole configuration.
+    /// Hash of the topmost index piece; identifies the configuration.
     pub tree: Hash,
-    /// Every piece reached from it.
+    /// All pieces that are reachable from it.
     pub pieces: Pieces,
 }
 
-/// Why pieces do not make a configuration.
+/// Reason why pieces cannot be joined to a configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum JoinError {
-    /// The tree cannot be walked.
+    /// The tree cannot be read.
     #[error(transparent)]
     Tree(#[from] TreeError),
-    /// A leaf cannot be read.
+    /// A leaf cannot be decoded.
     #[error("piece {hash}: {error}")]
     Leaf {
-        /// The piece.
+        /// Hash of the leaf.
         hash: Hash,
-        /// What is wrong in it.
+        /// The decoding error.
         error: LeafError,
     },
 }
 
-/// Splits a configuration. The same configuration always gives the same pieces.
+/// Splits a configuration. Equal configurations have equal pieces.
 pub fn split(config: &Config) -> Split {
     let mut pieces = Pieces::new();
     let leaves = leaves(config)
@@ -87,7 +87,8 @@
     Split { tree, pieces }
 }
 
-/// Joins pieces to the whole configuration, or says what is missing; never gives a part.
+/// Joins pieces to the complete configuration. Returns an error if a piece is missing, never a
+/// partial configuration.
 pub fn join(tree: Hash, pieces: &Pieces) -> Result<Config, JoinError> {
     let mut config = Config::default();
     let contents = list_tree(tree, pieces)?;
@@ -108,16 +109,16 @@
     Ok(config)
 }
 
-/// What a tree consists of.
+/// Names and hashes of the pieces of a tree.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TreeContents {
     /// Hashes of the leaves, by name.
     pub leaves: BTreeMap<Arc<str>, Hash>,
-    /// The index pieces.
+    /// Hashes of the index pieces.
     pub nodes: BTreeSet<Hash>,
 }
 
-/// Lists the leaves and index pieces of a tree; the leaves themselves need not be at hand.
+/// Lists the leaves and index pieces of a tree; the leaves themselves need not be available.
 pub fn list_tree(tree: Hash, pieces: &Pieces) -> Result<TreeContents, TreeError> {
     let mut walk = Walk::default();
     let mut out = TreeContents::default();
@@ -126,7 +127,7 @@
     walk.finish(out)
 }
 
-/// Reads one leaf.
+/// Decodes one leaf.
 pub fn read_leaf(hash: Hash, pieces: &Pieces) -> Result<Leaf, JoinError> {
     let bytes = pieces
         .get(&hash)
@@ -134,11 +135,11 @@
     wire::decode(bytes).map_err(|_| TreeError::Corrupt(hash).into())
 }
 
-/// Brings a configuration from one tree to another; on an error it is left half changed and must
-/// be joined anew.
+/// Updates a configuration from one tree to another; after an error it is partly changed and must
+/// be joined again.
 ///
-/// Removes all old leaves before it adds new ones: a shard that split has its entries in two new
-/// leaves.
+/// Removes all old leaves before it adds new ones, since the entries of a shard that was split are
+/// in two new leaves.
 pub fn patch(config: &mut Config, diff: &Diff, pieces: &Pieces) -> Result<(), JoinError> {
     for hash in diff.changed.values().filter_map(|change| change.old) {
         let leaf = read_leaf(hash, pieces)?;
--- a/crates/coord/src/pieces/shards.rs
+++ b/crates/coord/src/pieces/shards.rs
@@ -1,20 +1,20 @@
-//! Splits entries into shards of bounded size, by the leading bits of a key.
+//! Splits entries into shards of bounded size by the leading bits of a key.
 
-/// Entries whose keys begin with the same bits.
+/// Entries whose keys start with the same bits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shard<T> {
-    /// Leading bits of every key in it; the bits after them are zero.
+    /// Leading bits of all keys of the shard; the other bits are zero.
     pub prefix: u64,
     /// Number of leading bits, 0 to 64.
     pub bits: u32,
-    /// The entries, in the order of their keys.
+    /// The entries, ordered by key.
     pub entries: Vec<T>,
 }
 
-/// Splits entries so that no shard holds more than `most`, unless their keys are equal.
+/// Splits entries so that no shard has more than `max`, unless their keys are equal.
 ///
-/// The result follows from the entries alone, and one more entry changes one shard or splits it in
-/// two: a fixed number of shards would have to move everything when it grows.
+/// The result depends on the entries alone, and one more entry changes one shard or splits it in
+/// two. A fixed number of shards would have to move everything when it grows.
 pub fn shards<T>(mut entries: Vec<(u64, T)>, max: usize) -> Vec<Shard<T>> {
     entries.sort_by_key(|(key, _)| *key);
     let mut out = Vec::new();
--- a/crates/coord/src/pieces/table.rs
+++ b/crates/coord/src/pieces/table.rs
@@ -5,30 +5,30 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use serde_json::{Map, Value};
 
-/// Rows by name, stored by column; a column whose values are all equal is stored once.
+/// Rows by name, stored by column; a column with equal values is stored once.
 ///
-/// Twenty-two targets take 2,435 bytes as rows and 1,004 as columns, and a change of one of them
-/// moves the whole piece. Columns keep the field names, so that a
-/// field may be added without a new encoding.
+/// Twenty-two targets take 2,435 bytes as rows and 1,004 as columns, and a change of one target
+/// transfers the whole piece. Columns keep the field names, so that a field can be added without a
+/// new encoding.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Table {
-    /// Names of the rows, in order.
+    /// Names of the rows, sorted.
     pub names: Vec<Arc<str>>,
-    /// The fields of the rows; a field that a row lacks is null.
+    /// Values by field; a field that a row lacks is null.
     pub columns: BTreeMap<String, Column>,
 }
 
 /// Values of one field.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub enum Column {
-    /// The same in each row.
+    /// The same value in each row.
     Same(Value),
-    /// One for each row, in the order of the names.
+    /// One value for each row, in the order of the names.
     Each(Vec<Value>),
 }
 
 impl Table {
-    /// Stores rows; each must be a struct.
+    /// Packs rows; each must be a struct.
     pub fn pack<T: Serialize>(rows: &BTreeMap<Arc<str>, T>) -> Self {
         let objects: Vec<_> = rows.values().map(object).collect();
         let fields: std::collections::BTreeSet<_> =
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Reads the rows back; an error says what does not fit the type.
+    /// Unpacks the rows; returns an error if a value does not match the type.
     pub fn unpack<T: DeserializeOwned>(&self) -> Result<BTreeMap<Arc<str>, T>, serde_json::Error> {
         self.names
             .iter()
--- a/crates/coord/src/relay/mod.rs
+++ b/crates/coord/src/relay/mod.rs
@@ -1,10 +1,10 @@
-//! Which hosts watch the store, and how a change spreads from them.
+//! Which hosts watch the store, and the tree that distributes a change from them.
 //!
-//! Answers the load of many readers: the store takes two thousand reads a second and grows more
-//! slowly than the fleet, so not every host can watch it. In each failure domain the two hosts
-//! that rank first by [`rendezvous`] watch; all others get a change from them down a tree of
-//! bounded fan-out. Nobody is elected: while hosts disagree, a third one watches too, or one tree
-//! has a gap that the follower's own asking closes. Neither does harm.
+//! The store takes two thousand reads a second and grows more slowly than the fleet, so not every
+//! host can watch it. In each failure domain the two hosts ranked first by [`rendezvous`] hashing
+//! watch it; all others receive a change from them down a tree of bounded fan-out. There is no
+//! election: while hosts disagree on the members, a third host may watch too, or a tree may have a
+//! gap, which the follower's own polling closes. Neither does harm.
 //!
 //! ```
 //! use std::{collections::BTreeMap, sync::Arc};
@@ -22,27 +22,28 @@
 
 use crate::{follow::Source, rendezvous};
 
-/// Hosts of a failure domain that watch the store. With one, a domain hears of nothing until its
-/// death is noticed; a third would add 49 watches at full size and shorten nothing.
+/// Number of hosts of a failure domain that watch the store. With one, a domain would receive no
+/// change until its failure is detected; a third would add 49 watches at full size and shorten
+/// nothing.
 pub const RELAYS: usize = 2;
-/// Hosts to which one host passes a change on. At 49 hosts a domain a change of 4 KB then takes
-/// three hops below the relays and costs a host 16 KB a change, 0.9 KB/s at 4,500 a day.
+/// Number of hosts to which one host relays a change. With 49 hosts in a domain a change of 4 KB
+/// takes three hops below the relays and costs a host 16 KB, or 0.9 KB/s at 4,500 changes a day.
 pub const FAN_OUT: usize = 4;
-/// Relays of other domains that a host falls back on.
+/// Number of relays of other domains that a host falls back on.
 pub const FALLBACKS: usize = 2;
 
-/// A host's part in the spread of changes.
+/// A host's role in the distribution of changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayRole {
     /// Whether it watches the store.
     pub watches_store: bool,
-    /// Whom it asks, best first.
+    /// Sources that it asks for a root, preferred first.
     pub upstreams: Vec<Source>,
-    /// Hosts to which it passes a change on.
+    /// Hosts to which it relays a change.
     pub children: Vec<Arc<str>>,
 }
 
-/// The part of host `me` among members, given with their failure domains.
+/// Returns the role of host `me`; `members` maps each host to its failure domain.
 pub fn role(me: &Arc<str>, members: &BTreeMap<Arc<str>, Arc<str>>) -> RelayRole {
     let domain = members.get(me).cloned().unwrap_or_else(|| "".into());
     let ranked = rank(&domain, members);
@@ -77,13 +78,13 @@
     }
 }
 
-/// The hosts of a domain in the order of the tree, relays first.
+/// Returns the hosts of a domain in the order of the tree, relays first.
 pub fn rank(domain: &str, members: &BTreeMap<Arc<str>, Arc<str>>) -> Vec<Arc<str>> {
     let inside = members.iter().filter(|(_, at)| ***at == *domain);
     rendezvous::rank(domain, inside.map(|(name, _)| name.clone()))
 }
 
-/// Hops below the relays until the last of `hosts` in a domain has a change.
+/// Returns the number of hops below the relays until all of `hosts` in a domain have a change.
 pub fn hops(hosts: usize) -> usize {
     let mut rank_index = hosts.saturating_sub(1);
     let mut hops = 0;
@@ -94,7 +95,7 @@
     hops
 }
 
-/// Relays of other domains, different ones for different hosts.
+/// Returns relays of other domains, spread over the hosts.
 fn fallbacks(me: &str, domain: &str, members: &BTreeMap<Arc<str>, Arc<str>>) -> Vec<Arc<str>> {
     let others: std::collections::BTreeSet<_> = members
         .values()
--- a/crates/coord/src/rendezvous/mod.rs
+++ b/crates/coord/src/rendezvous/mod.rs
@@ -1,9 +1,9 @@
-//! A choice of hosts for a key that all hosts make alike, without a word between them.
+//! Rendezvous hashing: all hosts choose the same members for a key without coordination.
 //!
-//! Highest random weight: each member has a score for the key, and the highest are chosen. A member
-//! that comes or goes moves only the keys that it wins or loses, one in N; with a modulus nearly all
-//! keys would move, and every move costs a hand-over. While hosts disagree on the members they may
-//! choose differently; whoever uses the choice must bear that.
+//! Highest random weight: each member has a score for the key, and those with the highest scores
+//! are chosen. A member that joins or leaves moves only the keys that it wins or loses, one in N;
+//! with a modulus nearly all keys would move, and every move costs a handover. While hosts disagree
+//! on the members they may choose differently, and the caller must tolerate that.
 //!
 //! ```
 //! use dunlinrock_coord::rendezvous;
@@ -14,7 +14,7 @@
 
 use rapidhash::v3::rapidhash_v3;
 
-/// The `most` members with the highest scores for the key, highest first.
+/// Returns the `count` members with the highest scores for the key, highest first.
 pub fn choose<T: AsRef<str> + Ord>(
     key: &str,
     members: impl IntoIterator<Item = T>,
@@ -23,8 +23,8 @@
     choose_weighted(key, members.into_iter().map(|name| (name, 1.0)), count)
 }
 
-/// As [`choose`], with members that are chosen in proportion to their weights; a member without
-/// weight is never chosen.
+/// Like [`choose`], with members chosen in proportion to their weights; a member with weight 0 is
+/// never chosen.
 pub fn choose_weighted<T: AsRef<str> + Ord>(
     key: &str,
     members: impl IntoIterator<Item = (T, f64)>,
@@ -40,21 +40,21 @@
     scored.into_iter().map(|(_, name)| name).collect()
 }
 
-/// All members, best first; the order in which they take over from each other.
+/// Returns all members, highest score first: the order in which they take over from each other.
 pub fn rank<T: AsRef<str> + Ord>(key: &str, members: impl IntoIterator<Item = T>) -> Vec<T> {
     choose(key, members, usize::MAX)
 }
 
-/// The score of a member: `-weight / ln(u)` for a uniform `u` made from key and name.
+/// Returns the score of a member: `-weight / ln(u)` for a uniform `u` derived from key and name.
 ///
-/// With this form the chance to score highest is the member's part of all weights.
+/// With this form the probability of the highest score is the member's fraction of all weights.
 fn score(key: &str, name: &str, weight: f64) -> f64 {
     let mut text = Vec::with_capacity(key.len() + name.len() + 1);
     text.extend_from_slice(key.as_bytes());
-    // A byte that no name holds keeps "a" + "bc" apart from "ab" + "c".
+    // A byte that no name contains, to keep "a" + "bc" apart from "ab" + "c".
     text.push(0xff);
     text.extend_from_slice(name.as_bytes());
-    // 53 bits fill a float; the half keeps it off 0 and 1, whose logarithms are no scores.
+    // 53 bits fill the mantissa; the half avoids 0 and 1, whose logarithms are no valid scores.
     let uniform = ((rapidhash_v3(&text) >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
     -weight / uniform.ln()
 }
--- a/crates/coord/src/root/apply.rs
+++ b/crates/coord/src/root/apply.rs
@@ -1,4 +1,4 @@
-//! An operator's apply: writes the pieces, moves the root, and finds out what came of it.
+//! An operator's apply: writes the pieces, replaces the root, and determines the outcome.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,19 +19,19 @@
     wire,
 };
 
-/// The root that the apply is based on, and what has been done on that ground.
+/// The root that the apply is based on, and its progress on that base.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Base {
     root: Option<Root>,
-    /// Version that the move expects.
+    /// Version that the swap expects.
     version: Option<Version>,
-    /// What to write on that ground, once it is known.
+    /// Remaining writes, once they are known.
     plan: Option<WritePlan>,
-    /// Fault of a check: no piece is written again.
+    /// Injected fault: no piece is written again.
     skip_writes: bool,
 }
 
-/// Writes that are left to do, and the move after them.
+/// Remaining piece writes, and the new root to swap in after them.
 #[derive(Clone, Debug, PartialEq)]
 struct WritePlan {
     /// Pieces to write since this version of the root was read. A sweep may have removed what was
@@ -51,12 +51,12 @@
     }
 }
 
-/// An apply on its way.
+/// State machine of one apply.
 ///
-/// Its move of the root names the version that it read, so it takes effect on that ground or not
-/// at all, also when it arrives late or twice. After a lost answer the root is read again. While
-/// the version is the same the same move is tried again; when it is another, the entry one
-/// revision after the base is this apply's, or it never will be.
+/// Its swap of the root names the version that it read, so it takes effect on that base or not at
+/// all, even if it arrives late or twice. After a lost reply the root is read again. If its version
+/// is the same, the same swap is retried. If it changed, the entry of the revision after the base
+/// tells for certain whether this apply took effect; it cannot take effect later.
 #[derive(Clone, Debug)]
 pub struct Apply {
     pub(super) request: ApplyRequest,
@@ -64,25 +64,26 @@
     limits: StoreLimits,
     fault: Fault,
     pub(super) base: Option<Base>,
-    /// Root as last read; `None` while a read is due. `Some` with no value: there is no root.
+    /// Root as last read; the outer `None` means that a read is due, the inner that there is no
+    /// root.
     current: Option<Option<(Root, Version)>>,
-    /// Pieces of the base and of what is in force, read so far.
+    /// Pieces of the base and of the active configuration read so far.
     pub(super) fetched: Pieces,
     /// Pieces that the store does not have.
     pub(super) missing: Vec<Hash>,
     pending: BTreeMap<u64, StoreOp>,
-    /// Number of the next operation.
+    /// Id of the last operation.
     last_id: u64,
     failures: u32,
-    /// Whether a move was sent on the present base.
+    /// Whether a swap was sent on the current base.
     swap_sent: bool,
-    /// No operation is begun before this time.
+    /// No operation is started before this time.
     wait_until: Duration,
     pub(super) outcome: Option<ApplyOutcome>,
 }
 
 impl Apply {
-    /// Begins an apply of a split configuration; [`Apply::poll`] gives the first operations.
+    /// Creates an apply of a split configuration; [`Apply::poll`] returns the first operations.
     pub fn open(request: ApplyRequest, split: Split, limits: StoreLimits) -> Self {
         Self {
             request,
@@ -102,35 +103,35 @@
         }
     }
 
-    /// Switches a fault on.
+    /// Injects a fault.
     #[doc(hidden)]
     pub fn inject_fault(mut self, fault: Fault) -> Self {
         self.fault = fault;
         self
     }
 
-    /// What it was told at its start.
+    /// Returns the request.
     pub fn request(&self) -> &ApplyRequest {
         &self.request
     }
 
-    /// The end, once it is certain.
+    /// Returns the outcome once it is certain.
     pub fn outcome(&self) -> Option<&ApplyOutcome> {
         self.outcome.as_ref()
     }
 
-    /// When to call [`Apply::poll`] next, unless an answer comes first.
+    /// Returns the time of the next [`Apply::poll`], unless a reply arrives earlier.
     pub fn next_wake(&self) -> Duration {
         self.wait_until
     }
 
-    /// Whether a move was sent whose outcome is not known yet. An operator who gives up now must be
-    /// told that the apply may take effect, with its id to look for.
+    /// Returns whether a swap was sent whose outcome is not known yet. An operator who gives up now
+    /// must be told that the apply may take effect, and the id to look for.
     pub fn in_doubt(&self) -> bool {
         self.outcome.is_none() && self.swap_sent
     }
 
-    /// Operations to begin now.
+    /// Returns the operations to start now.
     pub fn poll(&mut self, now: Duration) -> Vec<PendingOp> {
         if self.outcome.is_some() || now < self.wait_until {
             return Vec::new();
@@ -151,7 +152,7 @@
         out
     }
 
-    /// Takes the answer to an operation, then gives the operations to begin now.
+    /// Handles the reply to an operation; returns the operations to start now.
     pub fn handle_reply(&mut self, id: u64, reply: StoreReply, now: Duration) -> Vec<PendingOp> {
         if let Some(op) = self.pending.remove(&id) {
             self.process_reply(op, reply, now);
@@ -180,7 +181,7 @@
                 }
             }
             (StoreOp::SwapRoot { .. }, StoreReply::Done) => self.set_applied(Vec::new()),
-            // A conflict, or an answer that does not belong to the operation: look again.
+            // A conflict, or a reply that does not match the operation: read the root again.
             _ => self.current = None,
         }
     }
@@ -222,7 +223,7 @@
         };
         match record::decode(&stored.bytes) {
             Some(root) => self.current = Some(Some((root, stored.version))),
-            None => self.set_corrupt("it does not read as a root"),
+            None => self.set_corrupt("it cannot be decoded"),
         }
     }
 
@@ -232,7 +233,7 @@
         });
     }
 
-    /// All operations that what is known calls for.
+    /// Returns all operations that the current state requires.
     fn required_ops(&mut self) -> Vec<StoreOp> {
         let Some(current) = self.current.clone() else {
             return vec![StoreOp::ReadRoot];
@@ -251,32 +252,32 @@
                 self.resolve(&root, base.revision())
             }
             None => {
-                self.set_corrupt("it was there and is gone");
+                self.set_corrupt("it no longer exists");
                 Vec::new()
             }
             Some(_) if revision < base.revision() => {
-                self.set_corrupt("its revision has fallen");
+                self.set_corrupt("its revision decreased");
                 Vec::new()
             }
-            // A sweep: the same revision under a new version.
+            // A sweep marked the root: the same revision with a new version.
             root => self.rebase(root, version),
         }
     }
 
-    /// The first read: is this the ground that the operator saw?
+    /// Handles the first read: checks whether the root is the one that the operator saw.
     fn start(&mut self, root: Option<Root>, version: Option<Version>) -> Vec<StoreOp> {
         let revision = root.as_ref().map_or(0, |root| root.now.revision);
         if let Some(root) = &root {
             let mut listed = std::iter::once(&root.now).chain(&root.recent);
             if let Some(entry) = listed.find(|entry| entry.id == self.request.id) {
-                // An earlier process of this apply got through and did not hear of it.
+                // An earlier process of this apply succeeded and did not receive the reply.
                 let applied = entry.revision;
                 return self.set_found(root, applied);
             }
         }
         let expected = self.request.base.unwrap_or(revision);
         if expected > revision {
-            self.set_corrupt("it is older than the revision that was planned on");
+            self.set_corrupt("it is older than the base revision of the apply");
             return Vec::new();
         }
         match root {
@@ -297,7 +298,7 @@
 
     fn rebase(&mut self, root: Option<Root>, version: Option<Version>) -> Vec<StoreOp> {
         let skip_writes = self.fault == Fault::TrustWritten && self.base.is_some();
-        // A move that named an older version cannot take effect any more.
+        // A swap that named an older version can no longer take effect.
         self.swap_sent = false;
         self.base = Some(Base {
             root,
@@ -308,7 +309,7 @@
         self.advance()
     }
 
-    /// The root is as it was: compare, write, move.
+    /// Continues on an unchanged root: compares, writes, then swaps.
     fn advance(&mut self) -> Vec<StoreOp> {
         let Some(mut base) = self.base.take() else {
             return Vec::new();
@@ -328,7 +329,7 @@
                     bytes: plan.root.clone(),
                 }]
             }
-            // Those under way are among the first, so this many give a full window.
+            // Pending writes are among the first, so this many are enough to fill the window.
             Some(plan) => write_ops(&plan.writes, self.limits.max_in_flight * 2),
             None => reads,
         };
@@ -336,8 +337,8 @@
         ops
     }
 
-    /// Works out the writes, or names the pieces that must be read first. Gives nothing where there
-    /// is nothing to change.
+    /// Computes the writes; the error names the pieces that must be read first. Returns `None` if
+    /// there is nothing to change.
     fn plan(&mut self, base: &Base) -> Result<Option<WritePlan>, BTreeSet<Hash>> {
         let new_pieces = match self.compare(base.tree(), self.split.tree) {
             Ok(diff) if diff.changed.is_empty() && base.root.is_some() => {
@@ -347,7 +348,7 @@
             }
             Ok(diff) => diff.new_pieces,
             Err(TreeError::Missing(missing)) if !self.any_missing(&missing) => return Err(missing),
-            // The tree in force lacks pieces. All of ours are written; this apply mends it.
+            // The active tree lacks pieces. Writing all pieces of this configuration repairs it.
             Err(_) => self.split.pieces.keys().copied().collect(),
         };
         let past = self.past(base)?;
@@ -372,7 +373,8 @@
         }
     }
 
-    /// The past piece that the next root needs: none, its content, or its hash to be read.
+    /// Returns the past piece that the next root needs, if any; the error names the hash to be
+    /// read.
     fn past(&self, base: &Base) -> Result<Option<Past>, BTreeSet<Hash>> {
         let Some(root) = base.root.as_ref().filter(|root| needs_rollover(root)) else {
             return Ok(None);
--- a/crates/coord/src/root/history.rs
+++ b/crates/coord/src/root/history.rs
@@ -1,4 +1,4 @@
-//! Finds the apply that made a revision, in the root or in the pieces that go on from it.
+//! Lookup of the applies after a revision, in the root and the past pieces it refers to.
 
 use dunlinrock_schema::coord::{Entry, Past, Root};
 
@@ -7,26 +7,26 @@
     wire,
 };
 
-/// How far the applies after a revision are known.
+/// Result of a lookup of the applies after a revision.
 #[derive(Clone, Debug, PartialEq)]
 pub enum History {
-    /// All of them.
+    /// All applies were found.
     Complete {
-        /// Newest first; the last one made the revision after the one asked for.
+        /// Newest first; the last one made the revision after the requested one.
         later: Vec<Entry>,
-        /// The entry of the revision asked for, where it is still listed.
+        /// Entry of the requested revision, if it is still listed.
         base: Option<Entry>,
     },
-    /// This piece is needed to go on.
+    /// This piece must be read to continue.
     MissingPiece(Hash),
-    /// The list no longer reaches so far back.
+    /// The list no longer reaches back to the revision.
     Truncated,
 }
 
-/// Lists the applies after `revision`. A piece that is known to be gone is in `gone`.
+/// Lists the applies after `revision`. `missing` has the pieces known not to exist.
 ///
-/// Each revision has one entry and no two revisions share one, so the entry of `revision + 1` says
-/// for certain whether an apply based on `revision` took effect.
+/// Each revision has exactly one entry, so the entry of `revision + 1` tells for certain whether an
+/// apply based on `revision` took effect.
 pub fn applies_after(root: &Root, revision: u64, pieces: &Pieces, missing: &[Hash]) -> History {
     let mut later: Vec<Entry> = std::iter::once(&root.now)
         .chain(&root.recent)
--- a/crates/coord/src/root/mod.rs
+++ b/crates/coord/src/root/mod.rs
@@ -1,31 +1,31 @@
-//! The root: the one value in the store that is moved by compare-and-swap.
+//! The root: the one mutable value of the store, replaced by compare-and-swap.
 //!
-//! It says which configuration is in force (the hash of its topmost index piece), as which
-//! revision, by whose apply, and lists the applies before it. [`Apply`] moves it and finds out for
-//! certain what came of it; [`Sweep`] removes pieces that no kept revision reaches.
+//! It has the hash of the topmost index piece of the active configuration, its revision and the
+//! apply that made it, and lists earlier applies. [`Apply`] replaces the root and determines the
+//! outcome for certain; [`Sweep`] removes pieces that no retained revision refers to.
 //!
-//! The store must read what was last written (no stale reads), compare and swap on versions that it
-//! never uses twice, and take a conditional removal.
+//! The store must return the last written value (no stale reads), compare and swap by versions that
+//! are never reused, and support conditional removal.
 //!
 //! ```
 //! use std::time::Duration;
 //!
 //! use dunlinrock_coord::{
 //!     pieces,
-//!     root::{StoreReply, Apply, StoreOp, ApplyRequest, StoreLimits, ApplyOutcome},
+//!     root::{Apply, ApplyOutcome, ApplyRequest, PendingOp, StoreLimits, StoreOp, StoreReply},
 //! };
 //! use dunlinrock_schema::config::Config;
 //!
-//! let intent = ApplyRequest { id: "a1".into(), by: "ana".into(), at_ms: 0, base: None };
-//! let mut apply = Apply::open(intent, pieces::split(&Config::default()), StoreLimits::default());
-//! let mut asks = apply.poll(Duration::ZERO);
-//! while let Some(asked) = asks.pop() {
-//!     // An empty store that does all it is asked.
-//!     let answer = match asked.op {
+//! let request = ApplyRequest { id: "a1".into(), by: "ana".into(), at_ms: 0, base: None };
+//! let mut apply = Apply::open(request, pieces::split(&Config::default()), StoreLimits::default());
+//! let mut pending = apply.poll(Duration::ZERO);
+//! while let Some(PendingOp { id, op }) = pending.pop() {
+//!     // An empty store on which every operation succeeds.
+//!     let reply = match op {
 //!         StoreOp::ReadRoot => StoreReply::Root(None),
 //!         _ => StoreReply::Done,
 //!     };
-//!     asks.extend(apply.handle_reply(asked.id, answer, Duration::ZERO));
+//!     pending.extend(apply.handle_reply(id, reply, Duration::ZERO));
 //! }
 //! assert_eq!(apply.outcome(), Some(&ApplyOutcome::Applied { revision: 1, later: vec![] }));
 //! ```
--- a/crates/coord/src/root/outcome.rs
+++ b/crates/coord/src/root/outcome.rs
@@ -1,43 +1,43 @@
-//! What an operator is told.
+//! Outcome of an apply, as reported to the operator.
 
 use std::{collections::BTreeSet, fmt, sync::Arc};
 
 use dunlinrock_schema::coord::Entry;
 
-/// The end of an apply. Each is certain when it is given.
+/// Outcome of an apply. Each one is certain when it is reported.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApplyOutcome {
     /// The apply took effect.
     Applied {
-        /// The revision that it made.
+        /// Revision that the apply made.
         revision: u64,
-        /// Applies that followed it since, newest first.
+        /// Later applies, newest first.
         later: Vec<Entry>,
     },
-    /// The configuration in force is this one already; nothing was written.
+    /// The active configuration is the same; nothing was written.
     Unchanged {
-        /// Revision in force.
+        /// Active revision.
         revision: u64,
     },
-    /// Others came first; the apply did not take effect and never will.
+    /// Other applies came first; this one did not take effect and never will.
     Conflict {
         /// Revision that the apply was based on.
         base: u64,
-        /// Applies since then, newest first.
+        /// Applies since that revision, newest first.
         by: Vec<Entry>,
-        /// Names of the parts that they changed; `None` where pieces of the base are gone.
+        /// Names of the parts that they changed; `None` if pieces of the base no longer exist.
         changed: Option<BTreeSet<Arc<str>>>,
     },
     /// The list of applies no longer reaches back to this one. It may have taken effect.
     Undetermined {
         /// Revision that the apply was based on.
         base: u64,
-        /// Revision in force.
+        /// Active revision.
         revision: u64,
     },
-    /// The store holds an older root than it did, or none that can be read.
+    /// The store has an older root than before, or one that cannot be decoded.
     CorruptRoot {
-        /// What was found.
+        /// Description of the fault.
         finding: Arc<str>,
     },
 }
@@ -63,14 +63,16 @@
                     Some(names) => write!(f, "they changed {}", text(names))?,
                     None => write!(f, "what they changed is no longer kept")?,
                 }
-                write!(f, "; look at the plan again and apply")
+                write!(f, "; review the plan and apply again")
             }
             Self::Undetermined { base, revision } => write!(
                 f,
                 "unknown: based on revision {base}, and the list of applies does not reach back \
                  so far from revision {revision}; compare what is in force with `plan`"
             ),
-            Self::CorruptRoot { finding } => write!(f, "the store's root is not usable: {finding}"),
+            Self::CorruptRoot { finding } => {
+                write!(f, "the root in the store is not usable: {finding}")
+            }
         }
     }
 }
--- a/crates/coord/src/root/record.rs
+++ b/crates/coord/src/root/record.rs
@@ -1,4 +1,4 @@
-//! The root's list of applies, and the pieces in which it goes on.
+//! The list of applies in the root, and the past pieces that continue it.
 
 use std::sync::Arc;
 
@@ -6,23 +6,23 @@
 
 use crate::{pieces::Hash, wire};
 
-/// Entries before the current one that the root itself lists; with more, the older half goes into
-/// a piece. A root with four of them is 330 bytes on its way to a host, with every change.
+/// Number of earlier entries that the root itself lists; when there are more, the older half moves
+/// to a past piece. A root with four of them has 330 bytes, sent to every host with each change.
 pub const RECENT_ENTRIES: usize = 8;
-/// Entries that one `Past` piece lists before a new one is begun: 22 KB.
+/// Maximum number of entries in one `Past` piece: 22 KB.
 pub const PAST_ENTRIES: usize = 256;
 
-/// Reads a root.
+/// Decodes a root.
 pub fn decode(bytes: &[u8]) -> Option<Root> {
     wire::decode(bytes).ok()
 }
 
-/// The bytes of a root, as the store keeps them.
+/// Encodes a root as stored.
 pub fn encode(root: &Root) -> Arc<[u8]> {
     wire::encode_named(root).into()
 }
 
-/// The entry of a revision, where the root itself lists it.
+/// Returns the entry of a revision if the root itself lists it.
 pub fn find_entry(root: &Root, revision: u64) -> Option<&Entry> {
     let newer = root.now.revision.checked_sub(revision)?;
     let entry = match newer.checked_sub(1) {
@@ -32,18 +32,20 @@
     entry.filter(|entry| entry.revision == revision)
 }
 
-/// Whether the next entry pushes older ones out of the root, so that the piece at `past` is needed.
+/// Returns whether the next entry moves older ones out of the root, so that the piece at `past` is
+/// needed.
 pub(super) fn needs_rollover(root: &Root) -> bool {
     root.recent.len() >= RECENT_ENTRIES
 }
 
-/// A root that follows another, with a piece to write before it.
+/// A new root, with the past piece to write before it.
 pub(super) struct NextRoot {
     pub(super) root: Root,
     pub(super) past: Option<Arc<[u8]>>,
 }
 
-/// The root that follows `old` (`None`: the first), given the content of `old`'s past piece.
+/// Returns the root that follows `old` (`None`: the first root); `past` is the content of `old`'s
+/// past piece.
 pub(super) fn next_root(old: Option<&Root>, past: Option<&Past>, mut entry: Entry) -> NextRoot {
     let Some(old) = old else {
         entry.revision = 1;
@@ -71,7 +73,7 @@
     }
 }
 
-/// Puts entries before those of a past piece, or begins a new one where that is full.
+/// Prepends entries to a past piece, or starts a new one if it would be too large.
 fn extend_past(past: Option<&Past>, at: &[u8], pushed: Vec<Entry>) -> Past {
     match past {
         Some(past) if past.entries.len() + pushed.len() <= PAST_ENTRIES => Past {
--- a/crates/coord/src/root/request.rs
+++ b/crates/coord/src/root/request.rs
@@ -1,29 +1,30 @@
-//! What an apply is told at its start.
+//! Request for an apply and the limits on its use of the store.
 
 use std::{sync::Arc, time::Duration};
 
-/// Who applies, and on what ground.
+/// Who applies, with the id of the apply and the base revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ApplyRequest {
-    /// Id of the apply; unique, as it is how the apply finds itself in the root.
+    /// Unique id of the apply; the apply recognizes its own entry in the root by it.
     pub id: Arc<str>,
-    /// Operator's name.
+    /// Name of the operator.
     pub by: Arc<str>,
-    /// Operator's wall clock, in milliseconds since 1970; shown, never compared.
+    /// Operator's wall clock in milliseconds since 1970; shown, never compared.
     pub at_ms: u64,
-    /// Revision that the operator has seen and changes; `None` for whichever is in force.
+    /// Revision that the operator has seen and changes; `None` for the active one.
     pub base: Option<u64>,
 }
 
-/// How hard the store is used.
+/// Limits on the use of the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLimits {
-    /// Operations under way at once. The first apply of 760,000 blocks writes 4,200 pieces; at one
-    /// at a time and 3 ms each it would take 13 s, while the store takes several hundred a second.
+    /// Maximum number of concurrent operations. The first apply of 760,000 blocks writes 4,200
+    /// pieces; one at a time, at 3 ms each, it would take 13 s, while the store takes several
+    /// hundred a second.
     pub max_in_flight: usize,
-    /// Wait after a failed operation; doubles with each failure in a row.
+    /// Delay after a failed operation; doubles with each consecutive failure.
     pub backoff: Duration,
-    /// Longest such wait.
+    /// Maximum delay.
     pub max_backoff: Duration,
 }
 
@@ -37,18 +38,18 @@
     }
 }
 
-/// A fault to switch on, so that a check is seen to find it. Never used outside of checks.
+/// Fault to inject, to verify that a test detects it. Used only in tests.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// None.
+    /// No fault.
     None,
-    /// A move whose answer was lost is told as not applied.
+    /// A swap whose reply was lost is reported as not applied.
     LostIsFailed,
-    /// A move whose answer was lost is told as applied.
+    /// A swap whose reply was lost is reported as applied.
     LostIsDone,
-    /// A conflict makes the apply start again on what is in force, without a word.
+    /// After a conflict the apply silently starts again on the active revision.
     Rebase,
-    /// After a sweep the pieces written before it are trusted to be there still.
+    /// After a sweep, pieces written before it are assumed to still exist.
     TrustWritten,
 }
--- a/crates/coord/src/root/resolve.rs
+++ b/crates/coord/src/root/resolve.rs
@@ -1,4 +1,4 @@
-//! The root moved on: what that means for an apply.
+//! Outcome of an apply after the root was replaced.
 
 use dunlinrock_schema::coord::{Entry, Root};
 
@@ -11,7 +11,7 @@
 use crate::pieces::{Hash, TreeError};
 
 impl Apply {
-    /// The root moved on from `base`: was it this apply?
+    /// Determines whether this apply or another one replaced the root at revision `base`.
     pub(super) fn resolve(&mut self, root: &Root, base: u64) -> Vec<StoreOp> {
         let (mut by, base_entry) = match applies_after(root, base, &self.fetched, &self.missing) {
             History::Complete { later, base } => (later, base),
@@ -35,7 +35,7 @@
         self.set_conflict(root, base, tree, by)
     }
 
-    /// Names what the others changed, then ends.
+    /// Determines what the other applies changed, then reports the conflict.
     fn set_conflict(
         &mut self,
         root: &Root,
--- a/crates/coord/src/root/store_op.rs
+++ b/crates/coord/src/root/store_op.rs
@@ -1,4 +1,4 @@
-//! What is asked of the store, and what it may answer.
+//! Operations on the store and their replies.
 
 use std::sync::Arc;
 
@@ -6,9 +6,9 @@
 
 /// The store's version of a value.
 ///
-/// Versions grow over the whole store and are never used twice, also for a key that was removed
-/// and written again: a [sweep](super::Sweep) that was paused would otherwise remove a piece that
-/// an apply has just written anew.
+/// Versions increase over the whole store and are never reused, not even for a key that was removed
+/// and written again: otherwise a paused [sweep](super::Sweep) would remove a piece that an apply
+/// has just rewritten.
 pub type Version = u64;
 
 /// An operation on the store.
@@ -18,17 +18,17 @@
     ReadRoot,
     /// Read a piece.
     ReadPiece(Hash),
-    /// Write a piece, also where it is there already: the write gives it a new version, which
-    /// keeps a sweep that saw the old one from removing it.
+    /// Write a piece, even if it exists: the write assigns a new version, which prevents a sweep
+    /// that saw the old version from removing the piece.
     WritePiece {
-        /// Where to.
+        /// Hash of the piece.
         hash: Hash,
-        /// What.
+        /// Content of the piece.
         bytes: Arc<[u8]>,
     },
     /// Replace the root if its version is still this one (`None`: if there is no root).
     SwapRoot {
-        /// The version it must have.
+        /// The version that the root must have.
         expect: Option<Version>,
         /// The new root.
         bytes: Arc<[u8]>,
@@ -37,9 +37,9 @@
     ListPieces,
     /// Remove a piece if its version is still this one.
     RemovePiece {
-        /// Which.
+        /// Hash of the piece.
         hash: Hash,
-        /// The version it must have.
+        /// The version that the piece must have.
         version: Version,
     },
 }
@@ -53,27 +53,27 @@
     pub version: Version,
 }
 
-/// The store's answer to an operation.
+/// The store's reply to an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreReply {
-    /// The root, or that there is none.
+    /// The root; `None` if there is none.
     Root(Option<VersionedValue>),
-    /// A piece, or that there is none.
+    /// A piece; `None` if there is none.
     Piece(Option<Arc<[u8]>>),
-    /// The write, move or removal took effect.
+    /// The write, swap or removal took effect.
     Done,
-    /// The version was another one; nothing was changed.
+    /// The value had another version; nothing was changed.
     Conflict,
     /// The pieces with their versions.
     Listed(Vec<(Hash, Version)>),
-    /// No answer, in time or at all. The operation may have taken effect, or may still do so.
+    /// No reply, or not in time. The operation may have taken effect, or may still do so.
     Failed,
 }
 
-/// An operation with the number under which its answer is expected.
+/// An operation with the id under which its reply is expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingOp {
-    /// Number of the operation; each is answered once, later answers are ignored.
+    /// Id of the operation; only its first reply is handled.
     pub id: u64,
     /// The operation.
     pub op: StoreOp,
--- a/crates/coord/src/root/sweep.rs
+++ b/crates/coord/src/root/sweep.rs
@@ -1,18 +1,19 @@
-//! Removes pieces that no kept revision reaches.
+//! Mark-and-sweep garbage collection of pieces that no retained revision refers to.
 //!
-//! Every change leaves four pieces behind, 3 KB; 4,500 changes a day would fill 14 MB a day. The
-//! danger is an apply that has written its pieces and not yet moved the root: its pieces look like
-//! those that nobody needs. A lease would not keep the two apart, as its holder may be paused
-//! while it lapses and act afterwards. Instead:
+//! Every change leaves four pieces behind, 3 KB; at 4,500 changes a day that is 14 MB a day. The
+//! hazard is an apply that has written its pieces and not yet replaced the root: they look like
+//! unreachable pieces. A lease would not separate the two, as its holder may be paused while the
+//! lease expires and act afterwards. Instead:
 //!
 //! 1. a sweep reads the root, lists the pieces with their versions, then *marks* the root: it
-//!    replaces it, under the version read, by the same root with a higher count of sweeps;
-//! 2. an apply that read the root before the mark cannot move it any more; it reads again and
-//!    writes all its fresh pieces anew, which gives them new versions;
+//!    replaces it, under the version read, by the same root with a higher sweep count;
+//! 2. an apply that read the root before the mark can no longer replace it; it reads the root again
+//!    and rewrites all its new pieces, which assigns them new versions;
 //! 3. a sweep removes a piece only under the version that it listed before the mark.
 //!
-//! So whatever an apply wrote after the mark is kept, and what it wrote before the mark it writes
-//! again. No clock is involved, a paused sweep does no harm, and two sweeps may run at once.
+//! So pieces that an apply wrote after the mark are kept, and those that it wrote before the mark
+//! it writes again. No clock is involved, a paused sweep does no harm, and two sweeps may run at
+//! once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,28 +28,28 @@
     wire,
 };
 
-/// Revisions whose applies stay listed: three weeks at 4,500 a day. An apply that waits longer for
-/// the store is told that it is [forgotten](super::ApplyOutcome::Undetermined).
+/// Number of revisions whose applies stay listed: three weeks at 4,500 a day. For an apply that
+/// waits longer for the store the outcome is [undetermined](super::ApplyOutcome::Undetermined).
 pub const RETAINED_REVISIONS: u64 = 100_000;
-/// Removals under way at once.
+/// Maximum number of concurrent operations.
 const MAX_IN_FLIGHT: usize = 8;
 
-/// How a sweep ended.
+/// Outcome of a sweep.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SweepOutcome {
-    /// All that could be removed is removed.
+    /// All unreachable pieces were handled.
     Done {
-        /// Pieces removed.
+        /// Number of pieces removed.
         removed: usize,
-        /// Pieces left, as they were written again meanwhile.
+        /// Number of pieces kept, as they were rewritten meanwhile or could not be removed.
         kept: usize,
     },
     /// There is nothing to remove; the root was not marked.
     NothingToRemove,
-    /// The root moved before the mark, or it is not known whether the mark took effect. Nothing was
-    /// removed.
+    /// The root was replaced before the mark, or it is unknown whether the mark took effect.
+    /// Nothing was removed.
     Conflict,
-    /// The store failed, or a tree in use lacks pieces. What was not removed stays.
+    /// The store failed, or a retained tree lacks pieces. Pieces not yet removed stay.
     Failed,
 }
 
@@ -61,7 +62,7 @@
     Remove,
 }
 
-/// A sweep on its way.
+/// State machine of one sweep.
 #[derive(Clone, Debug)]
 pub struct Sweep {
     step: Step,
@@ -69,21 +70,21 @@
     listed: BTreeMap<Hash, Version>,
     fetched: Pieces,
     missing: BTreeSet<Hash>,
-    /// Index pieces to read before the walk is tried again.
+    /// Index pieces to read before the traversal is retried.
     to_read: Vec<Hash>,
-    /// Pieces to remove, then those not yet begun.
+    /// Unreachable pieces whose removal has not started.
     to_remove: Vec<Hash>,
     pending: BTreeMap<u64, StoreOp>,
     last_id: u64,
     removed: usize,
     kept: usize,
     outcome: Option<SweepOutcome>,
-    /// Fault of a check: removes without the mark.
+    /// Injected fault: removes without the mark.
     skip_mark: bool,
 }
 
 impl Sweep {
-    /// Begins a sweep; [`Sweep::poll`] gives the first operation.
+    /// Creates a sweep; [`Sweep::poll`] returns the first operation.
     pub fn open() -> Self {
         Self {
             step: Step::Read,
@@ -102,19 +103,19 @@
         }
     }
 
-    /// Leaves the mark out, so that a check is seen to find it.
+    /// Skips the mark, to verify that a test detects it.
     #[doc(hidden)]
     pub fn without_mark(mut self) -> Self {
         self.skip_mark = true;
         self
     }
 
-    /// The end, once it is reachable.
+    /// Returns the outcome once the sweep has ended.
     pub fn outcome(&self) -> Option<&SweepOutcome> {
         self.outcome.as_ref()
     }
 
-    /// Operations to begin now.
+    /// Returns the operations to start now.
     pub fn poll(&mut self) -> Vec<PendingOp> {
         let mut out = Vec::new();
         while self.outcome.is_none() && self.pending.len() < MAX_IN_FLIGHT {
@@ -131,7 +132,7 @@
         out
     }
 
-    /// Takes the answer to an operation, then gives the operations to begin now.
+    /// Handles the reply to an operation; returns the operations to start now.
     pub fn handle_reply(&mut self, id: u64, reply: StoreReply) -> Vec<PendingOp> {
         if let Some(op) = self.pending.remove(&id) {
             self.process_reply(op, reply);
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Reads index pieces, level by level, until it is known which pieces are reachable.
+    /// Reads index pieces level by level until all reachable pieces are known.
     fn walk(&mut self) -> Option<StoreOp> {
         if let Some(hash) = self.to_read.pop() {
             return Some(StoreOp::ReadPiece(hash));
@@ -203,7 +204,7 @@
                 Err(TreeError::Corrupt(_)) => self.outcome = Some(SweepOutcome::Failed),
             }
         }
-        // A tree with a piece gone cannot be walked, so what it still holds is not known.
+        // A tree that lacks a piece cannot be traversed, so its other pieces are unknown.
         if missing.iter().any(|hash| self.missing.contains(hash)) {
             self.outcome = Some(SweepOutcome::Failed);
         }
@@ -232,12 +233,12 @@
         self.mark()
     }
 
-    /// Reaches the past pieces that are kept; gives those to be read.
+    /// Adds the retained past pieces to `reachable`; returns those that must be read.
     fn walk_past(&mut self, root: &Root, reachable: &mut BTreeSet<Hash>) -> BTreeSet<Hash> {
         let mut next = root.past.clone();
         while let Some(hash) = Hash::read(&next) {
             let Some(bytes) = self.fetched.get(&hash) else {
-                // One that is gone ends the list: an earlier sweep cut it there.
+                // A piece that does not exist ends the list: an earlier sweep truncated it there.
                 return if self.missing.contains(&hash) {
                     BTreeSet::new()
                 } else {
@@ -279,7 +280,7 @@
     }
 }
 
-/// The trees that a root keeps, newest first, with their revisions.
+/// Returns the trees that a root retains, newest first, with their revisions.
 pub fn retained_trees(root: &Root) -> Vec<(u64, Hash)> {
     std::iter::once(&root.now)
         .chain(&root.recent)
