--- a/crates/coord/src/member/changes.rs
+++ b/crates/coord/src/member/changes.rs
@@ -110,11 +110,11 @@
         let needed = (self.topology.local_peers.len() + 1).min(2);
         let mut silent = BTreeSet::new();
         for (domain, reports) in &self.silence_reports {
-            let there =
+            let is_local =
                 |by: &Arc<str>| self.topology.local_peers.contains(by) || *by == self.me.name;
             let count = reports
                 .iter()
-                .filter(|(by, report)| report.silent && there(by));
+                .filter(|(by, report)| report.silent && is_local(by));
             if count.count() >= needed {
                 silent.insert(domain.clone());
             }
--- a/crates/coord/src/member/dissemination.rs
+++ b/crates/coord/src/member/dissemination.rs
@@ -18,9 +18,9 @@
 
 impl Membership {
     /// Broadcasts to all hosts that a request or target is to be refused or avoided.
-    pub fn broadcast(&mut self, now: Duration, word: Quarantine) -> Vec<Action> {
+    pub fn broadcast(&mut self, now: Duration, quarantine: Quarantine) -> Vec<Action> {
         let mut out = Vec::new();
-        self.originate(now, Word::Quarantine(word), &mut out);
+        self.originate(now, Word::Quarantine(quarantine), &mut out);
         out
     }
 
@@ -81,7 +81,7 @@
 
     fn originate(&mut self, now: Duration, word: Word, out: &mut Vec<Action>) {
         let ttl_ms = match &word {
-            Word::Quarantine(word) => word.ttl_ms,
+            Word::Quarantine(quarantine) => quarantine.ttl_ms,
             _ => self.timings.rumor_ttl.as_millis() as u64,
         };
         let rumor = Rumor {
@@ -123,8 +123,8 @@
     /// Relays rumors to other domains, except those about silent domains: each domain determines
     /// that for itself.
     fn send_to_remote_peers(&self, rumors: &[Rumor], out: &mut Vec<Action>) {
-        let far = |rumor: &&Rumor| !matches!(rumor.word, Word::Domain(_));
-        let rumors: Vec<Rumor> = rumors.iter().filter(far).cloned().collect();
+        let is_relayed = |rumor: &&Rumor| !matches!(rumor.word, Word::Domain(_));
+        let rumors: Vec<Rumor> = rumors.iter().filter(is_relayed).cloned().collect();
         let remote_peers = self.topology.remote_peers.clone();
         self.send_rumors(&remote_peers, &rumors, out);
     }
@@ -159,7 +159,7 @@
                     self.refresh_one(now, &word.name, out);
                 }
             }
-            Word::Quarantine(word) => out.push(Action::Quarantined(word.clone())),
+            Word::Quarantine(quarantine) => out.push(Action::Quarantined(quarantine.clone())),
             Word::Domain(word) => {
                 let reports = self.silence_reports.entry(word.domain.clone()).or_default();
                 let report = reports.entry(word.by.clone()).or_default();
--- a/crates/coord/src/member/receive.rs
+++ b/crates/coord/src/member/receive.rs
@@ -114,7 +114,7 @@
         sum: u64,
         out: &mut Vec<Action>,
     ) {
-        if sum == self.rumors.sum(now) {
+        if sum == self.rumors.checksum(now) {
             self.mismatch_since.remove(from);
             return;
         }
--- a/crates/coord/src/member/rumors.rs
+++ b/crates/coord/src/member/rumors.rs
@@ -72,7 +72,7 @@
 
     /// Returns a checksum of the rumors that have not expired; equal for two hosts with the same
     /// rumors.
-    pub(super) fn sum(&self, now: Duration) -> u64 {
+    pub(super) fn checksum(&self, now: Duration) -> u64 {
         self.live(now).fold(0, |sum, (key, _)| sum ^ key)
     }
 
@@ -96,7 +96,7 @@
             .values()
             .filter(|stored| now < stored.expires_at);
         live.filter_map(|stored| match with_remaining_ttl(stored, now).word {
-            Word::Quarantine(word) => Some(word),
+            Word::Quarantine(quarantine) => Some(quarantine),
             _ => None,
         })
         .collect()
@@ -112,8 +112,8 @@
 fn with_remaining_ttl(stored: &StoredRumor, now: Duration) -> Rumor {
     let mut rumor = stored.rumor.clone();
     rumor.ttl_ms = stored.expires_at.saturating_sub(now).as_millis() as u64;
-    if let Word::Quarantine(word) = &mut rumor.word {
-        word.ttl_ms = rumor.ttl_ms;
+    if let Word::Quarantine(quarantine) = &mut rumor.word {
+        quarantine.ttl_ms = rumor.ttl_ms;
     }
     rumor
 }
@@ -121,8 +121,8 @@
 /// Returns the key of a rumor; the remaining time is not part of it.
 fn key(word: &Word) -> u64 {
     let mut word = word.clone();
-    if let Word::Quarantine(word) = &mut word {
-        word.ttl_ms = 0;
+    if let Word::Quarantine(quarantine) = &mut word {
+        quarantine.ttl_ms = 0;
     }
     rapidhash_v3(&wire::encode(&word))
 }
--- a/crates/coord/src/member/tick.rs
+++ b/crates/coord/src/member/tick.rs
@@ -175,7 +175,7 @@
             beat: self.heartbeat,
             state: self.state,
             revision: self.revision,
-            sum: self.rumors.sum(now),
+            sum: self.rumors.checksum(now),
         };
         let to = if std::mem::take(&mut self.announce_revision) {
             &self.topology.local_peers
@@ -262,7 +262,7 @@
             queued: pools().map(|pool| pool.queued).sum(),
             busy: pools().map(|pool| pool.busy).sum(),
             slots: pools().map(|pool| pool.slots).sum(),
-            sum: self.rumors.sum(now),
+            sum: self.rumors.checksum(now),
             grants: Vec::new(),
         }
     }
--- a/crates/coord/src/member/topology.rs
+++ b/crates/coord/src/member/topology.rs
@@ -68,11 +68,11 @@
                 remote_peers.push(peer.clone());
             }
         }
-        for (turn, (_, peer)) in gateway_pairs(&ranked, index, own).enumerate() {
+        for (offset, (_, peer)) in gateway_pairs(&ranked, index, own).enumerate() {
             if peer == me {
                 expected.insert((*domain).clone());
             }
-            if peer == me && turn == 0 {
+            if peer == me && offset == 0 {
                 relayed.insert((*domain).clone());
             }
         }
@@ -109,8 +109,8 @@
     to: usize,
 ) -> impl Iterator<Item = (&'a Arc<str>, &'a Arc<str>)> {
     let (gateways, remote_peers) = (&ranked[from].1, &ranked[to].1);
-    (0..GATEWAYS).map(move |turn| {
-        let gateway = gateways[(to + turn) % gateways.len()];
-        (gateway, remote_peers[(from + turn) % remote_peers.len()])
+    (0..GATEWAYS).map(move |offset| {
+        let gateway = gateways[(to + offset) % gateways.len()];
+        (gateway, remote_peers[(from + offset) % remote_peers.len()])
     })
 }
--- a/crates/coord/src/member/view.rs
+++ b/crates/coord/src/member/view.rs
@@ -99,7 +99,7 @@
     ///
     /// It lags by up to one digest interval, and never runs ahead of a host that is known to serve.
     pub fn lowest_revision(&self) -> Option<u64> {
-        let inside = self.revisions().min().unwrap_or(self.revision);
+        let own_lowest = self.revisions().min().unwrap_or(self.revision);
         let others = self
             .domains
             .keys()
@@ -107,7 +107,7 @@
         let heard = others.filter(|domain| !self.silent_domains.contains(*domain));
         heard
             .map(|domain| self.digests.get(domain).map(|(digest, _)| digest.lowest))
-            .try_fold(inside, |least, lowest| Some(least.min(lowest?)))
+            .try_fold(own_lowest, |min, lowest| Some(min.min(lowest?)))
     }
 
     /// Returns the active revisions of the serving hosts of this domain; 0 for one that has
--- a/crates/coord/src/pieces/index.rs
+++ b/crates/coord/src/pieces/index.rs
@@ -59,9 +59,9 @@
     let children = if branch {
         leaves
             .chunk_by(|a, b| digit(a.key, depth) == digit(b.key, depth))
-            .map(|part| {
-                let name = format!("{:x}", digit(part[0].key, depth));
-                (name.into(), build_node(part, depth + 1, pieces).to_vec())
+            .map(|group| {
+                let name = format!("{:x}", digit(group[0].key, depth));
+                (name.into(), build_node(group, depth + 1, pieces).to_vec())
             })
             .collect()
     } else {
--- a/crates/coord/src/relay/mod.rs
+++ b/crates/coord/src/relay/mod.rs
@@ -80,8 +80,8 @@
 
 /// Returns the hosts of a domain in the order of the tree, relays first.
 pub fn rank(domain: &str, members: &BTreeMap<Arc<str>, Arc<str>>) -> Vec<Arc<str>> {
-    let inside = members.iter().filter(|(_, at)| ***at == *domain);
-    rendezvous::rank(domain, inside.map(|(name, _)| name.clone()))
+    let local = members.iter().filter(|(_, at)| ***at == *domain);
+    rendezvous::rank(domain, local.map(|(name, _)| name.clone()))
 }
 
 /// Returns the number of hops below the relays until all of `hosts` in a domain have a change.
--- a/crates/coord/src/root/resolve.rs
+++ b/crates/coord/src/root/resolve.rs
@@ -43,9 +43,9 @@
         base_tree: Option<Hash>,
         by: Vec<Entry>,
     ) -> Vec<StoreOp> {
-        let known = self.base.as_ref();
-        let known = known.filter(|known| known.revision() == base);
-        let old = known.and_then(Base::tree).or(base_tree);
+        let current = self.base.as_ref();
+        let current = current.filter(|current| current.revision() == base);
+        let old = current.and_then(Base::tree).or(base_tree);
         let changed = match (old, Hash::read(&root.now.tree)) {
             (None, _) if base > 0 => None,
             (_, None) => None,
--- a/crates/coord/tests/common/fleet.rs
+++ b/crates/coord/tests/common/fleet.rs
@@ -77,7 +77,7 @@
     pub(crate) store_calls: u64,
     /// Domains that are partitioned from all others; nothing passes between the two sides.
     pub(crate) partitioned: BTreeSet<Arc<str>>,
-    /// Fraction of the messages that are lost.
+    /// Fraction of the messages that are lost, from 0 to 1.
     pub(crate) loss: f64,
     /// Number and bytes of messages by kind.
     pub(crate) counts: BTreeMap<&'static str, (u64, u64)>,
