--- a/crates/coord/src/follow/mod.rs
+++ b/crates/coord/src/follow/mod.rs
@@ -189,7 +189,7 @@
         let mut pending = self.pending.take();
         match &mut pending {
             Some(old) if old.root.now.revision >= give.root.now.revision => {
-                old.store_pieces(pieces)
+                old.store_pieces(pieces);
             }
             other => {
                 let fetched = other.take().map(|old| old.fetched).unwrap_or_default();
--- a/crates/coord/src/root/sweep.rs
+++ b/crates/coord/src/root/sweep.rs
@@ -152,7 +152,7 @@
                 }
             }
             (StoreOp::ReadRoot, StoreReply::Root(None)) => {
-                self.outcome = Some(SweepOutcome::NothingToRemove)
+                self.outcome = Some(SweepOutcome::NothingToRemove);
             }
             (StoreOp::ListPieces, StoreReply::Listed(listed)) => {
                 self.listed = listed.into_iter().collect();
