--- a/crates/coord/src/follow/mod.rs
+++ b/crates/coord/src/follow/mod.rs
@@ -1,9 +1,10 @@
-//! A host's copy of the configuration: the highest revision it has seen, whole, never an older one.
+//! A host's snapshot of the configuration: complete, and never replaced by an older revision.
 //!
-//! Roots and pieces come from the store or from peers, late, doubled and out of order. A root that
-//! is newer than the copy becomes the goal; the pieces that the copy lacks are fetched, and only
-//! with all of them at hand does the copy switch. An older root is ignored, whoever sends it: a
-//! host that went back would steer by a drain or a cap that the operators have already replaced.
+//! Roots and pieces come from the store or from peers; they may be late, duplicated or out of
+//! order. A root newer than the snapshot becomes pending and its missing pieces are fetched; the
+//! snapshot is replaced only when all of them are present. An older root is ignored, whichever
+//! source sends it: a host that went back would apply a drain or a cap that the operators have
+//! already replaced.
 //!
 //! ```
 //! use std::time::Duration;
@@ -19,28 +20,28 @@
 //! let mut follower = Follower::open(Timings::default());
 //! assert!(!follower.ready());
 //! let peer = Source::Peer("h2".into());
-//! let asks = follower.handle_root(Duration::ZERO, peer.clone(), root);
-//! assert!(matches!(asks[0], Action::FetchPieces { .. }));
-//! let switch = follower.handle_pieces(Duration::ZERO, &peer, split.pieces.into_values().collect());
-//! assert!(matches!(switch[0], Action::Update(_)));
+//! let actions = follower.handle_root(Duration::ZERO, peer.clone(), root);
+//! assert!(matches!(actions[0], Action::FetchPieces { .. }));
+//! let actions = follower.handle_pieces(Duration::ZERO, &peer, split.pieces.into_values().collect());
+//! assert!(matches!(actions[0], Action::Update(_)));
 //! assert_eq!(follower.revision(), 7);
 //! ```
 
-mod goal;
+mod pending;
 mod snapshot;
 
 use std::{sync::Arc, time::Duration};
 
 use dunlinrock_schema::coord::{Entry, PieceAsk, Root, RootGive};
 
-use self::goal::{Goal, Next};
+use self::pending::{NextStep, PendingSnapshot};
 pub use self::snapshot::Snapshot;
 use crate::pieces::{Diff, Hash};
 
-/// Pieces asked for at once: under 230 KB in an answer, at most 1.8 KB each.
+/// Maximum number of pieces in one request: at most 1.8 KB each, so the response is under 230 KB.
 pub const ASK_PIECES: usize = 128;
 
-/// Where roots and pieces come from.
+/// Source of roots and pieces.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// The platform's store.
@@ -49,15 +50,15 @@
     Peer(Arc<str>),
 }
 
-/// Times of a follower.
+/// Timings of a follower.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timings {
-    /// Wait for an answer before another source is asked.
+    /// Time without a response after which another source is asked.
     pub retry: Duration,
-    /// Wait after word of a newer revision before it is asked for: it is most likely on its way
-    /// down the [spread tree](crate::relay).
+    /// Delay before a newer revision of a peer is fetched: it is most likely on its way down the
+    /// [distribution tree](crate::relay).
     pub hint_delay: Duration,
-    /// Time between two looks at a source when nothing is heard.
+    /// Interval at which an upstream is asked for a newer root.
     pub poll: Duration,
 }
 
@@ -71,221 +72,227 @@
     }
 }
 
-/// What the caller does for a follower.
+/// Action for the caller of a follower.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Read the root, or ask a peer for a newer one than `revision`.
+    /// Read the root, or ask a peer for a root newer than `revision`.
     FetchRoot {
-        /// Whom.
+        /// Source to read from.
         from: Source,
-        /// Revision that is held; 0 for none.
+        /// Revision of the snapshot; 0 if there is none.
         revision: u64,
     },
     /// Read pieces, or ask a peer for them.
     FetchPieces {
-        /// Whom.
+        /// Source to read from.
         from: Source,
-        /// Which.
+        /// Hashes of the pieces.
         hashes: Vec<Hash>,
     },
-    /// A newer configuration is whole; put it in force.
+    /// A newer configuration is complete; apply it.
     Update(Update),
 }
 
 /// A step from one revision to a later one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
-    /// Revision held before; 0 for none.
+    /// Revision of the previous snapshot; 0 if there was none.
     pub old_revision: u64,
-    /// The apply now in force.
+    /// Entry of the apply that is now active.
     pub entry: Entry,
-    /// What changed; its leaves can be read from [`Update::removed`] and [`Follower::snapshot`].
+    /// Changed leaves; their content is in [`Update::removed`] and [`Follower::snapshot`].
     pub diff: Diff,
-    /// The pieces that the copy dropped, for [`patch`](crate::pieces::patch).
+    /// Pieces that the snapshot no longer contains, for [`patch`](crate::pieces::patch).
     pub removed: crate::pieces::Pieces,
 }
 
-/// A host's copy and its way to the next.
+/// State machine that keeps a host's snapshot up to date.
 #[derive(Clone, Debug)]
 pub struct Follower {
     timings: Timings,
-    /// Whole, and never replaced by an older one.
+    /// Complete, and never replaced by an older one.
     snapshot: Option<Snapshot>,
-    goal: Option<Goal>,
-    /// Whom to ask for a root, best first.
+    pending: Option<PendingSnapshot>,
+    /// Sources to ask for a root, preferred first.
     upstreams: Vec<Source>,
-    /// Index of the upstream to ask next.
-    turn: usize,
-    /// Word of a newer revision, with the time at which it is asked for.
-    word: Option<(u64, Source, Duration)>,
-    /// Time of the next look at an upstream.
-    due: Duration,
+    /// Round-robin index of the upstream to ask next.
+    next_upstream: usize,
+    /// Newer revision of a peer, with the time at which it is fetched.
+    peer_hint: Option<(u64, Source, Duration)>,
+    /// Time of the next request to an upstream.
+    next_poll: Duration,
 }
 
 impl Follower {
-    /// Begins without a copy: the host is not ready until it has one.
+    /// Creates a follower without a snapshot: the host is not ready until it has one.
     pub fn open(timings: Timings) -> Self {
         Self {
             timings,
             snapshot: None,
-            goal: None,
+            pending: None,
             upstreams: Vec::new(),
-            turn: 0,
-            word: None,
-            due: Duration::ZERO,
+            next_upstream: 0,
+            peer_hint: None,
+            next_poll: Duration::ZERO,
         }
     }
 
-    /// Whether there is a copy to steer by.
+    /// Returns whether there is a snapshot.
     pub fn ready(&self) -> bool {
         self.snapshot.is_some()
     }
 
-    /// Revision of the copy; 0 for none.
+    /// Returns the revision of the snapshot; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.snapshot
             .as_ref()
-            .map_or(0, |copy| copy.root.now.revision)
+            .map_or(0, |snapshot| snapshot.root.now.revision)
     }
 
-    /// The copy.
+    /// Returns the snapshot.
     pub fn snapshot(&self) -> Option<&Snapshot> {
         self.snapshot.as_ref()
     }
 
-    /// Sets whom to ask for a root, best first, as [`relay::role`](crate::relay::role) gives them.
+    /// Sets the sources to ask for a root, preferred first, as computed by
+    /// [`relay::role`](crate::relay::role).
     pub fn set_upstreams(&mut self, upstreams: Vec<Source>) {
         if self.upstreams != upstreams {
             self.upstreams = upstreams;
-            self.turn = 0;
+            self.next_upstream = 0;
         }
     }
 
-    /// Takes a root.
+    /// Handles a root from a source.
     pub fn handle_root(&mut self, now: Duration, from: Source, root: Root) -> Vec<Action> {
         let revision = root.now.revision;
         if revision <= self.revision() {
             return Vec::new();
         }
-        match &mut self.goal {
-            Some(goal) if goal.root.now.revision > revision => return Vec::new(),
-            Some(goal) if goal.root.now.revision == revision => goal.add(from),
-            goal => {
-                let got = goal.take().map(|old| old.got).unwrap_or_default();
-                *goal = Some(Goal::open(root, from, got));
+        match &mut self.pending {
+            Some(pending) if pending.root.now.revision > revision => return Vec::new(),
+            Some(pending) if pending.root.now.revision == revision => pending.add_source(from),
+            pending => {
+                let fetched = pending.take().map(|old| old.fetched).unwrap_or_default();
+                *pending = Some(PendingSnapshot::open(root, from, fetched));
             }
         }
         self.advance(now)
     }
 
-    /// Takes a root with pieces that came along.
+    /// Handles a root that comes with pieces.
     pub fn handle_root_give(&mut self, now: Duration, from: Source, give: RootGive) -> Vec<Action> {
         if give.root.now.revision <= self.revision() {
             return Vec::new();
         }
         let pieces = give.pieces.into_iter().map(Arc::from).collect();
-        let mut goal = self.goal.take();
-        match &mut goal {
-            Some(old) if old.root.now.revision >= give.root.now.revision => old.keep(pieces),
+        let mut pending = self.pending.take();
+        match &mut pending {
+            Some(old) if old.root.now.revision >= give.root.now.revision => old.insert(pieces),
             other => {
-                let got = other.take().map(|old| old.got).unwrap_or_default();
-                let mut new = Goal::open(give.root.clone(), from.clone(), got);
-                new.keep(pieces);
+                let fetched = other.take().map(|old| old.fetched).unwrap_or_default();
+                let mut new = PendingSnapshot::open(give.root.clone(), from.clone(), fetched);
+                new.insert(pieces);
                 *other = Some(new);
             }
         }
-        self.goal = goal;
+        self.pending = pending;
         self.handle_root(now, from, give.root)
     }
 
-    /// Takes the answer to an ask for pieces; what the source does not hold is left out.
+    /// Handles the response to a request for pieces; it omits pieces that the source does not have.
     pub fn handle_pieces(
         &mut self,
         now: Duration,
         from: &Source,
         pieces: Vec<Arc<[u8]>>,
     ) -> Vec<Action> {
-        let Some(goal) = &mut self.goal else {
+        let Some(pending) = &mut self.pending else {
             return Vec::new();
         };
-        goal.answered(from, pieces);
+        pending.handle_pieces(from, pieces);
         self.advance(now)
     }
 
-    /// Notes that a source did not answer.
+    /// Handles a source's failure to respond.
     pub fn handle_failure(&mut self, now: Duration, from: &Source) -> Vec<Action> {
-        if let Some(goal) = &mut self.goal {
-            goal.failed(from);
+        if let Some(pending) = &mut self.pending {
+            pending.handle_failure(from);
         }
         self.advance(now)
     }
 
-    /// Takes word, from a heartbeat or a digest, that a peer holds a revision.
+    /// Handles the revision that a peer reported in a heartbeat or a digest.
     pub fn handle_peer_revision(&mut self, now: Duration, peer: &Arc<str>, revision: u64) {
-        let known = self.word.as_ref().map_or(0, |(known, ..)| *known);
+        let known = self.peer_hint.as_ref().map_or(0, |(known, ..)| *known);
         if revision > self.revision().max(known) {
             let due = now + self.timings.hint_delay;
-            self.word = Some((revision, Source::Peer(peer.clone()), due));
+            self.peer_hint = Some((revision, Source::Peer(peer.clone()), due));
         }
     }
 
-    /// Lets time pass: asks again where answers are missing, looks at upstreams now and then.
+    /// Advances the time: retries requests without a response and polls the upstreams.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let mut out = Vec::new();
-        if self.goal.as_mut().is_some_and(|goal| goal.late(now)) {
+        if self
+            .pending
+            .as_mut()
+            .is_some_and(|pending| pending.is_overdue(now))
+        {
             out.extend(self.advance(now));
         }
-        if let Some((revision, from, due)) = self.word.clone() {
+        if let Some((revision, from, due)) = self.peer_hint.clone() {
             if revision <= self.revision() {
-                self.word = None;
+                self.peer_hint = None;
             } else if now >= due {
-                // Asked again at the same pace until it is held: the peer may be gone by now.
-                self.word = Some((revision, from.clone(), now + self.timings.retry));
-                out.push(self.ask(from));
+                // Retried at a fixed interval until the revision is reached; the peer may be gone
+                // by now.
+                self.peer_hint = Some((revision, from.clone(), now + self.timings.retry));
+                out.push(self.fetch_root(from));
             }
         }
-        if now >= self.due && !self.upstreams.is_empty() {
-            let from = self.upstreams[self.turn % self.upstreams.len()].clone();
-            self.turn += 1;
+        if now >= self.next_poll && !self.upstreams.is_empty() {
+            let from = self.upstreams[self.next_upstream % self.upstreams.len()].clone();
+            self.next_upstream += 1;
             let wait = if self.ready() {
                 self.timings.poll
             } else {
                 self.timings.retry
             };
-            self.due = now + wait;
-            out.push(self.ask(from));
+            self.next_poll = now + wait;
+            out.push(self.fetch_root(from));
         }
         out
     }
 
-    fn ask(&self, from: Source) -> Action {
+    fn fetch_root(&self, from: Source) -> Action {
         let revision = self.revision();
         Action::FetchRoot { from, revision }
     }
 
     fn advance(&mut self, now: Duration) -> Vec<Action> {
-        let Some(goal) = &mut self.goal else {
+        let Some(pending) = &mut self.pending else {
             return Vec::new();
         };
-        match goal.next(self.snapshot.as_ref(), now, self.timings.retry) {
-            Next::Wait => Vec::new(),
-            Next::Ask(from, hashes) => vec![Action::FetchPieces { from, hashes }],
-            Next::Drop => {
-                self.goal = None;
+        match pending.next_step(self.snapshot.as_ref(), now, self.timings.retry) {
+            NextStep::Wait => Vec::new(),
+            NextStep::Fetch(from, hashes) => vec![Action::FetchPieces { from, hashes }],
+            NextStep::Discard => {
+                self.pending = None;
                 Vec::new()
             }
-            Next::Whole(diff) => self.switch(diff),
+            NextStep::Complete(diff) => self.apply_update(diff),
         }
     }
 
-    fn switch(&mut self, diff: Diff) -> Vec<Action> {
-        let Some(goal) = self.goal.take() else {
+    fn apply_update(&mut self, diff: Diff) -> Vec<Action> {
+        let Some(pending) = self.pending.take() else {
             return Vec::new();
         };
         let old_revision = self.revision();
-        let entry = goal.root.now.clone();
-        let copy = self.snapshot.get_or_insert_with(Snapshot::default);
-        let removed = copy.switch(goal.root, goal.got, &diff);
+        let entry = pending.root.now.clone();
+        let snapshot = self.snapshot.get_or_insert_with(Snapshot::default);
+        let removed = snapshot.advance_to(pending.root, pending.fetched, &diff);
         vec![Action::Update(Update {
             old_revision,
             entry,
@@ -294,20 +301,20 @@
         })]
     }
 
-    /// What to give to a host that holds `revision`: nothing where it is not behind.
+    /// Returns the root with recent pieces for a host at `revision`; `None` if it is not behind.
     pub fn root_since(&self, me: &Arc<str>, revision: u64) -> Option<RootGive> {
         self.snapshot.as_ref()?.root_since(me, revision)
     }
 
-    /// The pieces of an ask that are held.
+    /// Returns the requested pieces that the snapshot contains.
     pub fn pieces_for(&self, ask: &PieceAsk) -> Vec<Vec<u8>> {
-        let Some(copy) = &self.snapshot else {
+        let Some(snapshot) = &self.snapshot else {
             return Vec::new();
         };
         ask.hashes
             .iter()
             .take(ASK_PIECES)
-            .filter_map(|hash| copy.pieces.get(&Hash::read(hash)?))
+            .filter_map(|hash| snapshot.pieces.get(&Hash::read(hash)?))
             .map(|bytes| bytes.to_vec())
             .collect()
     }
--- a/crates/coord/src/member/topology.rs
+++ b/crates/coord/src/member/topology.rs
@@ -1,4 +1,4 @@
-//! Who sends what to whom, worked out alike by all hosts from the members they know.
+//! Who sends which messages to whom; all hosts compute the same from the members they know.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,103 +7,110 @@
 
 use crate::rendezvous;
 
-/// Hosts that watch one host by its heartbeats. All of a domain's 48 others would cost 6 KB/s sent
-/// and 6 received at four heartbeats a second; two must agree that a host is gone, and some may be down themselves.
+/// Number of hosts that watch the heartbeats of one host. With all 48 others of a domain a host
+/// would send 6 KB/s and receive 6 KB/s at four heartbeats a second; two must agree that a host is
+/// gone, and some may be down themselves.
 pub const WATCHERS: usize = 4;
-/// Hosts of a domain that speak to another domain; one may be down.
-pub const SPEAKERS: usize = 2;
+/// Number of hosts of a domain that send digests to another domain; one may be down.
+pub const GATEWAYS: usize = 2;
 
-/// A host's part.
+/// The peers of one host, by their role.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Topology {
     /// The other hosts of its domain.
-    pub(super) near: Vec<Arc<str>>,
-    /// Hosts that it sends heartbeats to.
+    pub(super) local_peers: Vec<Arc<str>>,
+    /// Hosts to which it sends heartbeats.
     pub(super) watchers: Vec<Arc<str>>,
-    /// Hosts whose heartbeats it waits for.
+    /// Hosts whose heartbeats it expects.
     pub(super) watched: BTreeSet<Arc<str>>,
-    /// Hosts of other domains that it speaks to.
-    pub(super) partners: Vec<Arc<str>>,
-    /// Domains whose speakers speak to it.
+    /// Hosts of other domains to which it sends digests and rumors.
+    pub(super) remote_peers: Vec<Arc<str>>,
+    /// Domains whose gateways send to it.
     pub(super) expected: BTreeSet<Arc<str>>,
-    /// Those of them whose digests it passes on; the second host that hears them keeps quiet.
-    pub(super) passed: BTreeSet<Arc<str>>,
+    /// Domains among them whose digests it relays; the second host that receives them does not.
+    pub(super) relayed: BTreeSet<Arc<str>>,
 }
 
-/// Works out the part of `me`, given the live hosts by domain and those of its own that are gone.
+/// Computes the topology of `me` from the live hosts by domain and the hosts of its own domain that
+/// are gone.
 pub(super) fn topology(
     me: &Arc<str>,
-    mine: &Arc<str>,
+    own_domain: &Arc<str>,
     domains: &BTreeMap<Arc<str>, BTreeSet<Arc<str>>>,
     gone: &BTreeSet<Arc<str>>,
 ) -> Topology {
-    let mut inside = domains.get(mine).cloned().unwrap_or_default();
-    inside.insert(me.clone());
-    // Those that are gone are watched on: word of them must be said again while they are listed.
-    let watched = inside
+    let mut local_hosts = domains.get(own_domain).cloned().unwrap_or_default();
+    local_hosts.insert(me.clone());
+    // Hosts that are gone are still watched: that they are gone must be renewed while they are
+    // listed.
+    let watched = local_hosts
         .union(gone)
-        .filter(|name| *name != me && watchers(name, &inside).contains(me))
+        .filter(|name| *name != me && watchers(name, &local_hosts).contains(me))
         .cloned()
         .collect();
     let ranked: Vec<(&Arc<str>, Vec<&Arc<str>>)> = domains
         .iter()
         .filter(|(_, hosts)| !hosts.is_empty())
-        // Not the rank of the relays: they have their own part to send.
+        // Ranked by another key than the relays, which have their own traffic to send.
         .map(|(domain, hosts)| (domain, rendezvous::rank(&format!("{domain} speaks"), hosts)))
         .collect();
-    let mut partners = Vec::new();
+    let mut remote_peers = Vec::new();
     let mut expected = BTreeSet::new();
-    let mut passed = BTreeSet::new();
-    let own = ranked.iter().position(|(domain, _)| *domain == mine);
+    let mut relayed = BTreeSet::new();
+    let own = ranked.iter().position(|(domain, _)| *domain == own_domain);
     for (index, (domain, _)) in ranked.iter().enumerate() {
         let Some(own) = own.filter(|own| *own != index) else {
             continue;
         };
-        for (speaker, partner) in pairs(&ranked, own, index) {
-            // A domain of one host is spoken to once.
-            if speaker == me && !partners.contains(partner) {
-                partners.push(partner.clone());
+        for (gateway, peer) in gateway_pairs(&ranked, own, index) {
+            // A domain with a single host is sent to once.
+            if gateway == me && !remote_peers.contains(peer) {
+                remote_peers.push(peer.clone());
             }
         }
-        for (turn, (_, partner)) in pairs(&ranked, index, own).enumerate() {
-            if partner == me {
+        for (offset, (_, peer)) in gateway_pairs(&ranked, index, own).enumerate() {
+            if peer == me {
                 expected.insert((*domain).clone());
             }
-            if partner == me && turn == 0 {
-                passed.insert((*domain).clone());
+            if peer == me && offset == 0 {
+                relayed.insert((*domain).clone());
             }
         }
     }
     Topology {
-        near: inside.iter().filter(|name| *name != me).cloned().collect(),
-        watchers: watchers(me, &inside),
+        local_peers: local_hosts
+            .iter()
+            .filter(|name| *name != me)
+            .cloned()
+            .collect(),
+        watchers: watchers(me, &local_hosts),
         watched,
-        partners,
+        remote_peers,
         expected,
-        passed,
+        relayed,
     }
 }
 
-fn watchers(name: &Arc<str>, inside: &BTreeSet<Arc<str>>) -> Vec<Arc<str>> {
-    let others = inside.iter().filter(|other| *other != name);
+fn watchers(name: &Arc<str>, local_hosts: &BTreeSet<Arc<str>>) -> Vec<Arc<str>> {
+    let others = local_hosts.iter().filter(|other| *other != name);
     rendezvous::choose(name, others, WATCHERS)
         .into_iter()
         .cloned()
         .collect()
 }
 
-/// The hosts of one domain that speak to another, each with the host it speaks to.
+/// Returns the gateways of one domain to another, each with the host it sends to.
 ///
-/// The place among the domains chooses the place among the hosts, so that speaking is shared out
-/// evenly; a free choice by rendezvous gave some hosts three times the bytes of others.
-fn pairs<'a>(
+/// The index of the domain selects the index of the host, which balances the load; a free choice by
+/// rendezvous hashing gave some hosts three times the bytes of others.
+fn gateway_pairs<'a>(
     ranked: &'a [(&Arc<str>, Vec<&'a Arc<str>>)],
     from: usize,
     to: usize,
 ) -> impl Iterator<Item = (&'a Arc<str>, &'a Arc<str>)> {
-    let (speakers, partners) = (&ranked[from].1, &ranked[to].1);
-    (0..SPEAKERS).map(move |turn| {
-        let speaker = speakers[(to + turn) % speakers.len()];
-        (speaker, partners[(from + turn) % partners.len()])
+    let (gateways, remote_peers) = (&ranked[from].1, &ranked[to].1);
+    (0..GATEWAYS).map(move |offset| {
+        let gateway = gateways[(to + offset) % gateways.len()];
+        (gateway, remote_peers[(from + offset) % remote_peers.len()])
     })
 }
--- a/crates/coord/src/root/sweep.rs
+++ b/crates/coord/src/root/sweep.rs
@@ -1,18 +1,19 @@
-//! Removes pieces that no kept revision reaches.
+//! Mark-and-sweep garbage collection of pieces that no retained revision refers to.
 //!
-//! Every change leaves four pieces behind, 3 KB; 4,500 changes a day would fill 14 MB a day. The
-//! danger is an apply that has written its pieces and not yet moved the root: its pieces look like
-//! those that nobody needs. A lease would not keep the two apart, as its holder may be paused
-//! while it lapses and act afterwards. Instead:
+//! Every change leaves four pieces behind, 3 KB; at 4,500 changes a day that is 14 MB a day. The
+//! hazard is an apply that has written its pieces and not yet replaced the root: they look like
+//! unreachable pieces. A lease would not separate the two, as its holder may be paused while the
+//! lease expires and act afterwards. Instead:
 //!
 //! 1. a sweep reads the root, lists the pieces with their versions, then *marks* the root: it
-//!    replaces it, under the version read, by the same root with a higher count of sweeps;
-//! 2. an apply that read the root before the mark cannot move it any more; it reads again and
-//!    writes all its fresh pieces anew, which gives them new versions;
+//!    replaces it, under the version read, by the same root with a higher sweep count;
+//! 2. an apply that read the root before the mark can no longer replace it; it reads the root again
+//!    and rewrites all its new pieces, which assigns them new versions;
 //! 3. a sweep removes a piece only under the version that it listed before the mark.
 //!
-//! So whatever an apply wrote after the mark is kept, and what it wrote before the mark it writes
-//! again. No clock is involved, a paused sweep does no harm, and two sweeps may run at once.
+//! So pieces that an apply wrote after the mark are kept, and those that it wrote before the mark
+//! it writes again. No clock is involved, a paused sweep does no harm, and two sweeps may run at
+//! once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,35 +21,35 @@
 
 use super::{
     record,
-    store::{PendingOp, StoreOp, StoreReply, Version},
+    store_op::{PendingOp, StoreOp, StoreReply, Version},
 };
 use crate::{
     pieces::{Hash, Pieces, TreeError, list_tree},
     wire,
 };
 
-/// Revisions whose applies stay listed: three weeks at 4,500 a day. An apply that waits longer for
-/// the store is told that it is [forgotten](super::ApplyOutcome::Undetermined).
-pub const KEPT_REVISIONS: u64 = 100_000;
-/// Removals under way at once.
-const WINDOW: usize = 8;
+/// Number of revisions whose applies stay listed: three weeks at 4,500 a day. For an apply that
+/// waits longer for the store the outcome is [undetermined](super::ApplyOutcome::Undetermined).
+pub const RETAINED_REVISIONS: u64 = 100_000;
+/// Maximum number of concurrent operations.
+const MAX_IN_FLIGHT: usize = 8;
 
-/// How a sweep ended.
+/// Outcome of a sweep.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Swept {
-    /// All that could be removed is removed.
+pub enum SweepOutcome {
+    /// All unreachable pieces were handled.
     Done {
-        /// Pieces removed.
+        /// Number of pieces removed.
         removed: usize,
-        /// Pieces left, as they were written again meanwhile.
+        /// Number of pieces kept, as they were rewritten meanwhile or could not be removed.
         kept: usize,
     },
     /// There is nothing to remove; the root was not marked.
-    Clean,
-    /// The root moved before the mark, or it is not known whether the mark took effect. Nothing was
-    /// removed.
-    Beaten,
-    /// The store failed, or a tree in use lacks pieces. What was not removed stays.
+    NothingToRemove,
+    /// The root was replaced before the mark, or it is unknown whether the mark took effect.
+    /// Nothing was removed.
+    Conflict,
+    /// The store failed, or a retained tree lacks pieces. Pieces not yet removed stay.
     Failed,
 }
 
@@ -61,115 +62,117 @@
     Remove,
 }
 
-/// A sweep on its way.
+/// State machine of one sweep.
 #[derive(Clone, Debug)]
 pub struct Sweep {
     step: Step,
     root: Option<(Root, Version)>,
     listed: BTreeMap<Hash, Version>,
-    have: Pieces,
-    gone: BTreeSet<Hash>,
-    /// Index pieces to read before the walk is tried again.
-    reads: Vec<Hash>,
-    /// Pieces to remove, then those not yet begun.
-    todo: Vec<Hash>,
+    fetched: Pieces,
+    missing: BTreeSet<Hash>,
+    /// Index pieces to read before the traversal is retried.
+    to_read: Vec<Hash>,
+    /// Unreachable pieces whose removal has not started.
+    to_remove: Vec<Hash>,
     pending: BTreeMap<u64, StoreOp>,
-    number: u64,
+    last_id: u64,
     removed: usize,
     kept: usize,
-    ended: Option<Swept>,
-    /// Fault of a check: removes without the mark.
-    unmarked: bool,
+    outcome: Option<SweepOutcome>,
+    /// Injected fault: removes without the mark.
+    skip_mark: bool,
 }
 
 impl Sweep {
-    /// Begins a sweep; [`Sweep::poll`] gives the first operation.
+    /// Creates a sweep; [`Sweep::poll`] returns the first operation.
     pub fn open() -> Self {
         Self {
             step: Step::Read,
             root: None,
             listed: BTreeMap::new(),
-            have: Pieces::new(),
-            gone: BTreeSet::new(),
-            reads: Vec::new(),
-            todo: Vec::new(),
+            fetched: Pieces::new(),
+            missing: BTreeSet::new(),
+            to_read: Vec::new(),
+            to_remove: Vec::new(),
             pending: BTreeMap::new(),
-            number: 0,
+            last_id: 0,
             removed: 0,
             kept: 0,
-            ended: None,
-            unmarked: false,
+            outcome: None,
+            skip_mark: false,
         }
     }
 
-    /// Leaves the mark out, so that a check is seen to find it.
+    /// Skips the mark, to verify that a test detects it.
     #[doc(hidden)]
     pub fn without_mark(mut self) -> Self {
-        self.unmarked = true;
+        self.skip_mark = true;
         self
     }
 
-    /// The end, once it is reached.
-    pub fn ended(&self) -> Option<&Swept> {
-        self.ended.as_ref()
+    /// Returns the outcome once the sweep has ended.
+    pub fn outcome(&self) -> Option<&SweepOutcome> {
+        self.outcome.as_ref()
     }
 
-    /// Operations to begin now.
+    /// Returns the operations to start now.
     pub fn poll(&mut self) -> Vec<PendingOp> {
         let mut out = Vec::new();
-        while self.ended.is_none() && self.pending.len() < WINDOW {
-            let Some(ask) = self.due() else {
+        while self.outcome.is_none() && self.pending.len() < MAX_IN_FLIGHT {
+            let Some(op) = self.next_op() else {
                 break;
             };
-            self.number += 1;
-            self.pending.insert(self.number, ask.clone());
+            self.last_id += 1;
+            self.pending.insert(self.last_id, op.clone());
             out.push(PendingOp {
-                id: self.number,
-                op: ask,
+                id: self.last_id,
+                op,
             });
         }
         out
     }
 
-    /// Takes the answer to an operation, then gives the operations to begin now.
-    pub fn handle_reply(&mut self, number: u64, answer: StoreReply) -> Vec<PendingOp> {
-        if let Some(ask) = self.pending.remove(&number) {
-            self.take(ask, answer);
+    /// Handles the reply to an operation; returns the operations to start now.
+    pub fn handle_reply(&mut self, id: u64, reply: StoreReply) -> Vec<PendingOp> {
+        if let Some(op) = self.pending.remove(&id) {
+            self.process_reply(op, reply);
         }
         self.poll()
     }
 
-    fn take(&mut self, ask: StoreOp, answer: StoreReply) {
-        match (ask, answer) {
+    fn process_reply(&mut self, op: StoreOp, reply: StoreReply) {
+        match (op, reply) {
             (StoreOp::ReadRoot, StoreReply::Root(Some(stored))) => {
-                match record::read(&stored.bytes) {
+                match record::decode(&stored.bytes) {
                     Some(root) => {
                         self.root = Some((root, stored.version));
                         self.step = Step::List;
                     }
-                    None => self.ended = Some(Swept::Failed),
+                    None => self.outcome = Some(SweepOutcome::Failed),
                 }
             }
-            (StoreOp::ReadRoot, StoreReply::Root(None)) => self.ended = Some(Swept::Clean),
+            (StoreOp::ReadRoot, StoreReply::Root(None)) => {
+                self.outcome = Some(SweepOutcome::NothingToRemove);
+            }
             (StoreOp::ListPieces, StoreReply::Listed(listed)) => {
                 self.listed = listed.into_iter().collect();
                 self.step = Step::Walk;
             }
             (StoreOp::ReadPiece(hash), StoreReply::Piece(bytes)) => match bytes {
-                Some(bytes) => drop(self.have.insert(hash, bytes)),
-                None => drop(self.gone.insert(hash)),
+                Some(bytes) => drop(self.fetched.insert(hash, bytes)),
+                None => drop(self.missing.insert(hash)),
             },
             (StoreOp::SwapRoot { .. }, StoreReply::Done) => self.step = Step::Remove,
-            (StoreOp::SwapRoot { .. }, _) => self.ended = Some(Swept::Beaten),
+            (StoreOp::SwapRoot { .. }, _) => self.outcome = Some(SweepOutcome::Conflict),
             (StoreOp::RemovePiece { .. }, StoreReply::Done) => self.removed += 1,
             (StoreOp::RemovePiece { .. }, StoreReply::Conflict) => self.kept += 1,
             // A piece that could not be removed now is found again by the next sweep.
             (StoreOp::RemovePiece { .. }, _) => self.kept += 1,
-            _ => self.ended = Some(Swept::Failed),
+            _ => self.outcome = Some(SweepOutcome::Failed),
         }
     }
 
-    fn due(&mut self) -> Option<StoreOp> {
+    fn next_op(&mut self) -> Option<StoreOp> {
         let idle = self.pending.is_empty();
         match self.step {
             Step::Read => idle.then_some(StoreOp::ReadRoot),
@@ -180,49 +183,49 @@
         }
     }
 
-    /// Reads index pieces, level by level, until it is known which pieces are reached.
+    /// Reads index pieces level by level until all reachable pieces are known.
     fn walk(&mut self) -> Option<StoreOp> {
-        if let Some(hash) = self.reads.pop() {
+        if let Some(hash) = self.to_read.pop() {
             return Some(StoreOp::ReadPiece(hash));
         }
         if !self.pending.is_empty() {
             return None;
         }
         let (root, _) = self.root.clone()?;
-        let mut reached = BTreeSet::new();
-        let mut missing = self.walk_past(&root, &mut reached);
-        for (_, tree) in kept(&root) {
-            match list_tree(tree, &self.have) {
+        let mut reachable = BTreeSet::new();
+        let mut missing = self.walk_past(&root, &mut reachable);
+        for (_, tree) in retained_trees(&root) {
+            match list_tree(tree, &self.fetched) {
                 Ok(listed) => {
-                    reached.extend(listed.nodes);
-                    reached.extend(listed.leaves.into_values());
+                    reachable.extend(listed.nodes);
+                    reachable.extend(listed.leaves.into_values());
                 }
-                Err(TreeError::Missing(lacking)) => missing.extend(lacking),
-                Err(TreeError::Corrupt(_)) => self.ended = Some(Swept::Failed),
+                Err(TreeError::Missing(hashes)) => missing.extend(hashes),
+                Err(TreeError::Corrupt(_)) => self.outcome = Some(SweepOutcome::Failed),
             }
         }
-        // A tree with a piece gone cannot be walked, so what it still holds is not known.
-        if missing.iter().any(|hash| self.gone.contains(hash)) {
-            self.ended = Some(Swept::Failed);
+        // A tree that lacks a piece cannot be traversed, so its other pieces are unknown.
+        if missing.iter().any(|hash| self.missing.contains(hash)) {
+            self.outcome = Some(SweepOutcome::Failed);
         }
-        if self.ended.is_some() {
+        if self.outcome.is_some() {
             return None;
         }
         if missing.is_empty() {
-            return self.choose(&reached);
+            return self.select_unreachable(&reachable);
         }
-        self.reads = missing.into_iter().collect();
-        self.reads.pop().map(StoreOp::ReadPiece)
+        self.to_read = missing.into_iter().collect();
+        self.to_read.pop().map(StoreOp::ReadPiece)
     }
 
-    fn choose(&mut self, reached: &BTreeSet<Hash>) -> Option<StoreOp> {
-        let unreached = self.listed.keys().filter(|hash| !reached.contains(hash));
-        self.todo = unreached.copied().collect();
-        if self.todo.is_empty() {
-            self.ended = Some(Swept::Clean);
+    fn select_unreachable(&mut self, reachable: &BTreeSet<Hash>) -> Option<StoreOp> {
+        let unreachable = self.listed.keys().filter(|hash| !reachable.contains(hash));
+        self.to_remove = unreachable.copied().collect();
+        if self.to_remove.is_empty() {
+            self.outcome = Some(SweepOutcome::NothingToRemove);
             return None;
         }
-        if self.unmarked {
+        if self.skip_mark {
             self.step = Step::Remove;
             return self.remove();
         }
@@ -230,13 +233,13 @@
         self.mark()
     }
 
-    /// Reaches the past pieces that are kept; gives those to be read.
-    fn walk_past(&mut self, root: &Root, reached: &mut BTreeSet<Hash>) -> BTreeSet<Hash> {
+    /// Adds the retained past pieces to `reachable`; returns those that must be read.
+    fn walk_past(&mut self, root: &Root, reachable: &mut BTreeSet<Hash>) -> BTreeSet<Hash> {
         let mut next = root.past.clone();
         while let Some(hash) = Hash::read(&next) {
-            let Some(bytes) = self.have.get(&hash) else {
-                // One that is gone ends the list: an earlier sweep cut it there.
-                return if self.gone.contains(&hash) {
+            let Some(bytes) = self.fetched.get(&hash) else {
+                // A piece that does not exist ends the list: an earlier sweep truncated it there.
+                return if self.missing.contains(&hash) {
                     BTreeSet::new()
                 } else {
                     BTreeSet::from([hash])
@@ -246,10 +249,10 @@
                 break;
             };
             let newest = past.entries.first().map_or(0, |entry| entry.revision);
-            if newest + KEPT_REVISIONS < root.now.revision {
+            if newest + RETAINED_REVISIONS < root.now.revision {
                 break;
             }
-            reached.insert(hash);
+            reachable.insert(hash);
             next = past.before;
         }
         BTreeSet::new()
@@ -260,15 +263,15 @@
         root.sweep += 1;
         Some(StoreOp::SwapRoot {
             expect: Some(version),
-            bytes: record::bytes(&root),
+            bytes: record::encode(&root),
         })
     }
 
     fn remove(&mut self) -> Option<StoreOp> {
-        let Some(hash) = self.todo.pop() else {
+        let Some(hash) = self.to_remove.pop() else {
             if self.pending.is_empty() {
                 let (removed, kept) = (self.removed, self.kept);
-                self.ended = Some(Swept::Done { removed, kept });
+                self.outcome = Some(SweepOutcome::Done { removed, kept });
             }
             return None;
         };
@@ -277,8 +280,8 @@
     }
 }
 
-/// The trees that a root keeps, newest first, with their revisions.
-pub fn kept(root: &Root) -> Vec<(u64, Hash)> {
+/// Returns the trees that a root retains, newest first, with their revisions.
+pub fn retained_trees(root: &Root) -> Vec<(u64, Hash)> {
     std::iter::once(&root.now)
         .chain(&root.recent)
         .filter_map(|entry| Some((entry.revision, Hash::read(&entry.tree)?)))
