--- a/crates/coord/src/follow/snapshot.rs
+++ b/crates/coord/src/follow/snapshot.rs
@@ -1,4 +1,6 @@
-//! A complete configuration, with the pieces that were new in its last few revisions.
+//! A complete configuration in content-addressed [`pieces`](crate::pieces), and a record of the
+//! pieces that its last few revisions added. Hosts that are only a few revisions behind receive
+//! these together with the new root.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,19 +11,20 @@
 
 use crate::pieces::{Diff, Hash, Pieces, diff};
 
-/// Number of revisions whose new pieces are remembered: about two minutes at 4,500 changes a day.
+/// Number of revisions whose new pieces are recorded: about two minutes at 4,500 changes a day.
 const RECENT_REVISIONS: usize = 8;
-/// Maximum bytes of pieces sent along with a root; a host further behind requests them.
+/// Maximum bytes of pieces sent along with a root. If there are more, only the root is sent, and
+/// the receiving host requests the pieces.
 const MAX_GIVE_BYTES: usize = 32 * 1024;
 
-/// A complete configuration in pieces.
+/// A complete configuration in content-addressed pieces.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// The root of the configuration.
+    /// The root record: the latest apply with the hash of its tree of pieces, and earlier applies.
     pub root: Root,
     /// The pieces of the configuration, all of them and no others.
     pub pieces: Pieces,
-    /// Pieces that were new in each of the last revisions.
+    /// Hashes of the pieces that were new in each of the last revisions.
     recent_pieces: BTreeMap<u64, BTreeSet<Hash>>,
 }
 
@@ -54,7 +57,8 @@
         Hash::read(&self.root.now.tree)
     }
 
-    /// Replaces the root by a later one; returns the pieces that are no longer needed.
+    /// Replaces the root by a later one; returns the pieces that are no longer needed. `forward` is
+    /// the difference from the current tree to that of `root`, and `fetched` has its new pieces.
     pub(super) fn advance_to(&mut self, root: Root, fetched: Pieces, forward: &Diff) -> Pieces {
         let from = self.tree();
         let to = Hash::read(&root.now.tree);
@@ -85,8 +89,8 @@
         removed
     }
 
-    /// Returns the root with the pieces that are new since `revision`, without pieces if those
-    /// exceed [`MAX_GIVE_BYTES`].
+    /// Returns the root with the recorded pieces that are new since `revision`, without pieces if
+    /// those exceed [`MAX_GIVE_BYTES`]; `None` if the root is not newer than `revision`.
     pub(super) fn root_since(&self, me: &Arc<str>, revision: u64) -> Option<RootGive> {
         if self.root.now.revision <= revision {
             return None;
--- a/crates/coord/src/member/topology.rs
+++ b/crates/coord/src/member/topology.rs
@@ -1,4 +1,5 @@
-//! Who sends which messages to whom; all hosts compute the same from the members they know.
+//! Chooses which hosts exchange which messages. Hosts with the same list of members compute the
+//! same result.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/crates/coord/src/member/view.rs
+++ b/crates/coord/src/member/view.rs
@@ -17,23 +17,24 @@
         self.state
     }
 
-    /// Returns whether this host may accept work: another host has replied since its start or its
-    /// last pause (or there is none), and no later incarnation of it is known.
+    /// Returns whether this host may accept work: no higher incarnation of it is known, and another
+    /// host has replied since its process started or was last paused (unless there is none).
     pub fn caught_up(&self) -> bool {
         self.catching_up_since.is_none() && self.superseded.is_none()
     }
 
-    /// Like [`Membership::caught_up`], but also `false` right after a pause that no tick has
-    /// detected yet. Check it before an action that a replaced host must not take.
+    /// Like [`Membership::caught_up`], but also `false` right after a pause of the process that
+    /// no tick has detected yet. Check it before an action that a superseded host must not take.
     pub fn caught_up_at(&self, now: Duration) -> bool {
         self.caught_up() && !self.paused(now)
     }
 
+    /// Returns whether the process was paused: it has not ticked for longer than `suspect_after`.
     pub(super) fn paused(&self, now: Duration) -> bool {
         now > self.last_tick + self.timings.suspect_after
     }
 
-    /// Returns the later incarnation of this host, if there is one.
+    /// Returns the higher incarnation that supersedes this process, if one is known.
     pub fn superseded(&self) -> Option<u64> {
         self.superseded
     }
@@ -52,60 +53,63 @@
         }
     }
 
-    /// Returns the hosts that are neither leaving nor gone, with their failure domains; input for
-    /// [`relay`](crate::relay).
+    /// Returns the hosts that are neither leaving nor gone, with their failure domains: the hosts
+    /// that [`relay`](crate::relay) computes its tree from.
     pub fn members(&self) -> BTreeMap<Arc<str>, Arc<str>> {
-        self.with_state(|state| !matches!(state, HostState::Leaving | HostState::Gone))
+        self.hosts_in_state(|state| !matches!(state, HostState::Leaving | HostState::Gone))
     }
 
     /// Returns the serving hosts of domains that are not silent, with their failure domains.
     pub fn serving(&self) -> BTreeMap<Arc<str>, Arc<str>> {
-        let mut out = self.with_state(|state| state == HostState::Serving);
+        let mut out = self.hosts_in_state(|state| state == HostState::Serving);
         out.retain(|_, domain| !self.silent_domains.contains(domain));
         out
     }
 
-    fn with_state(&self, fits: impl Fn(HostState) -> bool) -> BTreeMap<Arc<str>, Arc<str>> {
+    fn hosts_in_state(&self, matches: impl Fn(HostState) -> bool) -> BTreeMap<Arc<str>, Arc<str>> {
         self.table
             .hosts
             .iter()
-            .filter(|(name, host)| !host.domain.is_empty() && fits(self.state_of(name)))
+            .filter(|(name, host)| !host.domain.is_empty() && matches(self.state_of(name)))
             .map(|(name, host)| (name.clone(), host.domain.clone()))
             .collect()
     }
 
-    /// Returns whether nothing is received from a failure domain.
+    /// Returns whether a failure domain is silent: no messages from it are received.
     pub fn is_domain_silent(&self, domain: &str) -> bool {
         self.silent_domains.contains(domain)
     }
 
-    /// Returns the last report of a host of this domain and the time of its receipt.
+    /// Returns the last report of a host of this domain about its own work, and the time of its
+    /// receipt.
     pub fn report(&self, name: &str) -> Option<(&Report, Duration)> {
         self.reports.get(name).map(|(report, at)| (report, *at))
     }
 
-    /// Returns the last digest of another domain and the time of its receipt.
+    /// Returns the last digest (summary) of another domain and the time of its receipt.
     pub fn digest(&self, domain: &str) -> Option<(&Digest, Duration)> {
         self.digests.get(domain).map(|(digest, at)| (digest, *at))
     }
 
-    /// Returns the requests and targets in quarantine with their remaining time.
+    /// Returns the quarantine records of requests and targets, with their remaining time.
     pub fn quarantines(&self, now: Duration) -> Vec<Quarantine> {
         self.rumors.quarantines(now)
     }
 
-    /// Returns the lowest active revision over the live hosts of all domains that are not silent,
-    /// for an operator who waits for an apply; `None` while a domain has sent no digest.
+    /// Returns the lowest active configuration revision of the serving hosts in all domains that
+    /// are not silent; `None` while one of these domains has sent no digest. An operator who waits
+    /// for an apply waits until this reaches its revision.
     ///
-    /// It lags by up to one digest interval, and never runs ahead of a host that is known to serve.
+    /// The result lags by up to one digest interval, and is never higher than the revision of a
+    /// host that is known to be serving.
     pub fn lowest_revision(&self) -> Option<u64> {
         let own_lowest = self.revisions().min().unwrap_or(self.revision);
         let others = self
             .domains
             .keys()
             .filter(|domain| **domain != self.me.domain);
-        let heard = others.filter(|domain| !self.silent_domains.contains(*domain));
-        heard
+        let not_silent = others.filter(|domain| !self.silent_domains.contains(*domain));
+        not_silent
             .map(|domain| self.digests.get(domain).map(|(digest, _)| digest.lowest))
             .try_fold(own_lowest, |min, lowest| Some(min.min(lowest?)))
     }
--- a/crates/coord/src/root/apply.rs
+++ b/crates/coord/src/root/apply.rs
@@ -56,7 +56,7 @@
 /// Its swap of the root names the version that it read, so it takes effect on that base or not at
 /// all, even if it arrives late or twice. After a lost reply the root is read again. If its version
 /// is the same, the same swap is retried. If it changed, the entry of the revision after the base
-/// tells for certain whether this apply took effect; it cannot take effect later.
+/// shows for certain whether this apply took effect; it cannot take effect later.
 #[derive(Clone, Debug)]
 pub struct Apply {
     pub(super) request: ApplyRequest,
--- a/crates/coord/src/root/history.rs
+++ b/crates/coord/src/root/history.rs
@@ -25,7 +25,7 @@
 
 /// Lists the applies after `revision`. `missing` has the pieces known not to exist.
 ///
-/// Each revision has exactly one entry, so the entry of `revision + 1` tells for certain whether an
+/// Each revision has exactly one entry, so the entry of `revision + 1` shows for certain whether an
 /// apply based on `revision` took effect.
 pub fn applies_after(root: &Root, revision: u64, pieces: &Pieces, missing: &[Hash]) -> History {
     let mut later: Vec<Entry> = std::iter::once(&root.now)
